--- a/crates/benches/src/placing.rs
+++ b/crates/benches/src/placing.rs
@@ -9,11 +9,11 @@
 
 use snipemast_core::hash::{below, fraction, mix};
 use snipemast_core::prelude::*;
-use snipemast_placement::choice::{Offered, Wanted};
-use snipemast_placement::outage::Gate;
+use snipemast_placement::choice::{AnnouncedServer, Constraints};
+use snipemast_placement::outage::AllowedPools;
 use snipemast_placement::pick::Pick;
-use snipemast_placement::servers::{Servers, Trouble};
-use snipemast_placement::{Pool, Turn};
+use snipemast_placement::servers::{ServerFault, Servers};
+use snipemast_placement::{Pool, Urgency};
 
 /// The way between two hosts.
 const WAY: Span = Span::from_millis(1);
@@ -193,18 +193,18 @@
         let names = (0..setup.ranks).map(|n| ServerId::new(format!("i-{n}")));
         let ids: Vec<ServerId> = names.map(|id| id.expect("a server's name")).collect();
         let zone = |n: usize| ZoneId::new(format!("z{}", n % setup.zones)).expect("a zone's name");
-        let offered = |n: usize| Offered {
+        let offered = |n: usize| AnnouncedServer {
             server: ids[n].clone(),
             start: Incarnation(0),
             pool: pool.clone(),
             address: std::net::SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8], 80)),
             zone: zone(n),
             slots: setup.slots as u32,
-            leaving: None,
+            leaving_since: None,
         };
         let gateway = |n: usize| {
             let mut servers = Servers::new(zone(n));
-            servers.set_offered((0..setup.ranks).map(offered).collect());
+            servers.set_announced((0..setup.ranks).map(offered).collect());
             servers
         };
         let mut world = Self {
@@ -266,14 +266,14 @@
         let mut excluded = Vec::new();
         for _ in 0..SENDS {
             let chance = self.chance();
-            let gate = Gate::AllBut(Vec::new());
-            let wanted = Wanted {
+            let gate = AllowedPools::AllExcept(Vec::new());
+            let wanted = Constraints {
                 service: &self.pool.service,
-                gate: &gate,
-                but: &excluded,
+                allowed: &gate,
+                excluded: &excluded,
             };
             let servers = &mut self.gateways[gateway];
-            let chosen = servers.choose(self.now, wanted, Turn::InTime, chance);
+            let chosen = servers.choose(self.now, wanted, Urgency::InTime, chance);
             let Ok(choice) = chosen else {
                 break;
             };
@@ -282,8 +282,8 @@
                 return;
             }
             let servers = &mut self.gateways[gateway];
-            servers.end(&choice.server, choice.start);
-            servers.note_trouble(self.now, &choice.server, choice.start, Trouble::Full);
+            servers.release(&choice.server, choice.start);
+            servers.record_fault(self.now, &choice.server, choice.start, ServerFault::Full);
             excluded.push(choice.server);
         }
         self.seen.failed += 1;
@@ -347,8 +347,8 @@
             }
             if request.pieces == setup.pieces {
                 let servers = &mut self.gateways[request.gateway];
-                servers.end(server, Incarnation(0));
-                servers.note_whole(&self.pool.service, now.since(request.arrived));
+                servers.release(server, Incarnation(0));
+                servers.record_completion(&self.pool.service, now.since(request.arrived));
             }
         }
         let running = &mut self.ranks[rank].running;
@@ -381,7 +381,7 @@
     }
 
     fn poll(&mut self, gateway: usize) {
-        let flying = self.gateways[gateway].flying();
+        let flying = self.gateways[gateway].in_flight();
         let counts = flying.map(|(id, count)| (id.clone(), count)).collect();
         self.told[gateway] = (self.now, counts);
         let whole = self.setup.wait.as_micros() + WAY.as_micros();
@@ -402,7 +402,7 @@
         }
         let others = (self.setup.gateways - 1).max(1) as u64;
         let age = Span::from_micros(ages / others);
-        self.gateways[gateway].set_others(self.now, age, sums.into_iter());
+        self.gateways[gateway].set_other_counts(self.now, age, sums.into_iter());
         self.plan(WAY, Happening::Poll(gateway));
     }
 
--- a/crates/benches/tests/placing.rs
+++ b/crates/benches/tests/placing.rs
@@ -2,7 +2,7 @@
 
 use snipemast_benches::placing::{play, Outcome, Setup};
 use snipemast_core::prelude::*;
-use snipemast_placement::pick::{Least, Pick, Placing, Sampled};
+use snipemast_placement::pick::{Least, Pick, PickPolicy, Sampled};
 
 /// The middle setup, with counts as fresh as its gateways ask for.
 fn fresh(seed: u64) -> Setup {
@@ -28,7 +28,7 @@
 /// refused, and the fullest rank has less than twice the mean over half a second.
 #[test]
 fn gateways_spread() {
-    let seen = played::<Placing>();
+    let seen = played::<PickPolicy>();
     assert!(mean(&seen, |s| s.waited) < 0.01, "{seen:?}");
     assert!(mean(&seen, |s| s.refused) < 0.01, "{seen:?}");
     assert!(mean(&seen, |s| s.fullest) < 2.0, "{seen:?}");
--- a/crates/gateway/src/frozen.rs
+++ b/crates/gateway/src/frozen.rs
@@ -11,7 +11,7 @@
 use snipemast_core::prelude::*;
 use snipemast_net::connect;
 use snipemast_net::exec::{pause, spawn, within};
-use snipemast_placement::{Choice, Trouble};
+use snipemast_placement::{Choice, ServerFault};
 use snipemast_platform::server;
 
 use crate::send::{Job, CONNECT};
@@ -79,7 +79,7 @@
         let now = self.state.clock.now();
         let asks = self.state.servers.lock().asks(now, &choice.server);
         if asks && !answers(choice.address).await {
-            self.trouble(choice, Trouble::Still, "stands still");
+            self.trouble(choice, ServerFault::Still, "stands still");
         }
     }
 }
@@ -107,7 +107,7 @@
     let news = {
         let now = state.clock.now();
         let mut servers = state.servers.lock();
-        let out = servers.note_trouble(now, &frozen.server, frozen.start, Trouble::Still);
+        let out = servers.record_fault(now, &frozen.server, frozen.start, ServerFault::Still);
         out.is_some()
     };
     if news {
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -11,9 +11,9 @@
 
 use snipemast_core::prelude::*;
 use snipemast_net::exec::{pause, spawn, within};
-use snipemast_placement::choice::{Unplaced, Wanted};
-use snipemast_placement::outage::Gate;
-use snipemast_placement::{Sends, Turn};
+use snipemast_placement::choice::{Constraints, Unplaced};
+use snipemast_placement::outage::AllowedPools;
+use snipemast_placement::{Sends, Urgency};
 use snipemast_platform::request::Ask;
 use snipemast_platform::response;
 use snipemast_routes::{Denied, Match, Route, Table as Routes};
@@ -172,17 +172,17 @@
         let now = job.state.clock.now();
         let but = [self.excluded.as_slice(), std::slice::from_ref(from)].concat();
         let gate = job.gate(now);
-        let wanted = Wanted {
+        let wanted = Constraints {
             service: &job.service,
-            gate: &gate,
-            but: &but,
+            allowed: &gate,
+            excluded: &but,
         };
         let turn = job.turn(last);
         let servers = job.state.servers.lock();
         let may_move = servers.may_move(now, from, wanted, turn);
         drop(servers);
         self.granted = may_move
-            && !matches!(gate, Gate::Probe(_))
+            && !matches!(gate, AllowedPools::Probe(_))
             && job.state.budget.lock().spend(now, &job.service);
         if self.granted {
             let detail = format_args!("{from} shows nothing, another server has a place");
@@ -215,16 +215,16 @@
                 return give_up(Unplaced::TooLong);
             }
             let gate = job.gate(now);
-            if gate == Gate::Shut {
+            if gate == AllowedPools::NoPool {
                 return give_up(Unplaced::Out);
             }
             let chosen = {
                 let mut servers = job.state.servers.lock();
                 let turn = job.turn(last);
-                let wanted = Wanted {
+                let wanted = Constraints {
                     service: &job.service,
-                    gate: &gate,
-                    but: &self.excluded,
+                    allowed: &gate,
+                    excluded: &self.excluded,
                 };
                 servers.choose(now, wanted, turn, rand::random())
             };
@@ -235,7 +235,7 @@
             // Asked last: a repeat that has nowhere to go is not spent.
             if !self.is_granted(job) {
                 let mut servers = job.state.servers.lock();
-                servers.end(&choice.server, choice.start);
+                servers.release(&choice.server, choice.start);
                 return give_up(Unplaced::Spent);
             }
             let server = choice.server.clone();
@@ -265,7 +265,7 @@
 
     /// Whether an answer that is late could not end any more before its caller leaves.
     fn is_too_long(&self, job: &Job) -> bool {
-        let late = job.turn(None) == Turn::Late;
+        let late = job.turn(None) == Urgency::Late;
         late && job.length().is_some_and(|l| job.left() < l.least())
     }
 
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -9,7 +9,7 @@
 use snipemast_core::prelude::*;
 use snipemast_feed::Sink;
 use snipemast_net::exec::pause;
-use snipemast_placement::choice::Offered;
+use snipemast_placement::choice::AnnouncedServer;
 use snipemast_placement::outage::Word;
 use snipemast_placement::pools::{Pools, Told};
 use snipemast_platform::document;
@@ -89,7 +89,7 @@
         let demands = self.state.demands();
         let leaving = self.state.unspread_leaving();
         let servers = self.state.servers.lock();
-        let flying = servers.flying();
+        let flying = servers.in_flight();
         let flying = flying.map(|(server, count)| (server.clone(), count));
         Poll {
             wait: self.counts_wait(),
@@ -174,14 +174,14 @@
         let told: Vec<Told> = ready().map(|k| told(&registry, k)).collect();
         let pools = Pools::new(&told);
         let offered = ready().filter_map(|k| {
-            Some(Offered {
+            Some(AnnouncedServer {
                 server: k.announcement.id.clone(),
                 start: k.announcement.start,
                 pool: pools.pool(&k.announcement.id)?.clone(),
                 address: k.announcement.address,
                 zone: k.announcement.zone.clone(),
                 slots: k.announcement.slots,
-                leaving: registry.leaving(&k.announcement.id),
+                leaving_since: registry.leaving(&k.announcement.id),
             })
         });
         let offered = offered.collect();
@@ -189,7 +189,7 @@
         drop(registry);
         self.note_groups(&pools);
         let mut servers = self.state.servers.lock();
-        let left = servers.set_offered(offered);
+        let left = servers.set_announced(offered);
         servers.set_limits(now, limits);
         drop(servers);
         for address in left {
@@ -244,7 +244,7 @@
             let counts = news.flying.into_iter();
             let slow = news.slow.into_iter().map(|s| (s.server, s.pace));
             let mut servers = self.state.servers.lock();
-            servers.set_others(now, news.age, counts);
+            servers.set_other_counts(now, news.age, counts);
             servers.set_slow(slow.collect());
             drop(servers);
             frozen::check(&self.state, &news.still);
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -15,10 +15,10 @@
 use snipemast_net::exec::{pause, spawn, within};
 use snipemast_net::{connect, Connection};
 use snipemast_placement::length::Length;
-use snipemast_placement::outage::Gate;
+use snipemast_placement::outage::AllowedPools;
 use snipemast_placement::servers::STILL;
-use snipemast_placement::turn::Ordering;
-use snipemast_placement::{Choice, Pool, Trouble, Turn};
+use snipemast_placement::urgency::QueueOrder;
+use snipemast_placement::{Choice, Pool, ServerFault, Urgency};
 use snipemast_platform::request::{forward, Ask, Forward};
 use snipemast_platform::response::Reply;
 use snipemast_routes::{Repeat, Route};
@@ -84,7 +84,7 @@
 
 impl Drop for Flight {
     fn drop(&mut self) {
-        self.state.servers.lock().end(&self.server, self.start);
+        self.state.servers.lock().release(&self.server, self.start);
     }
 }
 
@@ -120,22 +120,22 @@
     }
 
     /// When the request begins, against others.
-    pub(crate) fn turn(&self, last: Option<u64>) -> Turn {
-        self.named_turn(last).unwrap_or(Turn::InTime)
+    pub(crate) fn turn(&self, last: Option<u64>) -> Urgency {
+        self.named_turn(last).unwrap_or(Urgency::InTime)
     }
 
     /// The same, where requests are ordered: those to engines, whose queues are long.
-    fn named_turn(&self, last: Option<u64>) -> Option<Turn> {
-        let ordered = self.state.decisions.order == Ordering::Lateness;
+    fn named_turn(&self, last: Option<u64>) -> Option<Urgency> {
+        let ordered = self.state.decisions.order == QueueOrder::Lateness;
         if !ordered || self.route.gap.is_none() {
             return None;
         }
         if last.is_some() && last != self.ask.last {
-            return Some(Turn::Resumed);
+            return Some(Urgency::Resumed);
         }
         let waited = self.age().as_micros();
         let spent = Span::from_micros(self.spent.as_micros() + waited);
-        Some(Turn::new(spent, self.route.objective))
+        Some(Urgency::new(spent, self.route.objective))
     }
 
     /// Sends the request to a server and waits for the head of its answer.
@@ -179,12 +179,12 @@
                 // The server closed the pooled connection before anything was written to it.
                 Err(SendError::Unsent) if !fresh => fresh = true,
                 Err(SendError::Unsent) => {
-                    self.trouble(&choice, Trouble::Broken, "closed before the request");
+                    self.trouble(&choice, ServerFault::Broken, "closed before the request");
                     return Err(Failure::NotRun);
                 }
                 Err(SendError::Unknown(e)) => {
                     self.state.connections.retire(choice.address);
-                    self.trouble(&choice, Trouble::Broken, &e.to_string());
+                    self.trouble(&choice, ServerFault::Broken, &e.to_string());
                     return Err(Failure::Unknown);
                 }
             }
@@ -271,7 +271,7 @@
         match connect(choice.address, limit).await {
             Ok(connection) => Ok(connection),
             Err(_) => {
-                self.trouble(choice, Trouble::Unreachable, "no connection");
+                self.trouble(choice, ServerFault::Unreachable, "no connection");
                 Err(Failure::NotRun)
             }
         }
@@ -308,7 +308,7 @@
         // this one's is expected, and its caller gets another's answer. The attempt's id tells.
         if self.ask.attempt.is_some() && reply.attempt != self.ask.attempt && !reply.unrun {
             self.state.connections.retire(choice.address);
-            self.trouble(&choice, Trouble::Broken, "an answer to another request");
+            self.trouble(&choice, ServerFault::Broken, "an answer to another request");
             return Err(Failure::Unknown);
         }
         self.note_unknown(&choice, response.headers());
@@ -323,7 +323,7 @@
         self.note_open(&choice.pool);
         self.note_taken(&choice, sent);
         if status.is_server_error() {
-            self.trouble(&choice, Trouble::Failed, status.as_str());
+            self.trouble(&choice, ServerFault::Failed, status.as_str());
         }
         Ok(Run {
             choice,
@@ -350,15 +350,15 @@
             return Failure::Out;
         }
         let trouble = match status {
-            StatusCode::MISDIRECTED_REQUEST => Trouble::Unreachable,
-            _ => Trouble::Full,
+            StatusCode::MISDIRECTED_REQUEST => ServerFault::Unreachable,
+            _ => ServerFault::Full,
         };
         self.trouble(choice, trouble, &detail);
         Failure::NotRun
     }
 
     /// Where the request may be sent now.
-    pub(crate) fn gate(&self, now: Moment) -> Gate {
+    pub(crate) fn gate(&self, now: Moment) -> AllowedPools {
         let servers = self.state.servers.lock();
         let mut outages = self.state.outages.lock();
         outages.gate(now, servers.pools(&self.service))
@@ -378,11 +378,11 @@
         }
     }
 
-    pub(crate) fn trouble(&self, choice: &Choice, trouble: Trouble, detail: &str) {
+    pub(crate) fn trouble(&self, choice: &Choice, trouble: ServerFault, detail: &str) {
         let now = self.state.clock.now();
         let id = &choice.server;
         let mut servers = self.state.servers.lock();
-        let out = servers.note_trouble(now, id, choice.start, trouble);
+        let out = servers.record_fault(now, id, choice.start, trouble);
         drop(servers);
         let journal = &self.state.journal;
         let said = format_args!("{} at {id}: {trouble:?}, {detail}", self.name);
@@ -397,8 +397,8 @@
         );
         let state = Arc::clone(&self.state);
         match trouble {
-            Trouble::Unreachable => spawn(await_return(state, choice.clone(), out)).detach(),
-            Trouble::Still => {
+            ServerFault::Unreachable => spawn(await_return(state, choice.clone(), out)).detach(),
+            ServerFault::Still => {
                 state.frozen.notify(usize::MAX);
                 let frozen = Frozen::new(choice);
                 spawn(frozen.await_answer(state)).detach();
@@ -425,7 +425,7 @@
             journal.record(Event::ServerReturned, &choice.server, "connected");
             return;
         }
-        match servers.note_trouble(now, &choice.server, choice.start, Trouble::Unreachable) {
+        match servers.record_fault(now, &choice.server, choice.start, ServerFault::Unreachable) {
             Some(longer) => out = longer,
             None => return,
         }
@@ -445,7 +445,7 @@
         if !self.is_failure() {
             let mut servers = state.servers.lock();
             servers.note_success(&self.choice.server, self.choice.start);
-            servers.note_whole(&job.service, now.since(self.flight.since));
+            servers.record_completion(&job.service, now.since(self.flight.since));
         }
         if !self.reply.closing {
             let (address, idle) = (self.choice.address, self.reply.idle);
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -8,7 +8,7 @@
 
 use snipemast_core::prelude::*;
 use snipemast_net::BootClock;
-use snipemast_placement::turn::Room;
+use snipemast_placement::urgency::LoadLimits;
 use snipemast_placement::{Budget, Outages, Passes, Patience, Pool, Returns, Servers, Shutdown};
 use snipemast_platform::settings::Settings;
 use snipemast_registry::Table as Registry;
@@ -68,7 +68,7 @@
             .with_pick(decisions.placing)
             .with_seed(rand::random())
             .with_drain(settings.bounds.drain)
-            .with_room(Room {
+            .with_room(LoadLimits {
                 full: decisions.full,
                 late: decisions.late,
             });
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -4,7 +4,7 @@
 
 use snipemast_core::prelude::*;
 
-use crate::outage::Gate;
+use crate::outage::AllowedPools;
 use crate::pools::Pool;
 
 /// One server as a request is placed.
@@ -34,20 +34,20 @@
 
 /// Which servers a request may be sent to.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct Constraints<'a> {
     /// The service.
     pub service: &'a ServiceId,
     /// Which of its pools are open.
-    pub gate: &'a Gate,
+    pub allowed: &'a AllowedPools,
     /// Servers that are left out.
-    pub but: &'a [ServerId],
+    pub excluded: &'a [ServerId],
 }
 
-impl Wanted<'_> {
-    pub(crate) fn holds(&self, offered: &Offered) -> bool {
+impl Constraints<'_> {
+    pub(crate) fn holds(&self, offered: &AnnouncedServer) -> bool {
         offered.pool.service == *self.service
-            && self.gate.holds(&offered.pool)
-            && !self.but.contains(&offered.server)
+            && self.allowed.holds(&offered.pool)
+            && !self.excluded.contains(&offered.server)
     }
 }
 
@@ -74,7 +74,7 @@
 
 /// A server that may be sent to, as it announced itself.
 #[derive(Debug, Clone)]
-pub struct Offered {
+pub struct AnnouncedServer {
     /// The server.
     pub server: ServerId,
     /// Which start of it.
@@ -88,5 +88,5 @@
     /// How many requests it runs at once.
     pub slots: u32,
     /// When it said first in an answer that it leaves, if it did.
-    pub leaving: Option<Moment>,
+    pub leaving_since: Option<Moment>,
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -13,7 +13,7 @@
 //! - [`pools`]: which servers run and stall together.
 //! - [`sends`]: how often one attempt is sent to servers.
 //! - [`shutdown`]: how a process that was told to end takes leave.
-//! - [`turn`]: which requests begin first at servers that have more than they run.
+//! - [`urgency`]: which requests begin first at servers that have more than they run.
 //! - [`events`]: cuts a stream into whole events, so that it can go on elsewhere.
 
 pub mod allowances;
@@ -30,7 +30,7 @@
 pub mod sends;
 pub mod servers;
 pub mod shutdown;
-pub mod turn;
+pub mod urgency;
 
 pub use allowances::Allowances;
 pub use budget::Budget;
@@ -42,6 +42,6 @@
 pub use rests::Rests;
 pub use returns::Returns;
 pub use sends::Sends;
-pub use servers::{Servers, Trouble};
+pub use servers::{ServerFault, Servers};
 pub use shutdown::Shutdown;
-pub use turn::{Patience, Turn};
+pub use urgency::{Patience, Urgency};
--- a/crates/placement/src/outage.rs
+++ b/crates/placement/src/outage.rs
@@ -32,22 +32,22 @@
 
 /// Where a request of a service may be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Gate {
+pub enum AllowedPools {
     /// To all pools but these.
-    AllBut(Vec<Pool>),
+    AllExcept(Vec<Pool>),
     /// To this pool, to find out whether it runs anything again.
     Probe(Pool),
     /// Nowhere: all pools are out.
-    Shut,
+    NoPool,
 }
 
-impl Gate {
+impl AllowedPools {
     /// Whether a request may be sent to a pool of its service.
     pub fn holds(&self, pool: &Pool) -> bool {
         match self {
-            Self::AllBut(out) => !out.contains(pool),
+            Self::AllExcept(out) => !out.contains(pool),
             Self::Probe(probed) => probed == pool,
-            Self::Shut => false,
+            Self::NoPool => false,
         }
     }
 }
@@ -132,9 +132,9 @@
     ///
     /// A pool that is out is found out about by one request at a time, and more seldom while another one is open:
     /// then a request loses nothing by not being sent there.
-    pub fn gate(&mut self, now: Moment, pools: &[Pool]) -> Gate {
+    pub fn gate(&mut self, now: Moment, pools: &[Pool]) -> AllowedPools {
         if self.out.is_empty() {
-            return Gate::AllBut(Vec::new());
+            return AllowedPools::AllExcept(Vec::new());
         }
         let out = pools.iter().filter(|pool| self.out.contains_key(*pool));
         let out: Vec<Pool> = out.cloned().collect();
@@ -146,12 +146,12 @@
         });
         if let Some((pool, out)) = due.and_then(|pool| Some((pool, self.out.get_mut(pool)?))) {
             out.probe = now + PROBE;
-            return Gate::Probe(pool.clone());
+            return AllowedPools::Probe(pool.clone());
         }
         if shut {
-            Gate::Shut
+            AllowedPools::NoPool
         } else {
-            Gate::AllBut(out)
+            AllowedPools::AllExcept(out)
         }
     }
 }
--- a/crates/placement/src/pick.rs
+++ b/crates/placement/src/pick.rs
@@ -68,7 +68,7 @@
     /// The ways to pick a server, as settings name them.
     #[derive(Copy, Default)]
     #[serde(rename_all = "lowercase")]
-    pub enum Placing {
+    pub enum PickPolicy {
         /// [`Least`].
         Least,
         /// [`Sampled`].
@@ -79,7 +79,7 @@
     }
 }
 
-impl Pick for Placing {
+impl Pick for PickPolicy {
     fn pick(&self, candidates: &[Candidate], fresh: Freshness, chance: u64) -> Option<usize> {
         match self {
             Self::Least => Least.pick(candidates, fresh, chance),
--- a/crates/placement/src/servers.rs
+++ b/crates/placement/src/servers.rs
@@ -13,17 +13,17 @@
 use snipemast_core::prelude::*;
 
 use crate::allowances::Allowances;
-use crate::choice::{Choice, Offered, Unplaced, Wanted};
-use crate::pick::{Candidate, Freshness, Pick, Placing};
+use crate::choice::{AnnouncedServer, Choice, Constraints, Unplaced};
+use crate::pick::{Candidate, Freshness, Pick, PickPolicy};
 use crate::pools::Pool;
 use crate::rests::Rests;
-use crate::turn::{Room, Turn};
+use crate::urgency::{LoadLimits, Urgency};
 
 mod asked;
 mod health;
 mod open;
 
-pub use health::{Trouble, STILL};
+pub use health::{ServerFault, STILL};
 
 /// How long the others' counts are believed: four of their usual exchanges.
 const OTHERS_AGE: Span = Span::from_millis(1_000);
@@ -37,10 +37,10 @@
 
 /// What is believed of each server.
 #[derive(Debug)]
-pub struct Servers<P = Placing> {
+pub struct Servers<P = PickPolicy> {
     pick: P,
     /// When a server counts as full.
-    room: Room,
+    room: LoadLimits,
     zone: ZoneId,
     known: BTreeMap<ServerId, Server>,
     /// The pools of each service's servers.
@@ -58,7 +58,7 @@
 
 #[derive(Debug)]
 struct Server {
-    offered: Offered,
+    offered: AnnouncedServer,
     own: u32,
     others: u32,
     failures: u32,
@@ -78,7 +78,7 @@
     pub fn new(zone: ZoneId) -> Self {
         Self {
             pick: P::default(),
-            room: Room::default(),
+            room: LoadLimits::default(),
             zone,
             known: BTreeMap::new(),
             pools: HashMap::new(),
@@ -111,7 +111,7 @@
     }
 
     /// Takes a server for full once it has so many requests in flight.
-    pub fn with_room(mut self, room: Room) -> Self {
+    pub fn with_room(mut self, room: LoadLimits) -> Self {
         self.room = room;
         self
     }
@@ -121,7 +121,7 @@
     ///
     /// Failure guarded against: a server crashes and starts again under its id, and the requests that its
     /// earlier start had, its failures and its pace keep requests away from it.
-    pub fn set_offered(&mut self, offered: Vec<Offered>) -> Vec<SocketAddr> {
+    pub fn set_announced(&mut self, offered: Vec<AnnouncedServer>) -> Vec<SocketAddr> {
         let mut before = std::mem::take(&mut self.known);
         let mut left = Vec::new();
         for offered in offered {
@@ -147,7 +147,7 @@
     }
 
     /// Sets what the other gateways had in flight when they told, and how long ago that was in the mean.
-    pub fn set_others(
+    pub fn set_other_counts(
         &mut self,
         now: Moment,
         age: Span,
@@ -174,7 +174,7 @@
     /// Answers the load of a group with one slow rank: all ranks wait for it in each pass, and it
     /// takes its factor longer for each request that it runs itself. So it gets none, as long as
     /// most of its group is as fast as usual.
-    fn is_shunned(&self, offered: &Offered) -> bool {
+    fn is_shunned(&self, offered: &AnnouncedServer) -> bool {
         let slow = |id: &ServerId| self.slow.get(id).is_some_and(|pace| *pace >= SLOW);
         if !slow(&offered.server) {
             return false;
@@ -188,7 +188,7 @@
     }
 
     /// What this gateway has in flight.
-    pub fn flying(&self) -> impl Iterator<Item = (&ServerId, u32)> {
+    pub fn in_flight(&self) -> impl Iterator<Item = (&ServerId, u32)> {
         let busy = self.known.iter().filter(|(_, s)| s.own > 0);
         busy.map(|(id, s)| (id, s.own))
     }
@@ -204,8 +204,8 @@
     pub fn choose(
         &mut self,
         now: Moment,
-        wanted: Wanted<'_>,
-        turn: Turn,
+        wanted: Constraints<'_>,
+        turn: Urgency,
         chance: u64,
     ) -> Result<Choice, Unplaced> {
         let fresh = self.freshness(now, wanted.service);
@@ -231,7 +231,7 @@
             load: own + others,
             age: fresh.age,
             limited: self.allowances.is_limited(&id),
-            leaving: server.offered.leaving.is_some(),
+            leaving: server.offered.leaving_since.is_some(),
             passed,
             rested,
             server: id,
@@ -257,7 +257,7 @@
     }
 
     /// A request was answered in whole, after it was in flight for a span.
-    pub fn note_whole(&mut self, service: &ServiceId, took: Span) {
+    pub fn record_completion(&mut self, service: &ServiceId, took: Span) {
         /// Over how many answers the usual time is a mean.
         const FOLLOWED: u64 = 16;
         let usual = self.usual.entry(service.clone()).or_insert(took);
@@ -265,7 +265,7 @@
     }
 
     /// A request at a start of a server has ended, however.
-    pub fn end(&mut self, server: &ServerId, start: Incarnation) {
+    pub fn release(&mut self, server: &ServerId, start: Incarnation) {
         if let Some(server) = self.get(server, start) {
             server.own = server.own.saturating_sub(1);
         }
@@ -285,7 +285,7 @@
 }
 
 impl Server {
-    fn new(offered: Offered) -> Self {
+    fn new(offered: AnnouncedServer) -> Self {
         Self {
             offered,
             own: 0,
@@ -301,7 +301,7 @@
     }
 
     /// Whether this is what a server offers: the same start of it, at the same place.
-    fn is(&self, offered: &Offered) -> bool {
+    fn is(&self, offered: &AnnouncedServer) -> bool {
         self.offered.start == offered.start && self.offered.address == offered.address
     }
 }
--- a/crates/placement/src/servers/asked.rs
+++ b/crates/placement/src/servers/asked.rs
@@ -4,7 +4,7 @@
 
 use super::{Servers, USUAL};
 use crate::allowances::Granted;
-use crate::choice::Offered;
+use crate::choice::AnnouncedServer;
 use crate::pick::Pick;
 
 impl<P: Pick> Servers<P> {
@@ -58,15 +58,16 @@
     /// A start of a server said that it leaves.
     pub fn note_leaving(&mut self, now: Moment, server: &ServerId, start: Incarnation) {
         if let Some(server) = self.get(server, start) {
-            server.offered.leaving.get_or_insert(now);
+            server.offered.leaving_since.get_or_insert(now);
         }
     }
 
     /// How many more requests this gateway would send to a server that names a limit.
     pub fn demand(&mut self, now: Moment, server: &ServerId) -> u32 {
         let known = self.known.get(server).map(|s| &s.offered);
-        let spared =
-            |o: &Offered| o.leaving.is_some() || self.rests.opens(now, server, o.start).is_some();
+        let spared = |o: &AnnouncedServer| {
+            o.leaving_since.is_some() || self.rests.opens(now, server, o.start).is_some()
+        };
         if known.is_some_and(spared) {
             return 0;
         }
@@ -82,8 +83,8 @@
     }
 
     /// The servers of a service but those that leave.
-    fn staying<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a Offered> {
+    fn staying<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a AnnouncedServer> {
         let all = self.known.values().map(|s| &s.offered);
-        all.filter(move |o| o.pool.service == *service && o.leaving.is_none())
+        all.filter(move |o| o.pool.service == *service && o.leaving_since.is_none())
     }
 }
--- a/crates/placement/src/servers/health.rs
+++ b/crates/placement/src/servers/health.rs
@@ -29,7 +29,7 @@
 
 /// What went wrong with a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum ServerFault {
     /// No connection.
     Unreachable,
     /// A connection broke, or the answer was not one.
@@ -121,27 +121,27 @@
 
     /// Something went wrong with a start of a server; for how long it is left out at least, if it is. One that stands
     /// still is left out until it shows something.
-    pub fn note_trouble(
+    pub fn record_fault(
         &mut self,
         now: Moment,
         id: &ServerId,
         start: Incarnation,
-        trouble: Trouble,
+        trouble: ServerFault,
     ) -> Option<Span> {
         /// How long a server that said it is full is not asked again.
         const FULL_PAUSE: Span = Span::from_millis(60);
         let server = self.get(id, start)?;
-        if trouble == Trouble::Full {
+        if trouble == ServerFault::Full {
             server.full = now + FULL_PAUSE;
             self.rests.note_turned(now, id, start);
             return None;
         }
-        if trouble == Trouble::Still {
+        if trouble == ServerFault::Still {
             let news = !std::mem::replace(&mut server.still, true);
             return news.then_some(OUT_LONGEST);
         }
         server.failures += 1;
-        if trouble != Trouble::Unreachable && server.failures < FAILURES {
+        if trouble != ServerFault::Unreachable && server.failures < FAILURES {
             return None;
         }
         let factor = 1 << server.strikes.min(5);
--- a/crates/placement/src/servers/open.rs
+++ b/crates/placement/src/servers/open.rs
@@ -3,9 +3,9 @@
 use snipemast_core::prelude::*;
 
 use super::{Server, Servers};
-use crate::choice::{Unplaced, Wanted};
+use crate::choice::{Constraints, Unplaced};
 use crate::pick::{Candidate, Pick};
-use crate::turn::Turn;
+use crate::urgency::Urgency;
 
 /// The part of the time for which a server goes on serving after it said that it leaves, in which it takes what no
 /// other takes: what begins later may not end before the server does.
@@ -57,7 +57,7 @@
 
 impl<P: Pick> Servers<P> {
     /// The servers that may take a request, and what is believed of their load.
-    pub(super) fn open(&self, now: Moment, wanted: Wanted<'_>, turn: Turn) -> Open<'_> {
+    pub(super) fn open(&self, now: Moment, wanted: Constraints<'_>, turn: Urgency) -> Open<'_> {
         let bound = self.room.bound(turn);
         let mut open = Open::default();
         let (mut limited, mut leaving) = (Vec::new(), Vec::new());
@@ -65,7 +65,7 @@
             if !wanted.holds(&server.offered) || self.is_shunned(&server.offered) {
                 continue;
             }
-            if server.offered.leaving.is_some() {
+            if server.offered.leaving_since.is_some() {
                 leaving.push((id, server));
                 continue;
             }
@@ -97,7 +97,7 @@
     }
 
     /// Whether one of the wanted servers has a free place: a request that moves there begins at once.
-    pub fn has_free(&self, now: Moment, wanted: Wanted<'_>) -> bool {
+    pub fn has_free(&self, now: Moment, wanted: Constraints<'_>) -> bool {
         /// As many as it runs at once, in hundredths.
         const SLOTS: u32 = 100;
         self.has_place(now, wanted, SLOTS)
@@ -108,15 +108,21 @@
     /// Load answered: all servers have queues, and one stands still. What waits at a server that goes on may be answered
     /// there yet, so it moves to a free place only; what waits at one that answers nothing is lost there, and a place
     /// in another one's queue is better.
-    pub fn may_move(&self, now: Moment, from: &ServerId, wanted: Wanted<'_>, turn: Turn) -> bool {
+    pub fn may_move(
+        &self,
+        now: Moment,
+        from: &ServerId,
+        wanted: Constraints<'_>,
+        turn: Urgency,
+    ) -> bool {
         let still = self.known.get(from).is_some_and(|server| server.still);
         self.has_free(now, wanted) || still && self.has_place(now, wanted, self.room.bound(turn))
     }
 
-    fn has_place(&self, now: Moment, wanted: Wanted<'_>, bound: u32) -> bool {
+    fn has_place(&self, now: Moment, wanted: Constraints<'_>, bound: u32) -> bool {
         self.known.values().any(|server| {
             wanted.holds(&server.offered)
-                && server.offered.leaving.is_none()
+                && server.offered.leaving_since.is_none()
                 && !self.is_shunned(&server.offered)
                 && self.admit(now, server, bound).is_ok()
         })
@@ -146,7 +152,7 @@
     /// Whether a server that leaves takes requests still.
     fn serves_still(&self, now: Moment, server: &Server) -> bool {
         let serves = Span::from_micros(self.drain.as_micros() / LEAVING_PART);
-        let leaving = server.offered.leaving;
+        let leaving = server.offered.leaving_since;
         leaving.is_some_and(|first| now < first + serves)
     }
 
--- a/crates/placement/src/turn.rs
+++ b/crates/placement/src/urgency.rs
@@ -20,7 +20,7 @@
     /// The ways to order requests, as settings name them.
     #[derive(Copy, Default)]
     #[serde(rename_all = "lowercase")]
-    pub enum Ordering {
+    pub enum QueueOrder {
         /// As they arrive.
         Arrival,
         /// Those that can still be on time first.
@@ -31,7 +31,7 @@
 
 /// When a request begins, against others at the same server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum Urgency {
     /// A stream that goes on: its caller has a part of the answer.
     Resumed,
     /// It can still be on time.
@@ -40,7 +40,7 @@
     Late,
 }
 
-impl Turn {
+impl Urgency {
     /// The turn of a request that has spent so much time since its caller first asked.
     pub fn new(spent: Span, objective: Span) -> Self {
         if spent.times(100) < objective.times(SPENT) {
@@ -53,24 +53,24 @@
 
 /// How much a server may have in flight for a request to be sent there, in hundredths of its slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Room {
+pub struct LoadLimits {
     /// For one that can be on time.
     pub full: u32,
     /// For one that is late: what lies above is left to those that can be on time.
     pub late: u32,
 }
 
-impl Room {
+impl LoadLimits {
     /// How much there may be for a request of a turn.
-    pub fn bound(self, turn: Turn) -> u32 {
+    pub fn bound(self, turn: Urgency) -> u32 {
         match turn {
-            Turn::Resumed | Turn::InTime => self.full,
-            Turn::Late => self.full.min(self.late),
+            Urgency::Resumed | Urgency::InTime => self.full,
+            Urgency::Late => self.full.min(self.late),
         }
     }
 }
 
-impl Default for Room {
+impl Default for LoadLimits {
     /// What waits in a server's own queue begins without a round trip, and it refuses what is beyond that. Late
     /// requests get no place in the queue.
     fn default() -> Self {
--- a/crates/placement/tests/leaving.rs
+++ b/crates/placement/tests/leaving.rs
@@ -3,16 +3,16 @@
 mod common;
 
 use snipemast_core::prelude::*;
-use snipemast_placement::choice::{Offered, Unplaced};
-use snipemast_placement::{Servers, Trouble};
+use snipemast_placement::choice::{AnnouncedServer, Unplaced};
+use snipemast_placement::{ServerFault, Servers};
 
 use common::{at, has_free, id, offered};
 
 const DRAIN: Span = Span::from_secs(2);
 
 /// A server with one slot.
-fn small(number: usize) -> Offered {
-    Offered {
+fn small(number: usize) -> AnnouncedServer {
+    AnnouncedServer {
         slots: 1,
         ..offered(number)
     }
@@ -21,7 +21,7 @@
 /// So many servers, the first of which said at the moment 0 that it leaves.
 fn servers(count: usize) -> Servers {
     let mut servers = Servers::new(ZoneId::new("a").unwrap()).with_drain(DRAIN);
-    servers.set_offered((1..=count).map(small).collect());
+    servers.set_announced((1..=count).map(small).collect());
     servers.note_leaving(at(0), &id(1), Incarnation(1));
     servers
 }
@@ -35,7 +35,7 @@
 fn others_come_first() {
     let mut servers = servers(2);
     assert_eq!(choose(&mut servers, at(0)), Ok(id(2)));
-    servers.end(&id(2), Incarnation(1));
+    servers.release(&id(2), Incarnation(1));
     assert_eq!(choose(&mut servers, at(10)), Ok(id(2)));
 }
 
@@ -43,9 +43,9 @@
 #[test]
 fn serves_what_none_takes() {
     let mut servers = servers(2);
-    servers.note_trouble(at(0), &id(2), Incarnation(1), Trouble::Unreachable);
+    servers.record_fault(at(0), &id(2), Incarnation(1), ServerFault::Unreachable);
     assert_eq!(choose(&mut servers, at(10)), Ok(id(1)));
-    servers.end(&id(1), Incarnation(1));
+    servers.release(&id(1), Incarnation(1));
     assert_eq!(choose(&mut servers, at(300)), Ok(id(1)));
 }
 
@@ -60,14 +60,14 @@
 #[test]
 fn news_change_nothing() {
     let mut servers = servers(1);
-    let leaving = Offered {
-        leaving: Some(at(0)),
+    let leaving = AnnouncedServer {
+        leaving_since: Some(at(0)),
         ..small(1)
     };
-    servers.set_offered(vec![leaving, small(2)]);
+    servers.set_announced(vec![leaving, small(2)]);
     for _ in 0..2 {
         assert_eq!(choose(&mut servers, at(10)), Ok(id(2)));
-        servers.end(&id(2), Incarnation(1));
+        servers.release(&id(2), Incarnation(1));
     }
 }
 
--- a/crates/placement/tests/outage.rs
+++ b/crates/placement/tests/outage.rs
@@ -2,7 +2,7 @@
 
 use snipemast_core::prelude::*;
 use snipemast_placement::outage::{
-    waiting, Blocked, Gate, Outages, Waiting, Word, LONGEST, PROBE, SERVED,
+    waiting, AllowedPools, Blocked, Outages, Waiting, Word, LONGEST, PROBE, SERVED,
 };
 use snipemast_placement::pools::{Forming, Pool};
 
@@ -108,13 +108,13 @@
 fn one_probe() {
     let mut outages = Outages::new();
     let (pools, now) = ([pool(None)], Moment::from_millis(10_000));
-    let open = || Gate::AllBut(Vec::new());
+    let open = || AllowedPools::AllExcept(Vec::new());
     assert_eq!(outages.gate(now, &pools), open());
     assert!(outages.note_out(now, &pools[0]));
-    assert_eq!(outages.gate(now, &pools), Gate::Shut);
+    assert_eq!(outages.gate(now, &pools), AllowedPools::NoPool);
     let later = now + PROBE;
-    assert_eq!(outages.gate(later, &pools), Gate::Probe(pool(None)));
-    assert_eq!(outages.gate(later, &pools), Gate::Shut);
+    assert_eq!(outages.gate(later, &pools), AllowedPools::Probe(pool(None)));
+    assert_eq!(outages.gate(later, &pools), AllowedPools::NoPool);
     assert!(outages.note_open(&pools[0]));
     assert_eq!(outages.gate(later, &pools), open());
 }
@@ -129,15 +129,18 @@
         Moment::from_millis(10_000),
     );
     outages.note_out(now, &pools[0]);
-    let others = Gate::AllBut(vec![pool(Some("g0"))]);
+    let others = AllowedPools::AllExcept(vec![pool(Some("g0"))]);
     assert!(others.holds(&pools[1]) && !others.holds(&pools[0]));
     assert_eq!(outages.gate(now + PROBE, &pools), others);
     assert!(!outages.note_open(&pools[1]));
     assert_eq!(outages.gate(now + PROBE, &pools), others);
     let later = now + Span::from_secs(6);
-    assert_eq!(outages.gate(later, &pools), Gate::Probe(pool(Some("g0"))));
+    assert_eq!(
+        outages.gate(later, &pools),
+        AllowedPools::Probe(pool(Some("g0")))
+    );
     outages.note_out(now, &pools[1]);
-    assert_eq!(outages.gate(now, &pools), Gate::Shut);
+    assert_eq!(outages.gate(now, &pools), AllowedPools::NoPool);
 }
 
 /// A user's reading waits half a second longer than its group is out, or is sent into it again at once: the ranks tell
@@ -151,13 +154,16 @@
     };
     assert_eq!(told(&mut outages, 1, true), None);
     assert_eq!(told(&mut outages, 1, false), Some(Word::Stalled));
-    assert_eq!(outages.gate(now, &pools), Gate::Shut);
+    assert_eq!(outages.gate(now, &pools), AllowedPools::NoPool);
     assert_eq!(told(&mut outages, 1, true), Some(Word::GoesOn));
     assert!(outages.note_out(now, &pools[0]));
     assert_eq!(told(&mut outages, 1, true), None);
-    assert_eq!(outages.gate(now, &pools), Gate::Shut);
+    assert_eq!(outages.gate(now, &pools), AllowedPools::NoPool);
     assert_eq!(told(&mut outages, 2, true), Some(Word::GoesOn));
-    assert_eq!(outages.gate(now, &pools), Gate::AllBut(Vec::new()));
+    assert_eq!(
+        outages.gate(now, &pools),
+        AllowedPools::AllExcept(Vec::new())
+    );
 }
 
 /// A user's reading is refused although its group answers others: its ranks told that they had stalled, no later word of
@@ -170,7 +176,10 @@
     assert_eq!(outages.note_told(now, &pool, stalled), Some(Word::Stalled));
     assert!(outages.note_open(&pool));
     assert_eq!(outages.note_told(now, &pool, stalled), None);
-    assert_eq!(outages.gate(now, &[pool]), Gate::AllBut(Vec::new()));
+    assert_eq!(
+        outages.gate(now, &[pool]),
+        AllowedPools::AllExcept(Vec::new())
+    );
 }
 
 /// A request that has no time left to be answered is refused at once.
--- a/crates/placement/tests/rests.rs
+++ b/crates/placement/tests/rests.rs
@@ -6,8 +6,8 @@
 
 use snipemast_core::prelude::*;
 use snipemast_placement::allowances::Granted;
-use snipemast_placement::choice::{Offered, Unplaced};
-use snipemast_placement::{Rests, Servers, Trouble};
+use snipemast_placement::choice::{AnnouncedServer, Unplaced};
+use snipemast_placement::{Rests, ServerFault, Servers};
 
 use common::{at, choose, has_free, id, offered};
 
@@ -22,7 +22,7 @@
 /// A gateway that knows so many servers, each of the first start.
 fn servers(count: usize) -> Servers {
     let mut servers = Servers::new(ZoneId::new("a").unwrap());
-    servers.set_offered((1..=count).map(offered).collect());
+    servers.set_announced((1..=count).map(offered).collect());
     servers
 }
 
@@ -42,7 +42,7 @@
     for millis in [0, 60, 400, 2_999] {
         let choice = choose(&mut servers, at(millis)).unwrap();
         assert_eq!((choice.server, choice.rested), (id(2), 1));
-        servers.end(&id(2), Incarnation(1));
+        servers.release(&id(2), Incarnation(1));
     }
 }
 
@@ -66,7 +66,7 @@
     rest(&mut servers, at(0), REST);
     servers.note_taken(at(0), &id(1), Incarnation(1));
     servers.note_success(&id(1), Incarnation(1));
-    servers.note_trouble(at(10), &id(1), Incarnation(1), Trouble::Full);
+    servers.record_fault(at(10), &id(1), Incarnation(1), ServerFault::Full);
     for span in [0, 1, 500] {
         rest(&mut servers, at(20), Span::from_millis(span));
     }
@@ -79,15 +79,15 @@
 fn rest_outlives_news() {
     let mut servers = servers(1);
     rest(&mut servers, at(0), REST);
-    servers.set_offered(Vec::new());
-    servers.set_offered(vec![offered(1)]);
+    servers.set_announced(Vec::new());
+    servers.set_announced(vec![offered(1)]);
     assert!(!is_chosen(&mut servers, at(2_999)));
     let address = "10.0.0.9:80".parse().unwrap();
-    let moved = Offered {
+    let moved = AnnouncedServer {
         address,
         ..offered(1)
     };
-    servers.set_offered(vec![moved]);
+    servers.set_announced(vec![moved]);
     assert!(!is_chosen(&mut servers, at(2_999)));
 }
 
@@ -96,7 +96,7 @@
 fn new_start_is_fresh() {
     let mut servers = servers(1);
     rest(&mut servers, at(0), REST);
-    servers.set_offered(vec![Offered {
+    servers.set_announced(vec![AnnouncedServer {
         start: Incarnation(2),
         ..offered(1)
     }]);
@@ -155,7 +155,7 @@
     let now = at(LATEST);
     assert!(is_chosen(&mut servers, now));
     servers.note_taken(now, &id(1), Incarnation(1));
-    servers.note_trouble(now, &id(1), Incarnation(1), Trouble::Full);
+    servers.record_fault(now, &id(1), Incarnation(1), ServerFault::Full);
     assert!(!is_chosen(&mut servers, at(LATEST + LOST - 1)));
     assert!(is_chosen(&mut servers, at(LATEST + LOST)));
 }
@@ -237,11 +237,11 @@
                     rest(&mut servers, now, span);
                     until = until.max(now + span);
                 }
-                1 => servers.end(&id(1), Incarnation(1)),
+                1 => servers.release(&id(1), Incarnation(1)),
                 2 => drop(servers.note_taken(now, &id(1), Incarnation(1))),
-                3 => drop(servers.note_trouble(now, &id(1), Incarnation(1), Trouble::Full)),
-                4 => drop(servers.set_offered(Vec::new())),
-                _ => drop(servers.set_offered(vec![offered(1)])),
+                3 => drop(servers.record_fault(now, &id(1), Incarnation(1), ServerFault::Full)),
+                4 => drop(servers.set_announced(Vec::new())),
+                _ => drop(servers.set_announced(vec![offered(1)])),
             }
             let chosen = is_chosen(&mut servers, now);
             !chosen || now >= until
--- a/crates/placement/tests/servers.rs
+++ b/crates/placement/tests/servers.rs
@@ -2,11 +2,11 @@
 
 use snipemast_core::prelude::*;
 use snipemast_placement::allowances::Granted;
-use snipemast_placement::choice::{Offered, Unplaced, Wanted};
-use snipemast_placement::outage::Gate;
-use snipemast_placement::pick::Placing;
-use snipemast_placement::servers::{Servers, Trouble};
-use snipemast_placement::{Pool, Turn};
+use snipemast_placement::choice::{AnnouncedServer, Constraints, Unplaced};
+use snipemast_placement::outage::AllowedPools;
+use snipemast_placement::pick::PickPolicy;
+use snipemast_placement::servers::{ServerFault, Servers};
+use snipemast_placement::{Pool, Urgency};
 
 const NOW: Moment = Moment::from_millis(50_000);
 
@@ -14,12 +14,20 @@
     ServerId::new(format!("i-{number}")).unwrap()
 }
 
-fn wanted<'a>(service: &'a ServiceId, gate: &'a Gate, but: &'a [ServerId]) -> Wanted<'a> {
-    Wanted { service, gate, but }
+fn wanted<'a>(
+    service: &'a ServiceId,
+    gate: &'a AllowedPools,
+    but: &'a [ServerId],
+) -> Constraints<'a> {
+    Constraints {
+        service,
+        allowed: gate,
+        excluded: but,
+    }
 }
 
-fn open() -> Gate {
-    Gate::AllBut(Vec::new())
+fn open() -> AllowedPools {
+    AllowedPools::AllExcept(Vec::new())
 }
 
 fn pool() -> Pool {
@@ -29,22 +37,22 @@
     }
 }
 
-fn offered(number: usize, zone: &str) -> Offered {
-    Offered {
+fn offered(number: usize, zone: &str) -> AnnouncedServer {
+    AnnouncedServer {
         server: id(number),
         start: Incarnation(0),
         pool: pool(),
         address: format!("10.0.0.{number}:80").parse().unwrap(),
         zone: ZoneId::new(zone).unwrap(),
         slots: 4,
-        leaving: None,
+        leaving_since: None,
     }
 }
 
 fn servers(zones: &[&str]) -> Servers {
     let mut servers = Servers::new(ZoneId::new("a").unwrap());
     let all = zones.iter().enumerate();
-    servers.set_offered(all.map(|(n, zone)| offered(n + 1, zone)).collect());
+    servers.set_announced(all.map(|(n, zone)| offered(n + 1, zone)).collect());
     servers
 }
 
@@ -52,7 +60,7 @@
     let choice = servers.choose(
         NOW,
         wanted(&pool().service, &open(), &[]),
-        Turn::InTime,
+        Urgency::InTime,
         chance,
     );
     choice.map(|c| c.server)
@@ -61,21 +69,21 @@
 /// The server with the least in flight is chosen, whoever sent what is there, where a gateway is set to that.
 #[test]
 fn least_loaded_chosen() {
-    let mut servers = servers(&["a", "a", "a"]).with_pick(Placing::Least);
-    servers.set_others(
+    let mut servers = servers(&["a", "a", "a"]).with_pick(PickPolicy::Least);
+    servers.set_other_counts(
         NOW,
         Span::default(),
         [(id(1), 3), (id(2), 1), (id(3), 2)].into_iter(),
     );
     assert_eq!(place(&mut servers, 1), Ok(id(2)));
-    assert_eq!(servers.flying().count(), 1);
+    assert_eq!(servers.in_flight().count(), 1);
 }
 
 /// Requests stay in their zone until its servers have some more in flight than others, where a gateway is set to
 /// the least loaded one.
 #[test]
 fn own_zone_first() {
-    let mut servers = servers(&["a", "b"]).with_pick(Placing::Least);
+    let mut servers = servers(&["a", "b"]).with_pick(PickPolicy::Least);
     assert_eq!(place(&mut servers, 1), Ok(id(1)));
     assert_eq!(place(&mut servers, 2), Ok(id(1)));
     let third = (0..3)
@@ -88,14 +96,14 @@
 #[test]
 fn old_counts_fade() {
     let mut servers = servers(&["a"]);
-    servers.set_others(NOW, Span::default(), [(id(1), 6)].into_iter());
+    servers.set_other_counts(NOW, Span::default(), [(id(1), 6)].into_iter());
     assert_eq!(place(&mut servers, 1), Err(Unplaced::AllFull));
     let later = NOW + Span::from_secs(2);
     assert!(servers
         .choose(
             later,
             wanted(&pool().service, &open(), &[]),
-            Turn::InTime,
+            Urgency::InTime,
             1
         )
         .is_ok());
@@ -107,10 +115,10 @@
 fn unreachable_left_out() {
     let mut servers = servers(&["a"]);
     let first = servers
-        .note_trouble(NOW, &id(1), Incarnation(0), Trouble::Unreachable)
+        .record_fault(NOW, &id(1), Incarnation(0), ServerFault::Unreachable)
         .unwrap();
     let second = servers
-        .note_trouble(NOW, &id(1), Incarnation(0), Trouble::Unreachable)
+        .record_fault(NOW, &id(1), Incarnation(0), ServerFault::Unreachable)
         .unwrap();
     assert!(second > first);
     assert_eq!(place(&mut servers, 1), Err(Unplaced::AllOut));
@@ -141,20 +149,20 @@
         assert!(place(&mut servers, chance).is_ok());
     }
     assert_eq!(place(&mut servers, 7), Err(Unplaced::AllFull));
-    let again = Offered {
+    let again = AnnouncedServer {
         start: Incarnation(1),
         ..offered(1, "a")
     };
-    let left = servers.set_offered(vec![again.clone()]);
+    let left = servers.set_announced(vec![again.clone()]);
     assert_eq!(left, vec![again.address]);
     for chance in 0..6 {
         assert!(place(&mut servers, chance).is_ok());
     }
-    servers.end(&id(1), Incarnation(0));
+    servers.release(&id(1), Incarnation(0));
     assert_eq!(place(&mut servers, 7), Err(Unplaced::AllFull));
-    servers.end(&id(1), Incarnation(1));
+    servers.release(&id(1), Incarnation(1));
     assert!(place(&mut servers, 7).is_ok());
-    assert_eq!(servers.set_offered(vec![again]), Vec::new());
+    assert_eq!(servers.set_announced(vec![again]), Vec::new());
 }
 
 /// A user sees nothing of an answer and gives up after two seconds: the host of one server stands still while
@@ -181,7 +189,7 @@
 fn still_server_left_out() {
     let mut servers = servers(&["a", "b"]);
     let start = Incarnation(0);
-    let out = servers.note_trouble(NOW, &id(1), start, Trouble::Still);
+    let out = servers.record_fault(NOW, &id(1), start, ServerFault::Still);
     assert!(out.is_some_and(|out| out >= Span::from_secs(3)));
     assert_eq!(place(&mut servers, 1), Ok(id(2)));
     servers.note_piece(NOW, &id(1), start);
@@ -197,13 +205,13 @@
     let gone = [id(2)];
     let (service, gate) = (pool().service, open());
     let wanted = wanted(&service, &gate, &gone);
-    servers.note_trouble(NOW, &id(1), start, Trouble::Still);
+    servers.record_fault(NOW, &id(1), start, ServerFault::Still);
     assert_eq!(servers.still().collect::<Vec<_>>(), [&id(1)]);
     assert!(!servers.has_free(later, wanted));
-    let chosen = servers.choose(later, wanted, Turn::InTime, 1);
+    let chosen = servers.choose(later, wanted, Urgency::InTime, 1);
     assert_eq!(chosen.unwrap_err(), Unplaced::AllOut);
     servers.note_answering(later, &id(1), start);
-    assert!(servers.choose(later, wanted, Turn::InTime, 1).is_ok());
+    assert!(servers.choose(later, wanted, Urgency::InTime, 1).is_ok());
     assert_eq!(servers.still().count(), 0);
 }
 
@@ -213,15 +221,15 @@
     let mut servers = servers(&["a", "a"]);
     let (service, gate, gone) = (pool().service, open(), [id(1)]);
     let wanted = wanted(&service, &gate, &gone);
-    let moves = |servers: &Servers| servers.may_move(NOW, &id(1), wanted, Turn::Resumed);
+    let moves = |servers: &Servers| servers.may_move(NOW, &id(1), wanted, Urgency::Resumed);
     assert!(moves(&servers));
     let queued = |count| [(id(2), count)].into_iter();
-    servers.set_others(NOW, Span::default(), queued(4));
+    servers.set_other_counts(NOW, Span::default(), queued(4));
     assert!(!moves(&servers), "it may be answered where it is");
-    servers.note_trouble(NOW, &id(1), Incarnation(0), Trouble::Still);
+    servers.record_fault(NOW, &id(1), Incarnation(0), ServerFault::Still);
     assert!(moves(&servers));
-    assert!(!servers.may_move(NOW, &id(1), wanted, Turn::Late));
-    servers.set_others(NOW, Span::default(), queued(6));
+    assert!(!servers.may_move(NOW, &id(1), wanted, Urgency::Late));
+    servers.set_other_counts(NOW, Span::default(), queued(6));
     assert!(!moves(&servers), "it would be refused there");
 }
 
@@ -248,10 +256,10 @@
     assert!(free(&servers));
     let start = Incarnation(0);
     let others = [(id(2), 4)];
-    servers.set_others(NOW, Span::default(), others.into_iter());
+    servers.set_other_counts(NOW, Span::default(), others.into_iter());
     assert!(!free(&servers));
-    servers.set_others(NOW, Span::default(), std::iter::empty());
-    servers.note_trouble(NOW, &id(2), start, Trouble::Full);
+    servers.set_other_counts(NOW, Span::default(), std::iter::empty());
+    servers.record_fault(NOW, &id(2), start, ServerFault::Full);
     assert!(!free(&servers));
     let later = NOW + Span::from_secs(5);
     assert!(servers.has_free(later, wanted(&pool().service, &open(), &[id(1)])));
--- a/crates/placement/tests/turn.rs
+++ b/crates/placement/tests/turn.rs
@@ -1,7 +1,7 @@
 //! Which requests begin first.
 
 use snipemast_core::prelude::*;
-use snipemast_placement::turn::{Patience, Room, Turn};
+use snipemast_placement::urgency::{LoadLimits, Patience, Urgency};
 
 const OBJECTIVE: Span = Span::from_millis(400);
 
@@ -18,12 +18,18 @@
     assert_eq!(spent(0, 8_000), Span::default());
     let back = spent(5_000, 5_300);
     assert_eq!(back, Span::from_millis(2_700));
-    assert_eq!(Turn::new(back, OBJECTIVE), Turn::Late);
-    assert_eq!(Turn::new(spent(5_000, 7_990), OBJECTIVE), Turn::InTime);
-    assert_eq!(Turn::new(Span::from_millis(300), OBJECTIVE), Turn::Late);
-    let room = Room::default();
-    assert!(room.bound(Turn::Late) < room.bound(Turn::InTime));
-    assert_eq!(room.bound(Turn::Resumed), room.full);
+    assert_eq!(Urgency::new(back, OBJECTIVE), Urgency::Late);
+    assert_eq!(
+        Urgency::new(spent(5_000, 7_990), OBJECTIVE),
+        Urgency::InTime
+    );
+    assert_eq!(
+        Urgency::new(Span::from_millis(300), OBJECTIVE),
+        Urgency::Late
+    );
+    let room = LoadLimits::default();
+    assert!(room.bound(Urgency::Late) < room.bound(Urgency::InTime));
+    assert_eq!(room.bound(Urgency::Resumed), room.full);
 }
 
 /// A route's callers wait for less time than they used to: none of them is taken for one that came back for good.
--- a/crates/settings/src/decisions.rs
+++ b/crates/settings/src/decisions.rs
@@ -1,8 +1,8 @@
 //! Which way a gateway takes each decision that has several.
 
 use snipemast_core::data;
-use snipemast_placement::pick::Placing;
-use snipemast_placement::turn::{Ordering, Room};
+use snipemast_placement::pick::PickPolicy;
+use snipemast_placement::urgency::{LoadLimits, QueueOrder};
 
 use crate::check::Settings;
 use crate::fault::{Fault, FaultKind};
@@ -12,12 +12,12 @@
     #[serde(deny_unknown_fields, default)]
     pub struct Decisions {
         /// How a server is picked.
-        pub placing: Placing,
+        pub placing: PickPolicy,
         /// How many polls for what others have in flight the leading controller answers in a second; shared by
         /// the gateways.
         pub polls: u32,
         /// Which requests begin first at a server that has more than it runs.
-        pub order: Ordering,
+        pub order: QueueOrder,
         /// Whether prompts wait while an engine's passes are long for a moment.
         pub holding: bool,
         /// How many requests a server may have in flight before it counts as full, in hundredths of its slots.
@@ -30,12 +30,12 @@
 impl Default for Decisions {
     fn default() -> Self {
         Self {
-            placing: Placing::default(),
+            placing: PickPolicy::default(),
             polls: 600,
-            order: Ordering::default(),
+            order: QueueOrder::default(),
             holding: true,
-            full: Room::default().full,
-            late: Room::default().late,
+            full: LoadLimits::default().full,
+            late: LoadLimits::default().late,
         }
     }
 }
--- a/crates/settings/tests/decisions.rs
+++ b/crates/settings/tests/decisions.rs
@@ -1,6 +1,6 @@
 //! The file that says which way decisions are taken.
 
-use snipemast_placement::pick::Placing;
+use snipemast_placement::pick::PickPolicy;
 use snipemast_settings::{parse, Decisions};
 
 /// An operator leaves a file empty, or names one decision: the others go the usual way.
@@ -8,7 +8,7 @@
 fn defaults_kept() {
     assert_eq!(parse::<Decisions>("").unwrap(), Decisions::default());
     let named = parse::<Decisions>("placing = \"expected\"\nlate = 120\n").unwrap();
-    assert_eq!((named.placing, named.late), (Placing::Expected, 120));
+    assert_eq!((named.placing, named.late), (PickPolicy::Expected, 120));
     assert_eq!(named.polls, Decisions::default().polls);
 }
 
