--- a/crates/gateway/src/frozen.rs
+++ b/crates/gateway/src/frozen.rs
@@ -51,7 +51,7 @@
             let now = state.clock.now();
             let rests = {
                 let servers = state.servers.lock();
-                if !servers.knows(&self.server, self.start) {
+                if !servers.knows_start(&self.server, self.start) {
                     return;
                 }
                 servers.is_resting(now, &self.server, self.start)
@@ -62,7 +62,7 @@
         }
         let now = state.clock.now();
         let mut servers = state.servers.lock();
-        servers.note_answering(now, &self.server, self.start);
+        servers.mark_answering(now, &self.server, self.start);
         drop(servers);
         let journal = &state.journal;
         journal.record(Event::ServerReturned, &self.server, "answers again");
@@ -77,7 +77,7 @@
     /// takes connections, but answers nothing; one with a long queue tells how it is without one.
     pub(crate) async fn leave_out_if_frozen(&self, choice: &Choice) {
         let now = self.state.clock.now();
-        let asks = self.state.servers.lock().asks(now, &choice.server);
+        let asks = self.state.servers.lock().begin_check(now, &choice.server);
         if asks && !answers(choice.address).await {
             self.trouble(choice, ServerFault::Still, "stands still");
         }
@@ -88,7 +88,7 @@
 pub(crate) fn check(state: &Arc<State>, told: &[ServerId]) {
     let now = state.clock.now();
     for server in told {
-        let asked = state.servers.lock().asks_told(now, server);
+        let asked = state.servers.lock().begin_reported_check(now, server);
         if let Some((start, address)) = asked {
             let frozen = Frozen {
                 server: server.clone(),
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -49,7 +49,7 @@
 
 async fn serve(state: &Arc<State>, request: Request<Incoming>, active: ActiveRequest) -> Answer {
     let started = state.clock.now();
-    if !state.shutdown.lock().takes(started) {
+    if !state.shutdown.lock().accepts_requests(started) {
         return refusal("this host is leaving", BACK_ELSEWHERE);
     }
     let Some(routes) = state.routes() else {
@@ -81,7 +81,7 @@
     let name = ask.attempt.clone().unwrap_or_else(|| number.to_string());
     let spent = {
         let mut known = state.patience.lock();
-        known.spent(started, &route.name, patience)
+        known.time_spent(started, &route.name, patience)
     };
     let service = choose_service(&route, rand::random());
     let pieces = pieces(&routes, &service, &ask);
@@ -102,7 +102,7 @@
         name,
         unsaid: Unsaid::default(),
     };
-    state.budget.lock().note_request(started, &job.service);
+    state.budget.lock().record_request(started, &job.service);
     place(Arc::new(job), active).await
 }
 
@@ -183,7 +183,7 @@
         drop(servers);
         self.granted = may_move
             && !matches!(gate, AllowedPools::Probe(_))
-            && job.state.budget.lock().spend(now, &job.service);
+            && job.state.budget.lock().try_spend(now, &job.service);
         if self.granted {
             let detail = format_args!("{from} shows nothing, another server has a place");
             job.note_trouble(Event::RequestRetried, detail);
@@ -244,11 +244,11 @@
             match job.send(choice, self, last).await {
                 Ok(run) => return Placed::Run(Box::new(run)),
                 Err(Failure::NotRun) => {
-                    self.sends.take_back();
+                    self.sends.mark_not_run();
                     self.exclude(&server);
                 }
                 Err(Failure::Out) => {
-                    self.sends.take_back();
+                    self.sends.mark_not_run();
                     return give_up(Unplaced::Out);
                 }
                 Err(lost) => {
@@ -266,7 +266,7 @@
     /// Whether an answer that is late could not end any more before its caller leaves.
     fn is_too_long(&self, job: &Job) -> bool {
         let late = job.turn(None) == Urgency::Late;
-        late && job.length().is_some_and(|l| job.left() < l.least())
+        late && job.length().is_some_and(|l| job.left() < l.shortest())
     }
 
     /// Whether one more send is within the budget.
@@ -275,7 +275,7 @@
             return true;
         }
         let now = job.state.clock.now();
-        let granted = job.state.budget.lock().spend(now, &job.service);
+        let granted = job.state.budget.lock().try_spend(now, &job.service);
         let detail = format_args!("send {}, granted: {granted}", self.sends.count() + 1);
         job.note_trouble(Event::RequestRetried, detail);
         granted
@@ -331,7 +331,7 @@
         let wait = {
             let servers = job.state.servers.lock();
             let passes = job.state.passes.lock();
-            passes.wait(now, servers.pools(&job.service), waited, objective)
+            passes.hold_time(now, servers.pools(&job.service), waited, objective)
         };
         let Some(span) = wait else {
             return;
@@ -374,7 +374,7 @@
     Some(answer)
 }
 
-/// Passes a stream on as it comes.
+/// PassTimes a stream on as it comes.
 fn pass_stream(job: Arc<Job>, tries: Tries, run: Run, active: ActiveRequest) -> Answer {
     let mut headers = response::forward(run.response.headers());
     // A stream that goes on elsewhere has another length than its first server said.
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use snipemast_core::prelude::*;
-use snipemast_placement::allowances::Granted;
+use snipemast_placement::allowances::GrantLease;
 use snipemast_placement::Choice;
 use snipemast_platform::response::Limit;
 use snipemast_registry::grants::lease;
@@ -92,19 +92,19 @@
                 return None;
             }
             let rate = registry.limit(&grant.server)?;
-            let granted = Granted {
+            let granted = GrantLease {
                 count: grant.count,
                 due: grant.due,
                 until: asked + lease(rate),
             };
             Some((grant.server, granted))
         });
-        let granted: Vec<(ServerId, Granted)> = granted.collect();
+        let granted: Vec<(ServerId, GrantLease)> = granted.collect();
         drop(registry);
         for (server, granted) in &granted {
             self.metrics.grant(server, granted.count);
         }
-        self.servers.lock().set_grants(now, granted.into_iter());
+        self.servers.lock().add_grants(now, granted.into_iter());
     }
 
     /// Logs that a server's limit is another one, and where that was learnt.
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -10,8 +10,8 @@
 use snipemast_feed::Sink;
 use snipemast_net::exec::pause;
 use snipemast_placement::choice::AnnouncedServer;
-use snipemast_placement::outage::Word;
-use snipemast_placement::pools::{Pools, Told};
+use snipemast_placement::outage::ReportedChange;
+use snipemast_placement::pools::{Pools, ServerReport};
 use snipemast_platform::document;
 use snipemast_registry::source::{Source, HANDED_OUT};
 use snipemast_registry::{Cursor, Known, News, Poll, PollerKind, Standing, Table as Registry};
@@ -79,7 +79,7 @@
     fn counts_wait(&self) -> Span {
         const SHORTEST: Span = Span::from_millis(50);
         const LONGEST: Span = Span::from_millis(500);
-        let gateways = u64::from(self.state.budget.lock().gateways());
+        let gateways = u64::from(self.state.budget.lock().gateway_count());
         let wait = 1_000_000 * gateways / u64::from(self.state.decisions.polls);
         Span::from_micros(wait).max(SHORTEST).min(LONGEST)
     }
@@ -94,7 +94,7 @@
         Poll {
             wait: self.counts_wait(),
             flying: flying.collect(),
-            still: servers.still().cloned().collect(),
+            still: servers.frozen().cloned().collect(),
             demands,
             leaving,
             ..poll
@@ -126,14 +126,14 @@
     /// Takes note of the groups that have stalled, and of those that go on.
     fn note_groups(&self, pools: &Pools) {
         let now = self.state.clock.now();
-        for (pool, forming) in pools.groups() {
-            let word = self.state.outages.lock().note_told(now, pool, forming);
+        for (pool, group) in pools.groups() {
+            let word = self.state.outages.lock().apply_report(now, pool, group);
             let event = match word {
-                Some(Word::Stalled) => Event::ServiceOut,
-                Some(Word::GoesOn) => Event::ServiceReopened,
+                Some(ReportedChange::Stalled) => Event::ServiceOut,
+                Some(ReportedChange::Resumed) => Event::ServiceReopened,
                 None => continue,
             };
-            let detail = format!("epoch {}, told by its ranks", forming.epoch);
+            let detail = format!("epoch {}, told by its ranks", group.epoch);
             self.state.note_outage(pool, event, &detail);
         }
     }
@@ -171,7 +171,7 @@
         }
         registry.forget(now);
         let ready = || registry.iter().filter(|k| k.standing == Standing::Ready);
-        let told: Vec<Told> = ready().map(|k| told(&registry, k)).collect();
+        let told: Vec<ServerReport> = ready().map(|k| told(&registry, k)).collect();
         let pools = Pools::new(&told);
         let offered = ready().filter_map(|k| {
             Some(AnnouncedServer {
@@ -199,8 +199,8 @@
 }
 
 /// What is told of a server's place in a group.
-fn told(registry: &Registry, known: &Known) -> Told {
-    Told {
+fn told(registry: &Registry, known: &Known) -> ServerReport {
+    ServerReport {
         server: known.announcement.id.clone(),
         service: known.announcement.service.clone(),
         rank: registry.rank(known).cloned(),
@@ -236,8 +236,8 @@
         }
         self.merge(controller, &mut news);
         let now = self.state.clock.now();
-        self.state.budget.lock().see_gateways(news.gateways);
-        self.state.servers.lock().see_gateways(news.gateways);
+        self.state.budget.lock().observe_gateways(news.gateways);
+        self.state.servers.lock().observe_gateways(news.gateways);
         let mut known = self.known.lock();
         if news.leader == Some(controller) {
             known.leader = news.leader;
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -88,7 +88,7 @@
 /// Takes leave: not ready at once, serving on until nothing is in hand, within the platform's bound.
 async fn leave(state: &State, grace: Span) {
     const STEP: Span = Span::from_millis(50);
-    state.shutdown.lock().tell(state.clock.now());
+    state.shutdown.lock().begin(state.clock.now());
     let active = state.active();
     let detail = format!("{active} active requests");
     state.journal.record(Event::DrainBegun, "gateway", detail);
--- a/crates/gateway/src/rests.rs
+++ b/crates/gateway/src/rests.rs
@@ -10,7 +10,7 @@
 
 impl Job {
     /// Takes note of the rest that a server asks this host for.
-    pub(crate) fn note_rest(&self, choice: &Choice, rest: &Rest) {
+    pub(crate) fn record_rest(&self, choice: &Choice, rest: &Rest) {
         let Some(span) = rest.span() else {
             return;
         };
@@ -21,7 +21,7 @@
         let (state, server) = (&self.state, &choice.server);
         let now = state.clock.now();
         let mut servers = state.servers.lock();
-        servers.note_rest(now, server, choice.start, span);
+        servers.record_rest(now, server, choice.start, span);
         drop(servers);
         state.metrics.rest(server);
         let detail = format_args!("for {span}, answer to {}", self.name);
@@ -41,10 +41,10 @@
     }
 
     /// Takes note of a server that took a request that was sent at a moment.
-    pub(crate) fn note_taken(&self, choice: &Choice, sent: Moment) {
+    pub(crate) fn record_accepted(&self, choice: &Choice, sent: Moment) {
         let (state, server) = (&self.state, &choice.server);
         let mut servers = state.servers.lock();
-        let first = servers.note_taken(sent, server, choice.start);
+        let first = servers.record_accepted(sent, server, choice.start);
         drop(servers);
         if first {
             let detail = format_args!("took {}", self.name);
@@ -53,7 +53,7 @@
     }
 
     /// Takes note of a server that says that it leaves.
-    pub(crate) fn note_leaving(&self, choice: &Choice, reply: &Reply) {
+    pub(crate) fn record_leaving(&self, choice: &Choice, reply: &Reply) {
         if !reply.leaving {
             return;
         }
@@ -65,7 +65,7 @@
             .note_leaving(now, server, choice.start);
         if news {
             let mut servers = state.servers.lock();
-            servers.note_leaving(now, server, choice.start);
+            servers.record_leaving(now, server, choice.start);
             drop(servers);
             let detail = format_args!("answer to {}", self.name);
             state.journal.record(Event::LeavingTold, server, detail);
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -14,9 +14,9 @@
 use snipemast_net::connect::SendError;
 use snipemast_net::exec::{pause, spawn, within};
 use snipemast_net::{connect, Connection};
-use snipemast_placement::length::Length;
+use snipemast_placement::length::StreamLength;
 use snipemast_placement::outage::AllowedPools;
-use snipemast_placement::servers::STILL;
+use snipemast_placement::servers::SILENCE_LIMIT;
 use snipemast_placement::urgency::QueueOrder;
 use snipemast_placement::{Choice, Pool, ServerFault, Urgency};
 use snipemast_platform::request::{forward, Ask, Forward};
@@ -108,14 +108,14 @@
     }
 
     /// How long the answer takes once it is sent; nothing where it is no stream.
-    pub(crate) fn length(&self) -> Option<Length> {
-        let promised = self.route.gap?;
+    pub(crate) fn length(&self) -> Option<StreamLength> {
+        let pause_target = self.route.gap?;
         let servers = self.state.servers.lock();
         let passes = self.state.passes.lock();
-        Some(Length {
+        Some(StreamLength {
             pieces: self.pieces,
-            pause: passes.pause(servers.pools(&self.service)),
-            promised,
+            pause: passes.usual_pause(servers.pools(&self.service)),
+            pause_target,
         })
     }
 
@@ -204,7 +204,7 @@
         work: impl Future<Output = T>,
     ) -> Result<T, Failure> {
         let since = self.state.clock.now();
-        let (mut look, end) = (since + STILL, since + limit);
+        let (mut look, end) = (since + SILENCE_LIMIT, since + limit);
         let mut work = pin!(work);
         loop {
             let found = self.state.frozen.listen();
@@ -247,7 +247,7 @@
     fn is_frozen(&self, choice: &Choice) -> bool {
         let servers = self.state.servers.lock();
         self.route.repeat == Repeat::ResumableStream
-            && servers.is_still(&choice.server, choice.start)
+            && servers.is_frozen(&choice.server, choice.start)
     }
 
     /// Whether a server has shown nothing since a moment while others go on, and the request may go elsewhere.
@@ -255,7 +255,7 @@
         let now = self.state.clock.now();
         let servers = self.state.servers.lock();
         self.route.repeat == Repeat::ResumableStream
-            && servers.stands_still(now, &choice.server, since)
+            && servers.seems_frozen(now, &choice.server, since)
     }
 
     /// Failure guarded against: a pooled connection is closed by the server, is silent, or holds
@@ -314,14 +314,14 @@
         self.note_unknown(&choice, response.headers());
         if self.is_own_word(status, &reply) {
             self.note_limit(&choice, &reply.limit, sent);
-            self.note_rest(&choice, &reply.rest);
-            self.note_leaving(&choice, &reply);
+            self.record_rest(&choice, &reply.rest);
+            self.record_leaving(&choice, &reply);
         }
         if reply.unrun {
             return Err(self.not_run(&choice, status, &reply));
         }
         self.note_open(&choice.pool);
-        self.note_taken(&choice, sent);
+        self.record_accepted(&choice, sent);
         if status.is_server_error() {
             self.trouble(&choice, ServerFault::Failed, status.as_str());
         }
@@ -361,18 +361,18 @@
     pub(crate) fn gate(&self, now: Moment) -> AllowedPools {
         let servers = self.state.servers.lock();
         let mut outages = self.state.outages.lock();
-        outages.gate(now, servers.pools(&self.service))
+        outages.allowed_pools(now, servers.pools(&self.service))
     }
 
     fn note_out(&self, pool: &Pool, detail: &str) {
         let now = self.state.clock.now();
-        if self.state.outages.lock().note_out(now, pool) {
+        if self.state.outages.lock().mark_out(now, pool) {
             self.state.note_outage(pool, Event::ServiceOut, detail);
         }
     }
 
     fn note_open(&self, pool: &Pool) {
-        if self.state.outages.lock().note_open(pool) {
+        if self.state.outages.lock().mark_open(pool) {
             self.state
                 .note_outage(pool, Event::ServiceReopened, &self.name);
         }
@@ -412,14 +412,18 @@
 async fn await_return(state: Arc<State>, choice: Choice, mut out: Span) {
     loop {
         pause(out).await;
-        if !state.servers.lock().knows(&choice.server, choice.start) {
+        if !state
+            .servers
+            .lock()
+            .knows_start(&choice.server, choice.start)
+        {
             return;
         }
         let reached = connect(choice.address, CONNECT).await.is_ok();
         let now = state.clock.now();
         let mut servers = state.servers.lock();
         if reached {
-            servers.note_reachable(now, &choice.server);
+            servers.mark_reachable(now, &choice.server);
             drop(servers);
             let journal = &state.journal;
             journal.record(Event::ServerReturned, &choice.server, "connected");
@@ -444,7 +448,7 @@
         let now = state.clock.now();
         if !self.is_failure() {
             let mut servers = state.servers.lock();
-            servers.note_success(&self.choice.server, self.choice.start);
+            servers.record_success(&self.choice.server, self.choice.start);
             servers.record_completion(&job.service, now.since(self.flight.since));
         }
         if !self.reply.closing {
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -9,7 +9,9 @@
 use snipemast_core::prelude::*;
 use snipemast_net::BootClock;
 use snipemast_placement::urgency::LoadLimits;
-use snipemast_placement::{Budget, Outages, Passes, Patience, Pool, Returns, Servers, Shutdown};
+use snipemast_placement::{
+    CallerPatience, Outages, PassTimes, Pool, RetryBudget, RetrySchedule, Servers, Shutdown,
+};
 use snipemast_platform::settings::Settings;
 use snipemast_registry::Table as Registry;
 use snipemast_routes::Table as Routes;
@@ -33,15 +35,15 @@
     pub(crate) applied: Signal,
     pub(crate) registry: Mutex<Registry>,
     pub(crate) servers: Mutex<Servers>,
-    pub(crate) budget: Mutex<Budget>,
+    pub(crate) budget: Mutex<RetryBudget>,
     pub(crate) outages: Mutex<Outages>,
-    pub(crate) patience: Mutex<Patience>,
+    pub(crate) patience: Mutex<CallerPatience>,
     /// Wakes requests whose server may be found to answer nothing.
     pub(crate) frozen: Signal,
     /// Wakes requests that wait for a service.
     pub(crate) reopened: Signal,
-    pub(crate) returns: Mutex<Returns>,
-    pub(crate) passes: Mutex<Passes>,
+    pub(crate) retry_schedule: Mutex<RetrySchedule>,
+    pub(crate) passes: Mutex<PassTimes>,
     /// Wakes requests that wait for short passes.
     pub(crate) shortened: Signal,
     pub(crate) connections: Connections,
@@ -68,11 +70,11 @@
             .with_pick(decisions.placing)
             .with_seed(rand::random())
             .with_drain(settings.bounds.drain)
-            .with_room(LoadLimits {
+            .with_load_limits(LoadLimits {
                 full: decisions.full,
                 late: decisions.late,
             });
-        let bounds = snipemast_placement::budget::Bounds {
+        let bounds = snipemast_placement::budget::RetryBounds {
             ratio: settings.bounds.retry_ratio,
             slack: settings.bounds.retry_slack,
             window: settings.bounds.retry_window,
@@ -85,13 +87,13 @@
             applied: Signal::new(),
             registry: Mutex::new(Registry::new()),
             servers: Mutex::new(servers),
-            budget: Mutex::new(Budget::new(bounds)),
+            budget: Mutex::new(RetryBudget::new(bounds)),
             outages: Mutex::new(Outages::new()),
             patience: Mutex::default(),
             frozen: Signal::new(),
             reopened: Signal::new(),
-            returns: Mutex::default(),
-            passes: Mutex::new(Passes::new()),
+            retry_schedule: Mutex::default(),
+            passes: Mutex::new(PassTimes::new()),
             shortened: Signal::new(),
             connections: Connections::default(),
             unknown: Unknown::default(),
@@ -157,7 +159,7 @@
 
     /// Whether the process was told to end.
     pub(crate) fn is_leaving(&self) -> bool {
-        self.shutdown.lock().is_told()
+        self.shutdown.lock().has_begun()
     }
 
     /// Whether it may get new connections: it knows a configuration and some server.
--- a/crates/gateway/src/story.rs
+++ b/crates/gateway/src/story.rs
@@ -46,9 +46,9 @@
             self.route.name,
             state.version(),
             choice.load,
-            choice.age,
-            choice.passed,
-            choice.rested,
+            choice.load_age,
+            choice.skipped_limited,
+            choice.skipped_resting,
         );
         let journal = &state.journal;
         if !journal.record_routine(Event::RequestRouted, &self.name, &detail) {
@@ -82,19 +82,19 @@
     }
 
     /// A piece of a stream came from a server.
-    pub(crate) fn note_piece(&self, choice: &Choice, now: Moment) {
+    pub(crate) fn record_piece(&self, choice: &Choice, now: Moment) {
         let mut servers = self.state.servers.lock();
-        servers.note_piece(now, &choice.server, choice.start);
+        servers.record_piece(now, &choice.server, choice.start);
     }
 
     /// A piece of a stream came after a pause.
     pub(crate) fn note_pause(&self, choice: &Choice, pause: Span) {
-        let Some(promised) = self.route.gap else {
+        let Some(pause_target) = self.route.gap else {
             return;
         };
         let now = self.state.clock.now();
         let mut passes = self.state.passes.lock();
-        if passes.note(now, &choice.pool, pause, promised) {
+        if passes.record_pause(now, &choice.pool, pause, pause_target) {
             self.state.shortened.notify(usize::MAX);
         }
     }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,4 +1,4 @@
-//! Passes events on, and goes on at another server where a stream breaks.
+//! PassTimes events on, and goes on at another server where a stream breaks.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use http_body_util::BodyExt;
 
 use snipemast_core::prelude::*;
-use snipemast_placement::Events;
+use snipemast_placement::EventSplitter;
 use snipemast_platform::response::event_id;
 use snipemast_routes::Repeat;
 
@@ -34,14 +34,14 @@
     Broken(&'static str),
 }
 
-/// Passes a stream on to its caller, to the end.
+/// PassTimes a stream on to its caller, to the end.
 pub(crate) async fn pass(
     job: Arc<Job>,
     mut tries: Tries,
     mut run: Run,
     sender: Sender<Result<Bytes, Broken>>,
 ) {
-    let mut events = Events::new(event_id, job.ask.last);
+    let mut events = EventSplitter::new(event_id, job.ask.last);
     let mut pace = None;
     loop {
         let server = run.choice.server.clone();
@@ -53,7 +53,7 @@
                 return;
             }
             End::Unwanted => {
-                let detail = format!("{server}, after event {:?}", events.last());
+                let detail = format!("{server}, after event {:?}", events.last_id());
                 let journal = &job.state.journal;
                 journal.record(Event::CallerGone, &job.name, detail);
                 return;
@@ -62,13 +62,13 @@
         };
         // Dropped first: the server stops its work on what it can't deliver.
         drop(run);
-        let detail = format!("{server}: {reason}, after event {:?}", events.last());
+        let detail = format!("{server}: {reason}, after event {:?}", events.last_id());
         job.note_trouble(Event::AnswerFailed, detail);
         tries.exclude(&server);
-        events.cut();
+        events.discard_partial();
         let resumable = job.route.repeat == Repeat::ResumableStream;
         let next = if resumable {
-            tries.again(&job, events.last()).await
+            tries.again(&job, events.last_id()).await
         } else {
             None
         };
@@ -78,30 +78,30 @@
             let _ = sender.send(Err(Broken)).await;
             return;
         };
-        let detail = format!("{} after event {:?}", next.choice.server, events.last());
+        let detail = format!("{} after event {:?}", next.choice.server, events.last_id());
         job.note_trouble(Event::StreamResumed, detail);
         run = next;
     }
 }
 
-/// Passes on what one server sends.
+/// PassTimes on what one server sends.
 async fn part(
     job: &Job,
     tries: &mut Tries,
     run: &mut Run,
-    events: &mut Events,
+    events: &mut EventSplitter,
     pace: &mut Option<Pace>,
     sender: &Sender<Result<Bytes, Broken>>,
 ) -> End {
     loop {
         let limit = SILENCE.min(job.left());
         let next = run.response.body_mut().frame();
-        let next = job.unless_still(&run.choice, tries, events.last(), limit, next);
+        let next = job.unless_still(&run.choice, tries, events.last_id(), limit, next);
         let Ok(frame) = next.await else {
             return End::Broken("silent");
         };
         let bytes = match frame {
-            None if events.is_whole() => return End::Whole,
+            None if events.is_complete() => return End::Whole,
             None => return End::Broken("ended inside an event"),
             Some(Err(_)) => return End::Broken("broken off"),
             Some(Ok(frame)) => match frame.into_data() {
@@ -115,7 +115,7 @@
         };
         if !whole.is_empty() {
             let now = job.state.clock.now();
-            job.note_piece(&run.choice, now);
+            job.record_piece(&run.choice, now);
             match pace {
                 Some(pace) => job.note_pause(&run.choice, pace.piece(now)),
                 None => *pace = Some(job.note_begun()),
--- a/crates/gateway/src/waiting.rs
+++ b/crates/gateway/src/waiting.rs
@@ -3,8 +3,10 @@
 use snipemast_core::prelude::*;
 use snipemast_net::exec::pause;
 use snipemast_placement::choice::Unplaced;
-use snipemast_placement::outage::{waiting, Blocked, Waiting, PROBE, SERVED};
-use snipemast_placement::returns::Held;
+use snipemast_placement::outage::{
+    defer, BlockedRequest, Deferral, DEFAULT_STREAM_TIME, PROBE_INTERVAL,
+};
+use snipemast_placement::returns::HeldRequest;
 
 use crate::answer::{refusal, Answer};
 use crate::metrics::Ended;
@@ -28,20 +30,22 @@
         return Some(refuse(job, unplaced, back(unplaced)));
     }
     let now = job.state.clock.now();
-    let blocked = Blocked {
+    let blocked = BlockedRequest {
         left: job.left(),
         waited: now.since(job.started),
-        whole: job.route.timeout,
-        needed: job.length().map_or(SERVED, |length| length.usual()),
+        timeout: job.route.timeout,
+        answer_time: job
+            .length()
+            .map_or(DEFAULT_STREAM_TIME, |length| length.expected()),
     };
-    let span = match waiting(&blocked) {
-        Waiting::Queue(span) => span,
-        Waiting::RetryLater(span) => return Some(refuse(job, unplaced, span)),
-        Waiting::Refuse => return Some(refuse(job, unplaced, back(unplaced))),
+    let span = match defer(&blocked) {
+        Deferral::Queue(span) => span,
+        Deferral::RetryLater(span) => return Some(refuse(job, unplaced, span)),
+        Deferral::Refuse => return Some(refuse(job, unplaced, back(unplaced))),
     };
     note_queued(job, unplaced, span, queued);
     let reopened = job.state.reopened.listen();
-    let wait = if out { PROBE } else { LOOK }.min(span);
+    let wait = if out { PROBE_INTERVAL } else { LOOK }.min(span);
     futures_lite::future::or(reopened, pause(wait)).await;
     None
 }
@@ -50,33 +54,37 @@
 /// else the refusal.
 async fn wait_for_turn(job: &Job, unplaced: Unplaced, queued: &mut bool) -> Option<Answer> {
     let now = job.state.clock.now();
-    let (opens, limit) = {
+    let (opens_at, limit) = {
         let servers = job.state.servers.lock();
         match unplaced {
             Unplaced::AllResting => (
-                servers.opens(now, &job.service).unwrap_or(now),
+                servers.next_send(now, &job.service).unwrap_or(now),
                 servers.capacity(&job.service),
             ),
-            _ => (now, servers.limit(&job.service)),
+            _ => (now, servers.total_limit(&job.service)),
         }
     };
-    let held = Held {
+    let held = HeldRequest {
         waited: now.since(job.started),
         objective: job.route.objective,
         left: job.left(),
-        opens,
+        opens_at,
         limit,
-        gateways: job.state.budget.lock().gateways(),
+        gateways: job.state.budget.lock().gateway_count(),
     };
-    let turn = job.state.returns.lock().turn(now, &job.service, held);
-    match turn {
-        Waiting::Queue(span) => {
+    let deferral = job
+        .state
+        .retry_schedule
+        .lock()
+        .schedule(now, &job.service, held);
+    match deferral {
+        Deferral::Queue(span) => {
             note_queued(job, unplaced, span, queued);
             pause(span).await;
             None
         }
-        Waiting::RetryLater(span) => Some(refuse(job, unplaced, span)),
-        Waiting::Refuse => Some(refuse(job, unplaced, BACK_OUT)),
+        Deferral::RetryLater(span) => Some(refuse(job, unplaced, span)),
+        Deferral::Refuse => Some(refuse(job, unplaced, BACK_OUT)),
     }
 }
 
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use snipemast_core::hash::{below, fraction, mix};
 use snipemast_core::prelude::*;
-use snipemast_placement::allowances::Granted;
+use snipemast_placement::allowances::GrantLease;
 use snipemast_placement::Allowances;
 use snipemast_registry::grants::lease;
 use snipemast_registry::{Demand, Grant, Grants, LimitEntry};
@@ -89,8 +89,8 @@
 impl Gateway {
     fn new(now: Moment, rate: Rate, gateways: u32, chance: &mut Chance) -> Self {
         let mut allowances = Allowances::new(chance.next());
-        allowances.see_gateways(gateways);
-        allowances.set_grants(now, std::iter::empty());
+        allowances.observe_gateways(gateways);
+        allowances.add_grants(now, std::iter::empty());
         allowances.set_limits(now, vec![(server(), rate)]);
         Self {
             allowances,
@@ -112,9 +112,9 @@
         let granted = grants.into_iter().map(|grant| {
             let until = asked + lease(rate);
             let Grant { count, due, .. } = grant;
-            (grant.server, Granted { count, due, until })
+            (grant.server, GrantLease { count, due, until })
         });
-        self.allowances.set_grants(now, granted);
+        self.allowances.add_grants(now, granted);
     }
 }
 
@@ -176,7 +176,7 @@
                     }
                 }
                 if chance.is(asks) {
-                    gateway.allowances.note_demand(now, &server());
+                    gateway.allowances.record_demand(now, &server());
                     if gateway.allowances.admits(now, &server()) {
                         gateway.allowances.spend(now, &server());
                         sent.push(now);
--- a/crates/placement/src/budget.rs
+++ b/crates/placement/src/budget.rs
@@ -1,32 +1,33 @@
-//! One gateway's share of the repeats that all gateways together may send to a service.
+//! One gateway's share of the retry budget.
 //!
-//! The bound over all gateways in any window is `ratio x requests + slack`. Each gateway spends
-//! `ratio` of its own requests, which add up by themselves, and an equal part of the slack. So the
-//! sum keeps the bound whoever is cut off from whom, without a word between gateways.
+//! All gateways together may send at most `ratio x requests + slack` retries to a service in any
+//! window. Each gateway spends `ratio` of its own requests, which add up without coordination, and
+//! an equal part of the slack. So the sum stays within the bound however the network is
+//! partitioned, without messages between gateways.
 
 use std::collections::{HashMap, VecDeque};
 
 use snipemast_core::prelude::*;
 
-/// The part of the slack that is spent: the other half is left for processes that restart within
-/// a window and know nothing of what they sent before.
-const SPENT: f64 = 0.5;
+/// The part of the slack that is spent. The other half covers processes that restart within a
+/// window and don't know what they sent before.
+const SLACK_SHARE: f64 = 0.5;
 
-/// The bounds of the repeats over all gateways.
+/// The bounds of the retries of all gateways.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bounds {
-    /// Repeats for each request.
+pub struct RetryBounds {
+    /// Retries for each request.
     pub ratio: f64,
-    /// Repeats besides.
+    /// Retries on top of those.
     pub slack: u32,
-    /// The window over which both are counted.
+    /// The window over which requests and retries are counted.
     pub window: Span,
 }
 
-/// One gateway's share, for each service.
+/// One gateway's retry budget for each service.
 #[derive(Debug)]
-pub struct Budget {
-    bounds: Bounds,
+pub struct RetryBudget {
+    bounds: RetryBounds,
     gateways: u32,
     services: HashMap<ServiceId, Counts>,
 }
@@ -34,12 +35,12 @@
 #[derive(Debug, Default)]
 struct Counts {
     requests: VecDeque<Moment>,
-    repeats: VecDeque<Moment>,
+    retries: VecDeque<Moment>,
 }
 
-impl Budget {
-    /// A budget that has spent nothing.
-    pub fn new(bounds: Bounds) -> Self {
+impl RetryBudget {
+    /// Creates a budget of which nothing is spent.
+    pub fn new(bounds: RetryBounds) -> Self {
         Self {
             bounds,
             gateways: 1,
@@ -47,47 +48,47 @@
         }
     }
 
-    /// Takes note of how many gateways share the slack; it only ever grows, because a gateway
-    /// that is not seen may be cut off and spend its part all the same.
-    pub fn see_gateways(&mut self, count: u32) {
+    /// Raises the number of gateways that share the slack. It never falls, because a gateway that
+    /// isn't seen may be cut off and still spend its part.
+    pub fn observe_gateways(&mut self, count: u32) {
         self.gateways = self.gateways.max(count);
     }
 
-    /// How many gateways there are.
-    pub fn gateways(&self) -> u32 {
+    /// Returns the number of gateways.
+    pub fn gateway_count(&self) -> u32 {
         self.gateways
     }
 
-    /// Takes note of a caller's request for a service.
-    pub fn note_request(&mut self, now: Moment, service: &ServiceId) {
+    /// Records a caller's request for a service.
+    pub fn record_request(&mut self, now: Moment, service: &ServiceId) {
         let window = self.bounds.window;
         let counts = self.services.entry(service.clone()).or_default();
-        counts.forget(now, window);
+        counts.drop_older(now, window);
         counts.requests.push_back(now);
     }
 
-    /// Spends one repeat, if there is one left.
-    pub fn spend(&mut self, now: Moment, service: &ServiceId) -> bool {
-        let Bounds {
+    /// Spends one retry. Returns whether there was one left.
+    pub fn try_spend(&mut self, now: Moment, service: &ServiceId) -> bool {
+        let RetryBounds {
             ratio,
             slack,
             window,
         } = self.bounds;
         let counts = self.services.entry(service.clone()).or_default();
-        counts.forget(now, window);
-        let share = f64::from(slack) * SPENT / f64::from(self.gateways);
+        counts.drop_older(now, window);
+        let share = f64::from(slack) * SLACK_SHARE / f64::from(self.gateways);
         let allowed = ratio * counts.requests.len() as f64 + share;
-        let within = (counts.repeats.len() + 1) as f64 <= allowed;
-        if within {
-            counts.repeats.push_back(now);
+        let affordable = (counts.retries.len() + 1) as f64 <= allowed;
+        if affordable {
+            counts.retries.push_back(now);
         }
-        within
+        affordable
     }
 }
 
 impl Counts {
-    fn forget(&mut self, now: Moment, window: Span) {
-        for times in [&mut self.requests, &mut self.repeats] {
+    fn drop_older(&mut self, now: Moment, window: Span) {
+        for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|t| now >= *t + window) {
                 times.pop_front();
             }
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -1,4 +1,4 @@
-//! What the choice of a server is asked and given, and what it says.
+//! The inputs and the result of choosing a server for a request.
 
 use std::net::SocketAddr;
 
@@ -7,86 +7,88 @@
 use crate::outage::AllowedPools;
 use crate::pools::Pool;
 
-/// One server as a request is placed.
+/// The server that was chosen for a request, as the gateway saw it at that time.
 #[derive(Debug, Clone)]
 pub struct Choice {
-    /// The server.
+    /// The chosen server.
     pub server: ServerId,
-    /// The servers that it runs and stalls together with.
+    /// The pool that the server runs and stalls with.
     pub pool: Pool,
-    /// Which start of it.
+    /// The start of the server.
     pub start: Incarnation,
-    /// Where it takes requests.
+    /// The address at which the server takes requests.
     pub address: SocketAddr,
-    /// What was believed to be in flight there.
+    /// The number of requests that were believed to be in flight at the server.
     pub load: u32,
-    /// How old the other gateways' part of that is.
-    pub age: Span,
-    /// Whether it names a limit.
+    /// The age of the other gateways' part of that number.
+    pub load_age: Span,
+    /// Whether the server names a limit.
     pub limited: bool,
-    /// Whether it said that it leaves.
+    /// Whether the server announced that it is leaving.
     pub leaving: bool,
-    /// How many servers were left out because of their limits.
-    pub passed: usize,
-    /// How many servers were left out because they rest.
-    pub rested: usize,
+    /// The number of servers that were skipped because of their limits.
+    pub skipped_limited: usize,
+    /// The number of servers that were skipped because they rest.
+    pub skipped_resting: usize,
 }
 
-/// Which servers a request may be sent to.
+/// Restricts the servers that a request may be sent to.
 #[derive(Debug, Clone, Copy)]
 pub struct Constraints<'a> {
-    /// The service.
+    /// The service of the request.
     pub service: &'a ServiceId,
-    /// Which of its pools are open.
+    /// The pools of the service that may be used.
     pub allowed: &'a AllowedPools,
-    /// Servers that are left out.
+    /// Servers that may not be used.
     pub excluded: &'a [ServerId],
 }
 
 impl Constraints<'_> {
-    pub(crate) fn holds(&self, offered: &AnnouncedServer) -> bool {
-        offered.pool.service == *self.service
-            && self.allowed.holds(&offered.pool)
-            && !self.excluded.contains(&offered.server)
+    pub(crate) fn allow(&self, announced: &AnnouncedServer) -> bool {
+        announced.pool.service == *self.service
+            && self.allowed.allows(&announced.pool)
+            && !self.excluded.contains(&announced.server)
     }
 }
 
-/// Why no server is chosen.
+/// The reason why no server was chosen.
+///
+/// The order matters: where servers are skipped for several reasons, the greatest one is reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Unplaced {
-    /// None is known that may be sent to.
+    /// No server is known.
     Nobody,
-    /// All are left out after failures.
+    /// All servers are ejected after failures.
     AllOut,
-    /// All that are not left out after failures asked this gateway for rest.
+    /// All servers that are not ejected asked this gateway for rest.
     AllResting,
-    /// All that are not left out name limits, and have been sent what they take.
+    /// All servers that are not ejected name limits, and have been sent as much as they take.
     AllLimited,
-    /// All have as much as they should.
+    /// All servers have as many requests as they should.
     AllFull,
-    /// It was sent already, and no repeat is left.
+    /// The request was sent before, and no retry is left.
     Spent,
     /// The service is out.
     Out,
-    /// Its answer could not end in time any more.
+    /// The answer could no longer end in time.
     TooLong,
 }
 
-/// A server that may be sent to, as it announced itself.
+/// A server that may be sent requests, as it announced itself.
 #[derive(Debug, Clone)]
 pub struct AnnouncedServer {
-    /// The server.
+    /// The server's id.
     pub server: ServerId,
-    /// Which start of it.
+    /// The start of the server.
     pub start: Incarnation,
-    /// The servers that it runs and stalls together with.
+    /// The pool that the server runs and stalls with.
     pub pool: Pool,
-    /// Where it takes requests.
+    /// The address at which the server takes requests.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// The server's availability zone.
     pub zone: ZoneId,
-    /// How many requests it runs at once.
+    /// The number of requests that the server runs at once.
     pub slots: u32,
-    /// When it said first in an answer that it leaves, if it did.
+    /// When the server first said in an answer that it is leaving, if it did.
     pub leaving_since: Option<Moment>,
 }
--- a/crates/placement/src/events.rs
+++ b/crates/placement/src/events.rs
@@ -1,76 +1,77 @@
-//! Cuts a stream into whole events, so that it can go on elsewhere after the last one.
+//! Splits a stream into complete events, so that it can be resumed at another server after the last
+//! one.
 
-/// Reads the id at a line of an event, if the line holds one.
+/// Reads the event id from a line of an event, if the line holds one.
 pub type IdReader = fn(&[u8]) -> Option<u64>;
 
-/// The most bytes that are kept of an event that is not whole yet.
-const BOUND: usize = 1 << 20;
+/// The most bytes of an incomplete event that are buffered.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Cuts a stream into whole events.
+/// Splits a stream into complete events.
 ///
-/// Failure guarded against: a server stops in the middle of an event, the stream goes on at
-/// another one, and the caller gets half an event joined to a whole one, or an event twice. Only whole
-/// events are passed on, and none whose id was passed on before.
+/// This guards against a server that stops in the middle of an event: the stream is resumed at
+/// another server, and the caller gets half an event joined to a complete one, or an event twice.
+/// Only complete events are passed on, and none whose id was passed on before.
 #[derive(Debug)]
-pub struct Events {
+pub struct EventSplitter {
     read_id: IdReader,
-    last: Option<u64>,
-    rest: Vec<u8>,
+    last_id: Option<u64>,
+    partial: Vec<u8>,
 }
 
-/// A stream that can't be passed on.
+/// The error for a stream that can't be passed on, because an event of it is too long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Endless;
+pub struct EventTooLong;
 
-impl Events {
-    /// A stream whose caller has all events up to this id.
-    pub fn new(read_id: IdReader, last: Option<u64>) -> Self {
+impl EventSplitter {
+    /// Creates a splitter for a stream whose caller has all events up to this id.
+    pub fn new(read_id: IdReader, last_id: Option<u64>) -> Self {
         Self {
             read_id,
-            last,
-            rest: Vec::new(),
+            last_id,
+            partial: Vec::new(),
         }
     }
 
-    /// The id of the last whole event.
-    pub fn last(&self) -> Option<u64> {
-        self.last
+    /// Returns the id of the last complete event.
+    pub fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
-    /// Whether nothing waits to become whole.
-    pub fn is_whole(&self) -> bool {
-        self.rest.is_empty()
+    /// Whether no incomplete event is buffered.
+    pub fn is_complete(&self) -> bool {
+        self.partial.is_empty()
     }
 
-    /// Forgets what is not whole: the stream goes on at another server.
-    pub fn cut(&mut self) {
-        self.rest.clear();
+    /// Discards the incomplete event, because the stream is resumed at another server.
+    pub fn discard_partial(&mut self) {
+        self.partial.clear();
     }
 
-    /// Takes bytes of the stream and returns the events that are whole now.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<u8>, Endless> {
-        self.rest.extend_from_slice(bytes);
-        let mut whole = Vec::new();
+    /// Takes bytes of the stream and returns the events that they complete.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<u8>, EventTooLong> {
+        self.partial.extend_from_slice(bytes);
+        let mut complete = Vec::new();
         let mut start = 0;
-        while let Some(length) = event_length(&self.rest[start..]) {
-            let event = &self.rest[start..start + length];
+        while let Some(length) = event_length(&self.partial[start..]) {
+            let event = &self.partial[start..start + length];
             let id = event.split(|b| *b == b'\n').find_map(self.read_id);
-            let seen = matches!((id, self.last), (Some(id), Some(last)) if id <= last);
+            let seen = matches!((id, self.last_id), (Some(id), Some(last_id)) if id <= last_id);
             if !seen {
-                whole.extend_from_slice(event);
-                self.last = id.or(self.last);
+                complete.extend_from_slice(event);
+                self.last_id = id.or(self.last_id);
             }
             start += length;
         }
-        self.rest.drain(..start);
-        if self.rest.len() > BOUND {
-            return Err(Endless);
+        self.partial.drain(..start);
+        if self.partial.len() > MAX_EVENT_BYTES {
+            return Err(EventTooLong);
         }
-        Ok(whole)
+        Ok(complete)
     }
 }
 
-/// The length of the first event with the blank line that ends it.
+/// Returns the length of the first event, including the blank line that ends it.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut at = 0;
     while let Some(end) = bytes[at..].iter().position(|b| *b == b'\n') {
--- a/crates/placement/src/length.rs
+++ b/crates/placement/src/length.rs
@@ -1,53 +1,56 @@
-//! How long a stream takes from when it is sent to its end.
+//! Estimates how long a stream takes, from when it is sent to a server to its end.
 //!
-//! Answers the load after an outage: much of what waited has too little time left to be answered whole, and takes
-//! slots from others until its caller gives up. What can't end any more is refused at once.
+//! After an outage, many of the waiting requests have too little time left for a whole answer. They
+//! would take slots from others until their callers give up. A request whose answer can no longer
+//! end in time is refused at once instead.
 
 use snipemast_core::prelude::*;
 
-use crate::outage::SERVED;
+use crate::outage::DEFAULT_STREAM_TIME;
 
-/// What reading the prompt and waiting for the next pass take, in pauses between two pieces.
-const BEGIN: u64 = 2;
+/// How long it takes to read the prompt and to wait for the next forward pass, in pauses between
+/// two pieces.
+const START_PAUSES: u64 = 2;
 
-/// The part of the estimated length, in hundredths, that an answer has at least: estimates are right in the middle
-/// only, and one that may still end is given its chance.
-const LEAST: u64 = 60;
+/// The least length of an answer, in hundredths of the estimate. Estimates are right only on
+/// average, and an answer that may still end in time gets its chance.
+const SHORTEST_PERCENT: u64 = 60;
 
-/// How long a pause is taken to be before one was seen, in hundredths of the longest promised.
-const UNSEEN: u64 = 60;
+/// The assumed pause while none has been seen, in hundredths of the longest promised one.
+const DEFAULT_PAUSE_PERCENT: u64 = 60;
 
-/// The length of a stream that is still to come.
+/// The estimated length of a stream that has not begun.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Length {
-    /// How many pieces its caller estimates; nothing where it does not say.
+pub struct StreamLength {
+    /// The number of pieces that the caller estimates, if it says so.
     pub pieces: Option<u64>,
-    /// The usual pause between two pieces, where some were seen.
+    /// The usual pause between two pieces, if any was seen.
     pub pause: Option<Span>,
-    /// The longest pause that is promised.
-    pub promised: Span,
+    /// The longest pause that callers are promised.
+    pub pause_target: Span,
 }
 
-impl Length {
-    /// How long it probably takes.
-    pub fn usual(&self) -> Span {
-        self.takes(100)
+impl StreamLength {
+    /// Returns how long the stream probably takes.
+    pub fn expected(&self) -> Span {
+        self.duration(100)
     }
 
-    /// How long it takes at least.
-    pub fn least(&self) -> Span {
+    /// Returns how long the stream takes at least.
+    pub fn shortest(&self) -> Span {
         match self.pieces {
-            Some(_) => self.takes(LEAST),
+            Some(_) => self.duration(SHORTEST_PERCENT),
             None => Span::default(),
         }
     }
 
-    fn takes(&self, hundredths: u64) -> Span {
+    fn duration(&self, hundredths: u64) -> Span {
         let Some(pieces) = self.pieces else {
-            return SERVED;
+            return DEFAULT_STREAM_TIME;
         };
-        let unseen = Span::from_micros(self.promised.as_micros() * UNSEEN / 100);
-        let pause = self.pause.unwrap_or(unseen).as_micros();
-        Span::from_micros(pause * (100 * BEGIN + pieces * hundredths) / 100)
+        let default_pause =
+            Span::from_micros(self.pause_target.as_micros() * DEFAULT_PAUSE_PERCENT / 100);
+        let pause = self.pause.unwrap_or(default_pause).as_micros();
+        Span::from_micros(pause * (100 * START_PAUSES + pieces * hundredths) / 100)
     }
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,20 +1,33 @@
-//! Decisions about requests that gateways send to announced servers directly.
-//!
-//! - [`servers`]: what a gateway believes of each server's load and health.
-//! - [`allowances`]: what a gateway may send to servers that name limits.
-//! - [`rests`]: until when servers want nothing from this gateway.
-//! - [`returns`]: when requests come back that such servers leave no room for.
-//! - [`choice`]: what the choice of a server is asked and given, and what it says.
-//! - [`pick`]: which of those that may take a request gets it.
-//! - [`budget`]: one gateway's share of the repeats that all may send.
-//! - [`outage`]: what becomes of requests while none of a service's servers can run any.
-//! - [`length`]: how long a stream takes from when it is sent to its end.
-//! - [`passes`]: whether new prompts stay out of an engine's passes for a moment.
-//! - [`pools`]: which servers run and stall together.
-//! - [`sends`]: how often one attempt is sent to servers.
-//! - [`shutdown`]: how a process that was told to end takes leave.
-//! - [`urgency`]: which requests begin first at servers that have more than they run.
-//! - [`events`]: cuts a stream into whole events, so that it can go on elsewhere.
+//! Decisions about the requests that gateways send directly to announced servers.
+//!
+//! The crate does no I/O and reads no clock: callers pass the time in.
+//!
+//! Choosing a server:
+//!
+//! - [`servers`]: the gateway's view of each server's load and health, and the choice of a server.
+//! - [`choice`]: the inputs and the result of a choice.
+//! - [`pick`]: the policies that pick one of the servers that may take a request.
+//! - [`pools`]: groups servers that run and stall together into pools.
+//! - [`urgency`]: how urgent a request is, and how full a server may be for it.
+//!
+//! What servers ask for:
+//!
+//! - [`allowances`]: how many requests a gateway may send to servers that name a rate limit.
+//! - [`rests`]: when servers that asked for rest may be sent requests again.
+//!
+//! When a request can't be sent at once, or fails:
+//!
+//! - [`outage`]: which pools are out, and whether blocked requests wait, come back or are refused.
+//! - [`returns`]: when blocked requests come back if all servers are limited or resting.
+//! - [`passes`]: whether new prompts are held back while an engine's forward passes are long.
+//! - [`length`]: estimates how long a stream takes.
+//! - [`budget`]: this gateway's share of the retry budget.
+//! - [`sends`]: counts how often one attempt is sent to servers.
+//! - [`events`]: splits a stream into complete events, so that it can be resumed at another server.
+//!
+//! Shutting down:
+//!
+//! - [`shutdown`]: when a process that shuts down refuses requests, and when it may end.
 
 pub mod allowances;
 pub mod budget;
@@ -33,15 +46,15 @@
 pub mod urgency;
 
 pub use allowances::Allowances;
-pub use budget::Budget;
+pub use budget::RetryBudget;
 pub use choice::Choice;
-pub use events::{Events, IdReader};
+pub use events::{EventSplitter, IdReader};
 pub use outage::Outages;
-pub use passes::Passes;
+pub use passes::PassTimes;
 pub use pools::{Pool, Pools};
 pub use rests::Rests;
-pub use returns::Returns;
+pub use returns::RetrySchedule;
 pub use sends::Sends;
 pub use servers::{ServerFault, Servers};
 pub use shutdown::Shutdown;
-pub use urgency::{Patience, Urgency};
+pub use urgency::{CallerPatience, Urgency};
--- a/crates/placement/src/outage.rs
+++ b/crates/placement/src/outage.rs
@@ -1,49 +1,49 @@
-//! What becomes of requests while servers that run together can run none.
+//! Tracks which pools are out, and decides what happens to requests that can't be sent.
 //!
-//! Answers the load of an outage: an engine's group that lost a rank refuses everything on every
-//! rank until it has formed again, some seconds later. Sending each request to one rank after
-//! another only spends the budget of repeats. So requests go to other groups, and where there is none,
-//! one request at a time is sent to find out, and the others wait or come back, as long as they can still be
-//! answered in time.
+//! When a group of an engine loses a rank, every rank refuses all requests until the group has
+//! formed again some seconds later. Sending a request to one rank after another would only spend
+//! the retry budget. So requests go to other groups. Where there is none, one request at a time is
+//! sent as a probe, and the others wait or come back, as long as they can still be answered in
+//! time.
 
 use std::collections::HashMap;
 
 use snipemast_core::prelude::*;
 
-use crate::pools::{Forming, Pool};
+use crate::pools::{GroupState, Pool};
 
-/// How often a gateway finds out whether the service answers again. With nine gateways that is
-/// some 100 sends in an outage of six seconds, within their budget of repeats.
-pub const PROBE: Span = Span::from_millis(500);
+/// How often a gateway probes a service that is out. With nine gateways this is some 100 sends in
+/// an outage of six seconds, which is within their retry budget.
+pub const PROBE_INTERVAL: Span = Span::from_millis(500);
 
-/// How much longer it takes until then while requests have somewhere else to go.
-const SELDOM: Span = Span::from_secs(5);
+/// The additional delay before a probe while requests can go to another pool.
+const EXTRA_PROBE_DELAY: Span = Span::from_secs(5);
 
-/// How long a stream takes from its first token to its end, and some tenths of a second of waiting for a place, where
-/// its caller does not say how long it is.
-pub const SERVED: Span = Span::from_millis(2_300);
+/// The assumed time of a stream whose caller does not say how long it is: from its first token to
+/// its end, plus some tenths of a second of waiting for a slot.
+pub const DEFAULT_STREAM_TIME: Span = Span::from_millis(2_300);
 
-/// How long a request waits at most: callers give a stream up that shows nothing for two seconds, and
-/// its first token takes some 0.2 s.
-pub const LONGEST: Span = Span::from_millis(1_600);
+/// The longest time that a request waits in the gateway. Callers give up on a stream that shows
+/// nothing for two seconds, and its first token takes some 0.2 s.
+pub const MAX_QUEUE_TIME: Span = Span::from_millis(1_600);
 
-/// A caller comes back after at most this part of the time that it has left.
-pub const BACK_PART: u64 = 3;
+/// A caller comes back after at most its remaining time divided by this.
+pub const RETRY_DIVISOR: u64 = 3;
 
-/// Where a request of a service may be sent.
+/// The pools of a service that a request may be sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AllowedPools {
-    /// To all pools but these.
+    /// All pools except these.
     AllExcept(Vec<Pool>),
-    /// To this pool, to find out whether it runs anything again.
+    /// Only this pool, to probe whether it answers again.
     Probe(Pool),
-    /// Nowhere: all pools are out.
+    /// No pool, because all are out.
     NoPool,
 }
 
 impl AllowedPools {
     /// Whether a request may be sent to a pool of its service.
-    pub fn holds(&self, pool: &Pool) -> bool {
+    pub fn allows(&self, pool: &Pool) -> bool {
         match self {
             Self::AllExcept(out) => !out.contains(pool),
             Self::Probe(probed) => probed == pool,
@@ -52,103 +52,116 @@
     }
 }
 
-/// What a request does that can't be sent now.
+/// What happens to a request that can't be sent now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Waiting {
-    /// Its caller comes back after this span.
+pub enum Deferral {
+    /// The caller is told to come back after this span.
     RetryLater(Span),
-    /// It waits here, at most for this span.
+    /// The request waits in the gateway for at most this span.
     Queue(Span),
-    /// It can't be answered in time: nothing is gained by waiting.
+    /// The request is refused, because it can't be answered in time.
     Refuse,
 }
 
 /// The pools that are out.
 #[derive(Debug, Clone, Default)]
 pub struct Outages {
-    out: HashMap<Pool, Out>,
-    /// What processes beside ranks told of groups last.
-    told: HashMap<Pool, Forming>,
+    out: HashMap<Pool, PoolOutage>,
+    /// The state of each group that its sidecars last reported.
+    reported: HashMap<Pool, GroupState>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Out {
-    /// When it is found out next whether it runs anything.
-    probe: Moment,
-    /// The forming of the group that refused; nothing where its ranks told that they have stalled.
-    refused: Option<GroupIncarnation>,
+struct PoolOutage {
+    /// When the pool is probed next.
+    next_probe: Moment,
+    /// The epoch of the group that refused a request; none if the pool is out because its ranks
+    /// reported a stall.
+    refused_epoch: Option<GroupIncarnation>,
 }
 
-impl Out {
-    fn new(now: Moment, refused: Option<GroupIncarnation>) -> Self {
+impl PoolOutage {
+    fn new(now: Moment, refused_epoch: Option<GroupIncarnation>) -> Self {
         Self {
-            probe: now + PROBE,
-            refused,
+            next_probe: now + PROBE_INTERVAL,
+            refused_epoch,
         }
     }
 }
 
 impl Outages {
-    /// No pool is out.
+    /// Creates a tracker in which no pool is out.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A server said that no server of its pool can run anything; true where that is news.
-    pub fn note_out(&mut self, now: Moment, pool: &Pool) -> bool {
-        let epoch = self.told.get(pool).map(|told| told.epoch);
-        let out = Out::new(now, Some(epoch.unwrap_or_default()));
+    /// Records that a server said that no server of its pool can run anything. Returns whether the
+    /// pool was open before.
+    pub fn mark_out(&mut self, now: Moment, pool: &Pool) -> bool {
+        let epoch = self.reported.get(pool).map(|group| group.epoch);
+        let out = PoolOutage::new(now, Some(epoch.unwrap_or_default()));
         self.out.insert(pool.clone(), out).is_none()
     }
 
-    /// A server answered; true where its pool was out.
-    pub fn note_open(&mut self, pool: &Pool) -> bool {
+    /// Records that a server answered. Returns whether its pool was out.
+    pub fn mark_open(&mut self, pool: &Pool) -> bool {
         self.out.remove(pool).is_some()
     }
 
-    /// Takes what processes beside a group's ranks tell; whether that is why its pool is out or open from now on.
+    /// Applies the group state that sidecars report. Returns whether it takes the pool out or opens
+    /// it again.
     ///
-    /// A group that refused is open again once it has formed anew: what is told of the forming that refused may be
-    /// older than the refusal. What was told before counts for nothing more: a request may have shown since that the
-    /// group goes on, while its ranks' words no longer come through.
-    pub fn note_told(&mut self, now: Moment, pool: &Pool, forming: Forming) -> Option<Word> {
-        if self.told.insert(pool.clone(), forming) == Some(forming) {
+    /// A group that refused a request is open again only in a later epoch, because a report of the
+    /// epoch that refused may be older than the refusal. A report that repeats the last one is
+    /// ignored: a request may have shown meanwhile that the group is running, while newer reports
+    /// of its ranks don't come through.
+    pub fn apply_report(
+        &mut self,
+        now: Moment,
+        pool: &Pool,
+        group: GroupState,
+    ) -> Option<ReportedChange> {
+        if self.reported.insert(pool.clone(), group) == Some(group) {
             return None;
         }
-        match (self.out.get(pool), forming.goes_on) {
+        match (self.out.get(pool), group.running) {
             (None, false) => {
-                self.out.insert(pool.clone(), Out::new(now, None));
-                Some(Word::Stalled)
+                self.out.insert(pool.clone(), PoolOutage::new(now, None));
+                Some(ReportedChange::Stalled)
             }
-            (Some(out), true) if out.refused.is_none_or(|epoch| epoch < forming.epoch) => {
+            (Some(out), true) if out.refused_epoch.is_none_or(|epoch| epoch < group.epoch) => {
                 self.out.remove(pool);
-                Some(Word::GoesOn)
+                Some(ReportedChange::Resumed)
             }
             _ => None,
         }
     }
 
-    /// Where a request is sent now that may go to these pools.
+    /// Returns the pools, out of these, that a request may be sent to now.
     ///
-    /// A pool that is out is found out about by one request at a time, and more seldom while another one is open:
-    /// then a request loses nothing by not being sent there.
-    pub fn gate(&mut self, now: Moment, pools: &[Pool]) -> AllowedPools {
+    /// A pool that is out is probed by one request at a time. Probes are rarer while another pool
+    /// is open, because a request then loses nothing by going there.
+    pub fn allowed_pools(&mut self, now: Moment, pools: &[Pool]) -> AllowedPools {
         if self.out.is_empty() {
             return AllowedPools::AllExcept(Vec::new());
         }
         let out = pools.iter().filter(|pool| self.out.contains_key(*pool));
         let out: Vec<Pool> = out.cloned().collect();
-        let shut = out.len() == pools.len() && !out.is_empty();
-        let patience = if shut { Span::default() } else { SELDOM };
+        let all_out = out.len() == pools.len() && !out.is_empty();
+        let delay = if all_out {
+            Span::default()
+        } else {
+            EXTRA_PROBE_DELAY
+        };
         let due = out.iter().find(|pool| {
             let out = self.out.get(*pool);
-            out.is_some_and(|out| now >= out.probe + patience)
+            out.is_some_and(|out| now >= out.next_probe + delay)
         });
         if let Some((pool, out)) = due.and_then(|pool| Some((pool, self.out.get_mut(pool)?))) {
-            out.probe = now + PROBE;
+            out.next_probe = now + PROBE_INTERVAL;
             return AllowedPools::Probe(pool.clone());
         }
-        if shut {
+        if all_out {
             AllowedPools::NoPool
         } else {
             AllowedPools::AllExcept(out)
@@ -156,50 +169,52 @@
     }
 }
 
-/// What became of a pool by what was told of it.
+/// How a report changed the state of a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word {
-    /// It is out: its ranks have stalled.
+pub enum ReportedChange {
+    /// The pool is out, because its ranks have stalled.
     Stalled,
-    /// It is open again.
-    GoesOn,
+    /// The pool is open again.
+    Resumed,
 }
 
 /// A request that can't be sent now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Blocked {
+pub struct BlockedRequest {
     /// How long its caller still waits.
     pub left: Span,
-    /// How long it has waited here.
+    /// How long the request has waited in the gateway.
     pub waited: Span,
-    /// How long a caller waits at first.
-    pub whole: Span,
+    /// How long the callers of its route wait in total.
+    pub timeout: Span,
     /// How long its answer takes once it is sent.
-    pub needed: Span,
+    pub answer_time: Span,
 }
 
-/// What a request does that can't be sent now.
+/// Decides what happens to a request that can't be sent now.
 ///
-/// It waits here for as long as its caller bears with that and it can still be answered after it. Then
-/// a first attempt comes back later by itself; one that came back already is refused, because its
-/// caller gives up after that. So a request outlives an outage of 5.3 s in all: 1.6 s here, a third
-/// of what is left, and 1.6 s again; 4.3 s where the first attempt was sent back at once.
-pub fn waiting(blocked: &Blocked) -> Waiting {
-    /// A caller's first attempt has at least this part of the whole time left, in hundredths.
-    const FIRST: u64 = 80;
-    let had = Span::from_micros(blocked.left.as_micros() + blocked.waited.as_micros());
-    let first = had.times(100) >= blocked.whole.times(FIRST);
-    let spare = less(blocked.left, blocked.needed).min(less(LONGEST, blocked.waited));
+/// The request waits in the gateway for as long as its caller tolerates it and the request can
+/// still be answered afterwards. After that, a first attempt is told to come back later. A request
+/// that came back already is refused, because its caller gives up after that. This way a request
+/// survives an outage of 5.3 s in total: 1.6 s here, a third of what is left, and 1.6 s again. It
+/// would be 4.3 s if the first attempt were sent back at once.
+pub fn defer(blocked: &BlockedRequest) -> Deferral {
+    /// A first attempt has at least this part of its route's timeout left, in hundredths.
+    const FIRST_ATTEMPT_PERCENT: u64 = 80;
+    let left_at_first = Span::from_micros(blocked.left.as_micros() + blocked.waited.as_micros());
+    let first = left_at_first.times(100) >= blocked.timeout.times(FIRST_ATTEMPT_PERCENT);
+    let spare =
+        subtract(blocked.left, blocked.answer_time).min(subtract(MAX_QUEUE_TIME, blocked.waited));
     if spare > Span::default() {
-        return Waiting::Queue(spare);
+        return Deferral::Queue(spare);
     }
     if first {
-        let part = blocked.left.as_micros() / BACK_PART;
-        return Waiting::RetryLater(Span::from_micros(part));
+        let part = blocked.left.as_micros() / RETRY_DIVISOR;
+        return Deferral::RetryLater(Span::from_micros(part));
     }
-    Waiting::Refuse
+    Deferral::Refuse
 }
 
-pub(crate) fn less(span: Span, by: Span) -> Span {
+pub(crate) fn subtract(span: Span, by: Span) -> Span {
     Span::from_micros(span.as_micros().saturating_sub(by.as_micros()))
 }
--- a/crates/placement/src/passes.rs
+++ b/crates/placement/src/passes.rs
@@ -1,14 +1,15 @@
-//! Whether new prompts stay out of an engine's passes for a moment.
+//! Decides whether new prompts are held back while an engine's forward passes are long.
 //!
-//! Answers the load of a shift of the demand for experts: all ranks of a group take each pass together, and until
-//! the map has followed, a pass takes two to three times as long for what it holds. What runs already still
-//! fits into the pause that callers are promised; the prompts that go on arriving do not, and
-//! push every running stream over it by some tens of milliseconds. So they wait here for the tenths of a
-//! second that a switch takes, and are let in together once passes are short again: an even map
-//! reads three prompts a rank in a pass without harm.
+//! All ranks of a group take each forward pass together. After a shift of the demand for experts, a
+//! pass takes two to three times as long for the same requests until the expert map has followed.
+//! The requests that run already still fit into the pause that callers are promised. Each new
+//! prompt lengthens the passes further, and pushes every running stream over that pause by some
+//! tens of milliseconds. So new prompts wait in the gateway for the tenths of a second that a
+//! switch of the map takes, and are let in together once passes are short again. With an even map,
+//! ranks read three prompts each in one pass without harm.
 //!
-//! Where passes stay long, the demand is above what they can carry, and waiting gains nothing: then nobody
-//! waits.
+//! Where passes stay long, the demand is above what they can carry, and waiting gains nothing. Then
+//! no prompt is held back.
 
 use std::collections::HashMap;
 
@@ -16,93 +17,108 @@
 
 use crate::pools::Pool;
 
-/// The part of the promised pause from which a pass counts as long, in hundredths: the next ones grow by a tenth
-/// for each request that comes in.
-const LONG: u64 = 80;
+/// The part of the promised pause from which a pass counts as long, in hundredths. Each request
+/// that comes in lengthens the next passes by a tenth.
+const LONG_PERCENT: u64 = 80;
 
-/// How long passes may stay long before nobody waits any more: a switch of the map takes 0.4 to 0.7 s.
-const EPISODE: Span = Span::from_millis(800);
+/// How long passes may stay long before prompts are no longer held back. A switch of the map takes
+/// 0.4 to 0.7 s.
+const MAX_LONG_TIME: Span = Span::from_millis(800);
 
-/// How long a pass is believed: some passes at their longest.
-const FRESH: Span = Span::from_millis(400);
+/// How long the last pass is taken as current: some passes at their longest.
+const PASS_AGE: Span = Span::from_millis(400);
 
-/// The part of a route's objective that a request may wait, in hundredths: the rest is for its prompt and
-/// its first token, which take 0.17 s of the usual 0.4 to 0.5 s.
-const WAIT: u64 = 50;
+/// The part of a route's objective that a request may wait, in hundredths. The rest is left for its
+/// prompt and its first token, which take 0.17 s of the usual 0.4 to 0.5 s.
+const HOLD_PERCENT: u64 = 50;
 
-/// Over how many pauses the usual one is a mean: some hundred pieces of streams come in a second.
-const FOLLOWED: u64 = 32;
+/// The number of pauses over which the usual pause is averaged. Some hundred pieces of streams come
+/// in a second.
+const PAUSE_MEAN_PARTS: u64 = 32;
 
-/// What is seen of each pool's passes.
+/// Tracks the forward passes of each pool.
 #[derive(Debug, Clone, Default)]
-pub struct Passes {
-    pools: HashMap<Pool, Seen>,
+pub struct PassTimes {
+    pools: HashMap<Pool, PoolPasses>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Seen {
-    /// When a pass was seen last.
+struct PoolPasses {
+    /// When a pass was last seen.
     last: Moment,
     /// Since when passes are long, if they are.
-    long: Option<Moment>,
+    long_since: Option<Moment>,
     /// The usual pause between two pieces.
-    usual: Span,
+    usual_pause: Span,
 }
 
-impl Passes {
-    /// Nothing was seen yet.
+impl PassTimes {
+    /// Creates a tracker that has seen no pass.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A stream paused between two pieces, which took a pass; `promised` is the longest pause on time. True
-    /// where passes have become short again.
-    pub fn note(&mut self, now: Moment, pool: &Pool, pause: Span, promised: Span) -> bool {
-        let long = pause.times(100) >= promised.times(LONG);
+    /// Records a stream's pause between two pieces, which took one pass. `pause_target` is the
+    /// longest pause that is on time. Returns whether passes have become short again.
+    pub fn record_pause(
+        &mut self,
+        now: Moment,
+        pool: &Pool,
+        pause: Span,
+        pause_target: Span,
+    ) -> bool {
+        let is_long = pause.times(100) >= pause_target.times(LONG_PERCENT);
         let Some(seen) = self.pools.get_mut(pool) else {
-            let long = long.then_some(now);
+            let long_since = is_long.then_some(now);
             self.pools.insert(
                 pool.clone(),
-                Seen {
+                PoolPasses {
                     last: now,
-                    long,
-                    usual: pause,
+                    long_since,
+                    usual_pause: pause,
                 },
             );
             return false;
         };
         seen.last = now;
-        seen.usual = seen.usual.following(pause, FOLLOWED);
-        if long {
-            seen.long.get_or_insert(now);
+        seen.usual_pause = seen.usual_pause.following(pause, PAUSE_MEAN_PARTS);
+        if is_long {
+            seen.long_since.get_or_insert(now);
             return false;
         }
-        seen.long.take().is_some()
+        seen.long_since.take().is_some()
     }
 
-    /// How long a new request waits at most before it is sent to one of these pools, after it has waited for a span
-    /// already; nothing where it is sent now.
-    pub fn wait(&self, now: Moment, pools: &[Pool], waited: Span, objective: Span) -> Option<Span> {
-        if pools.is_empty() || !pools.iter().all(|pool| self.are_long(now, pool)) {
+    /// Returns how long a new request is held back at most before it is sent to one of these pools,
+    /// if it is. `waited` is how long it has been held back already.
+    pub fn hold_time(
+        &self,
+        now: Moment,
+        pools: &[Pool],
+        waited: Span,
+        objective: Span,
+    ) -> Option<Span> {
+        if pools.is_empty() || !pools.iter().all(|pool| self.are_passes_long(now, pool)) {
             return None;
         }
-        let whole = Span::from_micros(objective.as_micros() * WAIT / 100);
-        let left = whole.as_micros().saturating_sub(waited.as_micros());
+        let longest = Span::from_micros(objective.as_micros() * HOLD_PERCENT / 100);
+        let left = longest.as_micros().saturating_sub(waited.as_micros());
         (left > 0).then_some(Span::from_micros(left))
     }
 
-    /// The usual pause between two pieces of streams of these pools, where one was seen: that of the quickest.
-    pub fn pause(&self, pools: &[Pool]) -> Option<Span> {
+    /// Returns the usual pause between two pieces of streams of the fastest of these pools, if one
+    /// was seen.
+    pub fn usual_pause(&self, pools: &[Pool]) -> Option<Span> {
         let seen = pools.iter().filter_map(|pool| self.pools.get(pool));
-        seen.map(|seen| seen.usual).min()
+        seen.map(|seen| seen.usual_pause).min()
     }
 
-    /// Whether a pool's passes are long for a moment.
-    fn are_long(&self, now: Moment, pool: &Pool) -> bool {
+    /// Whether a pool's passes have been long for a short time.
+    fn are_passes_long(&self, now: Moment, pool: &Pool) -> bool {
         let seen = self.pools.get(pool);
-        let Some((since, last)) = seen.and_then(|seen| Some((seen.long?, seen.last))) else {
+        let Some((since, last)) = seen.and_then(|seen| Some((seen.long_since?, seen.last))) else {
             return false;
         };
-        now < since + EPISODE && now < last + FRESH
+        now < since + MAX_LONG_TIME && now < last + PASS_AGE
     }
 }
--- a/crates/placement/src/pick.rs
+++ b/crates/placement/src/pick.rs
@@ -1,13 +1,14 @@
-//! Which of the servers that may take a request gets it.
+//! Policies that pick one of the servers that may take a request.
 //!
-//! Answers the load of many gateways that choose at the same time on the same old counts. Who
-//! takes the least loaded server then takes the one that all others take: it gets more requests
-//! than it runs at once before the next counts show them, while others stand idle.
+//! Many gateways choose at the same time with the same old counts. If each takes the server with
+//! the least load, all take the same one. That server gets more requests than it runs at once
+//! before the next counts show it, while others are idle.
 //!
-//! - [`Expected`]: drawn by the share that each server would get if this request, and those that the
-//!   other gateways are believed to have sent since their counts, evened out the load.
-//! - [`Sampled`]: the less loaded of two drawn at random.
-//! - [`Least`]: the least loaded one; the best where nobody else chooses.
+//! - [`Expected`]: draws a server at random. Its weight is its share of this request and of those
+//!   that the other gateways are believed to have sent since their counts, if these evened out the
+//!   load.
+//! - [`Sampled`]: the less loaded of two servers drawn at random.
+//! - [`Least`]: the least loaded server. This is best where no other gateway chooses.
 
 use std::fmt::Debug;
 
@@ -15,76 +16,79 @@
 use snipemast_core::hash::{below, fraction, mix};
 use snipemast_core::prelude::*;
 
-/// What a server of another availability zone counts more, in requests: what stays in its zone doesn't
-/// meet lossy or cut links, and is counted sooner.
-const AWAY: f64 = 2.0;
+/// The cost of a server in another availability zone, in requests. Requests that stay in their zone
+/// don't cross lossy or cut links, and are counted sooner.
+const REMOTE_ZONE_COST: f64 = 2.0;
 
 /// A server that may take a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// What this gateway has in flight there.
+    /// The number of requests that this gateway has in flight there.
     pub own: u32,
-    /// What the other gateways had when they last told.
+    /// The number of requests that the other gateways last reported in flight there.
     pub others: u32,
-    /// How many requests it runs at once.
+    /// The number of requests that the server runs at once.
     pub slots: u32,
-    /// Whether it is in this gateway's zone.
-    pub near: bool,
+    /// Whether the server is in this gateway's availability zone.
+    pub same_zone: bool,
 }
 
-/// How much the others' counts tell still.
+/// How much the other gateways' counts still say.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Freshness {
-    /// How old they are.
+    /// The age of the counts.
     pub age: Span,
-    /// How long a request is in flight, as a rule.
-    pub usual: Span,
+    /// How long a request is usually in flight.
+    pub usual_duration: Span,
 }
 
-/// A way to pick a server.
+/// A policy that picks a server.
 pub trait Pick: Debug + Default {
-    /// The place of the candidate that gets the request; nothing where there is none.
+    /// Returns the index of the candidate that gets the request, or nothing if there is no
+    /// candidate.
     ///
-    /// `chance` is a number that differs from request to request and from gateway to gateway.
-    fn pick(&self, candidates: &[Candidate], fresh: Freshness, chance: u64) -> Option<usize>;
+    /// `chance` is a random number that differs between requests and between gateways.
+    fn pick(&self, candidates: &[Candidate], freshness: Freshness, chance: u64) -> Option<usize>;
 }
 
-/// The least loaded one.
+/// Picks the least loaded server.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Least;
 
-/// The less loaded of two drawn at random, out of those of the own zone while one has a free slot.
+/// Picks the less loaded of two servers drawn at random, out of those of the own zone while one of
+/// them has a free slot.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Sampled;
 
-/// Drawn by what evens out the load that is expected.
+/// Draws a server at random so that the expected load evens out.
 ///
-/// With counts as fresh as a request is short, and nobody else, this is the least loaded server;
-/// the older the counts and the more the others' requests, the more servers share it.
+/// If the counts are recent compared with the duration of a request and no other gateway sends
+/// requests, this is the least loaded server. The older the counts and the more requests of others,
+/// the more servers share the load.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Expected;
 
 data! {
-    /// The ways to pick a server, as settings name them.
+    /// The policies that settings can name.
     #[derive(Copy, Default)]
     #[serde(rename_all = "lowercase")]
     pub enum PickPolicy {
-        /// [`Least`].
+        /// The policy [`Least`].
         Least,
-        /// [`Sampled`].
+        /// The policy [`Sampled`].
         #[default]
         Sampled,
-        /// [`Expected`].
+        /// The policy [`Expected`].
         Expected,
     }
 }
 
 impl Pick for PickPolicy {
-    fn pick(&self, candidates: &[Candidate], fresh: Freshness, chance: u64) -> Option<usize> {
+    fn pick(&self, candidates: &[Candidate], freshness: Freshness, chance: u64) -> Option<usize> {
         match self {
-            Self::Least => Least.pick(candidates, fresh, chance),
-            Self::Sampled => Sampled.pick(candidates, fresh, chance),
-            Self::Expected => Expected.pick(candidates, fresh, chance),
+            Self::Least => Least.pick(candidates, freshness, chance),
+            Self::Sampled => Sampled.pick(candidates, freshness, chance),
+            Self::Expected => Expected.pick(candidates, freshness, chance),
         }
     }
 }
@@ -92,83 +96,92 @@
 impl Pick for Least {
     fn pick(&self, candidates: &[Candidate], _: Freshness, chance: u64) -> Option<usize> {
         let costs = candidates.iter().map(Candidate::cost).enumerate();
-        let tied = |place: usize| mix(chance ^ place as u64);
+        let tie_break = |index: usize| mix(chance ^ index as u64);
         costs
-            .min_by(|(a, x), (b, y)| x.total_cmp(y).then_with(|| tied(*a).cmp(&tied(*b))))
-            .map(|(place, _)| place)
+            .min_by(|(a, x), (b, y)| {
+                x.total_cmp(y)
+                    .then_with(|| tie_break(*a).cmp(&tie_break(*b)))
+            })
+            .map(|(index, _)| index)
     }
 }
 
 impl Pick for Sampled {
     fn pick(&self, candidates: &[Candidate], _: Freshness, chance: u64) -> Option<usize> {
-        let near = candidates.iter().any(Candidate::is_near_and_free);
-        let drawn: Vec<usize> = (0..candidates.len())
-            .filter(|place| !near || candidates[*place].near)
+        let local_free = candidates.iter().any(Candidate::is_local_and_free);
+        let eligible: Vec<usize> = (0..candidates.len())
+            .filter(|index| !local_free || candidates[*index].same_zone)
             .collect();
-        if drawn.is_empty() {
+        if eligible.is_empty() {
             return None;
         }
-        let draw = |number: u64| drawn[below(mix(chance ^ number), drawn.len())];
-        // Of two servers the busier one is never drawn twice.
-        let (one, other) = match drawn[..] {
+        let draw = |number: u64| eligible[below(mix(chance ^ number), eligible.len())];
+        // With two servers, the busier one must not be drawn twice.
+        let (one, other) = match eligible[..] {
             [one, other] if below(mix(chance), 2) == 0 => (one, other),
             [one, other] => (other, one),
             _ => (draw(1), draw(2)),
         };
-        let cost = |place: usize| candidates[place].cost();
+        let cost = |index: usize| candidates[index].cost();
         Some(if cost(other) < cost(one) { other } else { one })
     }
 }
 
 impl Pick for Expected {
-    fn pick(&self, candidates: &[Candidate], fresh: Freshness, chance: u64) -> Option<usize> {
-        let left = fresh.left();
+    fn pick(&self, candidates: &[Candidate], freshness: Freshness, chance: u64) -> Option<usize> {
+        let left = freshness.fraction_left();
         let mut loads: Vec<Load> = candidates.iter().map(|c| c.expected(left)).collect();
-        let renewed = |near: bool| {
-            let zone = candidates.iter().filter(move |c| c.near == near);
+        let replaced = |same_zone: bool| {
+            let zone = candidates.iter().filter(move |c| c.same_zone == same_zone);
             zone.map(|c| f64::from(c.others) * (1.0 - left))
                 .sum::<f64>()
         };
         // Gateways of other zones fill their own servers first.
-        let far: Vec<usize> = (0..loads.len()).filter(|n| !candidates[*n].near).collect();
-        let level = level(far.iter().map(|n| loads[*n]), renewed(false));
-        for place in far {
-            let load = &mut loads[place];
-            load.there = load.there.max(level * load.slots) + AWAY;
+        let remote: Vec<usize> = (0..loads.len())
+            .filter(|n| !candidates[*n].same_zone)
+            .collect();
+        let level = fill_level(remote.iter().map(|n| loads[*n]), replaced(false));
+        for index in remote {
+            let load = &mut loads[index];
+            load.in_flight = load.in_flight.max(level * load.slots) + REMOTE_ZONE_COST;
         }
-        draw(&loads, renewed(true) + 1.0, chance)
+        draw_by_share(&loads, replaced(true) + 1.0, chance)
     }
 }
 
 impl Freshness {
-    /// The part of what was counted that is in flight still.
-    fn left(&self) -> f64 {
-        let (age, usual) = (self.age.as_micros(), self.usual.as_micros().max(1));
+    /// Returns the fraction of the counted requests that are still in flight.
+    fn fraction_left(&self) -> f64 {
+        let (age, usual) = (self.age.as_micros(), self.usual_duration.as_micros().max(1));
         (-(age as f64) / usual as f64).exp()
     }
 }
 
 impl Candidate {
-    /// Whether a request begins there at once.
-    pub(crate) fn is_free(&self) -> bool {
+    /// Whether a request would begin there at once.
+    pub(crate) fn has_free_slot(&self) -> bool {
         self.own + self.others < self.slots
     }
 
-    /// Whether it begins at once in this gateway's zone.
-    pub(crate) fn is_near_and_free(&self) -> bool {
-        self.near && self.is_free()
+    /// Whether a request would begin there at once, within this gateway's zone.
+    pub(crate) fn is_local_and_free(&self) -> bool {
+        self.same_zone && self.has_free_slot()
     }
 
-    /// What is in flight there for each of its slots, and what its zone counts more.
+    /// Returns the load per slot, including the cost of another zone.
     fn cost(&self) -> f64 {
-        let away = if self.near { 0.0 } else { AWAY };
-        (f64::from(self.own + self.others) + away) / self.slots()
+        let extra = if self.same_zone {
+            0.0
+        } else {
+            REMOTE_ZONE_COST
+        };
+        (f64::from(self.own + self.others) + extra) / self.slots()
     }
 
-    /// What is there still of what was counted.
+    /// Returns the load that is left of the counts.
     fn expected(&self, left: f64) -> Load {
         Load {
-            there: f64::from(self.own) + f64::from(self.others) * left,
+            in_flight: f64::from(self.own) + f64::from(self.others) * left,
             slots: self.slots(),
         }
     }
@@ -178,50 +191,51 @@
     }
 }
 
-/// What is believed to be in flight at a server.
+/// The number of requests that are believed to be in flight at a server.
 #[derive(Debug, Clone, Copy)]
 struct Load {
-    there: f64,
+    in_flight: f64,
     slots: f64,
 }
 
 impl Load {
-    fn share(&self) -> f64 {
-        self.there / self.slots
+    fn per_slot(&self) -> f64 {
+        self.in_flight / self.slots
     }
 }
 
-/// The load for each slot that servers reach which are below it, if so many requests are added there.
-fn level(loads: impl Iterator<Item = Load>, added: f64) -> f64 {
+/// Returns the load per slot that the least loaded servers reach if this many requests are added to
+/// them.
+fn fill_level(loads: impl Iterator<Item = Load>, added: f64) -> f64 {
     let mut sorted: Vec<Load> = loads.collect();
-    sorted.sort_by(|a, b| a.share().total_cmp(&b.share()));
-    let (mut there, mut slots) = (added, 0.0);
+    sorted.sort_by(|a, b| a.per_slot().total_cmp(&b.per_slot()));
+    let (mut in_flight, mut slots) = (added, 0.0);
     for load in sorted {
-        if slots > 0.0 && there / slots <= load.share() {
+        if slots > 0.0 && in_flight / slots <= load.per_slot() {
             break;
         }
-        there += load.there;
+        in_flight += load.in_flight;
         slots += load.slots;
     }
     if slots > 0.0 {
-        there / slots
+        in_flight / slots
     } else {
         0.0
     }
 }
 
-/// Draws a server by the share that it gets of what is added.
-fn draw(loads: &[Load], added: f64, chance: u64) -> Option<usize> {
-    let level = level(loads.iter().copied(), added);
-    let gets = |load: &Load| (level * load.slots - load.there).max(0.0);
-    let whole: f64 = loads.iter().map(gets).sum();
-    let mut point = fraction(mix(chance)) * whole;
-    for (place, load) in loads.iter().enumerate() {
-        point -= gets(load);
+/// Draws a server, weighted by its share of the added requests.
+fn draw_by_share(loads: &[Load], added: f64, chance: u64) -> Option<usize> {
+    let level = fill_level(loads.iter().copied(), added);
+    let share = |load: &Load| (level * load.slots - load.in_flight).max(0.0);
+    let total: f64 = loads.iter().map(share).sum();
+    let mut point = fraction(mix(chance)) * total;
+    for (index, load) in loads.iter().enumerate() {
+        point -= share(load);
         if point < 0.0 {
-            return Some(place);
+            return Some(index);
         }
     }
-    // Rounding has left a rest of the last one's share.
-    (0..loads.len()).rfind(|place| gets(&loads[*place]) > 0.0)
+    // Rounding can leave a remainder after the last server's share.
+    (0..loads.len()).rfind(|index| share(&loads[*index]) > 0.0)
 }
--- a/crates/placement/src/rests.rs
+++ b/crates/placement/src/rests.rs
@@ -1,30 +1,31 @@
-//! The rest that servers ask this gateway for when they turn a request away.
+//! Tracks the rests that servers ask this gateway for when they refuse a request.
 //!
-//! Answers the load of a server in overload before many gateways: it turns them away within a moment, so their rests
-//! end within a moment too, and all of them would come back at once, to be turned away again. So each gateway comes
-//! back at a moment of its own, with one request at first, and with more as the server takes them.
+//! A rest is a span in which a server wants no requests from the gateway. An overloaded server
+//! refuses many gateways within a moment, so their rests also end within a moment. All gateways
+//! would come back at once and be refused again. So each gateway adds jitter to the end of the
+//! rest, and begins with one request, followed by more as the server accepts them.
 
 use snipemast_core::hash::{fraction, mix};
 use snipemast_core::prelude::*;
 use snipemast_core::starts::Starts;
 
-/// By how much of itself a rest may end later than asked, and the longest such span.
-const SPREAD_PART: f64 = 0.25;
-const SPREAD: Span = Span::from_secs(1);
+/// The longest jitter that is added to a rest, as a fraction of the rest and as a span.
+const JITTER_FRACTION: f64 = 0.25;
+const MAX_JITTER: Span = Span::from_secs(1);
 
-/// How long a request after a rest keeps others away that the server shows nothing of: a prompt's usual time.
-const LOST: Span = Span::from_millis(500);
+/// How long an unanswered request after a rest keeps others away: the usual time of a prompt.
+const UNANSWERED_TIMEOUT: Span = Span::from_millis(500);
 
-/// How long after a rest a server is known to have had one.
-const REMEMBERED: Span = Span::from_secs(60);
+/// How long after its end a rest is remembered.
+const RETENTION: Span = Span::from_secs(60);
 
-/// The most rests that are known at once.
-const MOST: usize = 4_096;
+/// The most rests that are remembered at once.
+const MAX_RESTS: usize = 4_096;
 
-/// Until when each server wants nothing from this gateway, and what it may be sent after that.
+/// Tracks until when each server rests, and what it may be sent after that.
 ///
-/// Kept apart from the servers on offer: a server that is off the news for a while, or moves, still rests. Only a
-/// new start of it does not.
+/// This is separate from the table of announced servers: a server that is missing from the news for
+/// a while, or moves, still rests. Only a new start of it does not.
 #[derive(Debug, Default)]
 pub struct Rests {
     servers: Starts<Rest>,
@@ -36,16 +37,16 @@
 #[derive(Debug)]
 struct Rest {
     until: Moment,
-    /// How many requests it may be sent after the rest.
+    /// The number of requests that the server may be sent after the rest.
     credits: u32,
-    /// How many it has taken after the rest.
-    taken: u32,
-    /// When it was sent one after the rest.
-    sent: Moment,
+    /// The number of requests that the server has accepted after the rest.
+    accepted: u32,
+    /// When the server was last sent a request after the rest.
+    last_sent: Moment,
 }
 
 impl Rests {
-    /// No server rests.
+    /// Creates a tracker in which no server rests.
     pub fn new(seed: u64) -> Self {
         Self {
             servers: Starts::new(),
@@ -53,78 +54,81 @@
         }
     }
 
-    /// A server turned a request away and asks for rest; the longest end that it was told holds.
-    pub fn note(&mut self, now: Moment, server: &ServerId, start: Incarnation, span: Span) {
+    /// Records that a server refused a request and asks for rest. If there are several rests, the
+    /// latest end counts.
+    pub fn record(&mut self, now: Moment, server: &ServerId, start: Incarnation, span: Span) {
         if span == Span::default() {
             return;
         }
-        let until = now + span + self.later(now, span);
+        let until = now + span + self.jitter(now, span);
         let known = self.servers.get(server, start);
         let until = known.map_or(until, |rest| rest.until.max(until));
         self.servers.insert(server, start, Rest::new(until));
-        let fresh = |rest: &Rest| now < rest.until + REMEMBERED;
-        self.servers.retain(|_, _, rest| fresh(rest));
-        self.servers.shrink(MOST, |rest| rest.until);
+        let is_recent = |rest: &Rest| now < rest.until + RETENTION;
+        self.servers.retain(|_, _, rest| is_recent(rest));
+        self.servers.shrink(MAX_RESTS, |rest| rest.until);
     }
 
-    /// A server turned a request away and asks for no rest: after one it gets no more for a moment.
-    pub fn note_turned(&mut self, now: Moment, server: &ServerId, start: Incarnation) {
+    /// Records that a server refused a request and asks for no rest. If it rested before, it gets
+    /// no more requests for a moment.
+    pub fn record_rejection(&mut self, now: Moment, server: &ServerId, start: Incarnation) {
         if let Some(rest) = self.servers.get_mut(server, start) {
-            (rest.credits, rest.sent) = (0, now);
+            (rest.credits, rest.last_sent) = (0, now);
         }
     }
 
-    /// A server took a request that was sent at a moment; true where it is the first one after a rest.
+    /// Records that a server accepted a request that was sent at `sent`. Returns whether it is the
+    /// first one after a rest.
     ///
-    /// What was sent before the end of a rest tells nothing of the time after it.
-    pub fn note_taken(
+    /// A request that was sent before the end of a rest says nothing about the time after it.
+    pub fn record_accepted(
         &mut self,
         sent: Moment,
         server: &ServerId,
         start: Incarnation,
         slots: u32,
     ) -> bool {
-        /// What a request that was taken allows: another one in its place, and one more.
-        const WORTH: u32 = 2;
+        /// An accepted request allows another one in its place, and one more.
+        const CREDITS_PER_REQUEST: u32 = 2;
         let Some(rest) = self.servers.get_mut(server, start) else {
             return false;
         };
         if sent < rest.until {
             return false;
         }
-        rest.taken += 1;
-        rest.credits = rest.credits.saturating_add(WORTH);
-        let first = rest.taken == 1;
-        if rest.taken >= slots {
+        rest.accepted += 1;
+        rest.credits = rest.credits.saturating_add(CREDITS_PER_REQUEST);
+        let first = rest.accepted == 1;
+        if rest.accepted >= slots {
             self.servers.remove(server, start);
         }
         first
     }
 
-    /// When a server may be sent the next request; nothing where it may now.
-    pub fn opens(&self, now: Moment, server: &ServerId, start: Incarnation) -> Option<Moment> {
-        let opens = self.servers.get(server, start)?.opens();
-        (now < opens).then_some(opens)
+    /// Returns when a server may be sent the next request, or nothing if it may be sent one now.
+    pub fn next_send(&self, now: Moment, server: &ServerId, start: Incarnation) -> Option<Moment> {
+        let next = self.servers.get(server, start)?.next_send();
+        (now < next).then_some(next)
     }
 
-    /// Whether a server wants nothing now.
+    /// Whether a server rests now.
     pub fn is_resting(&self, now: Moment, server: &ServerId, start: Incarnation) -> bool {
         self.servers
             .get(server, start)
             .is_some_and(|rest| now < rest.until)
     }
 
-    /// A request is sent to a server.
+    /// Records that a request is sent to a server.
     pub fn spend(&mut self, now: Moment, server: &ServerId, start: Incarnation) {
         if let Some(rest) = self.servers.get_mut(server, start) {
             rest.credits = rest.credits.max(1) - 1;
-            rest.sent = now;
+            rest.last_sent = now;
         }
     }
 
-    /// How much later than asked this gateway comes back.
-    fn later(&self, now: Moment, span: Span) -> Span {
-        let most = (span.as_micros() as f64 * SPREAD_PART).min(SPREAD.as_micros() as f64);
+    /// Returns how much later than asked this gateway comes back.
+    fn jitter(&self, now: Moment, span: Span) -> Span {
+        let most = (span.as_micros() as f64 * JITTER_FRACTION).min(MAX_JITTER.as_micros() as f64);
         Span::from_micros((most * fraction(mix(self.seed ^ now.as_micros()))) as u64)
     }
 }
@@ -134,16 +138,16 @@
         Self {
             until,
             credits: 1,
-            taken: 0,
-            sent: until,
+            accepted: 0,
+            last_sent: until,
         }
     }
 
-    fn opens(&self) -> Moment {
+    fn next_send(&self) -> Moment {
         if self.credits > 0 {
             self.until
         } else {
-            self.until.max(self.sent + LOST)
+            self.until.max(self.last_sent + UNANSWERED_TIMEOUT)
         }
     }
 }
--- a/crates/placement/src/returns.rs
+++ b/crates/placement/src/returns.rs
@@ -1,62 +1,64 @@
-//! When requests come back that all servers of their service leave no room for, as they name limits or rest.
+//! Schedules when requests come back if all servers of their service are limited or resting.
 //!
-//! Answers the load of a service in need: told to come back at once, its callers would meet the next grant, or the end
-//! of the first rest, in a herd, and all but one of them in vain. So each gets a turn, as far apart as this gateway's part of what the servers
-//! take; who can be on time still waits for it here.
+//! If all callers were told to come back at once, they would all meet the next grant, or the end of
+//! the first rest, together, and all but one of them would be refused. So each caller gets its own
+//! time. The times are as far apart as this gateway's part of what the servers take. A request that
+//! can still be on time waits in the gateway instead.
 
 use std::collections::HashMap;
 
 use snipemast_core::prelude::*;
 
-use crate::outage::{less, Waiting, BACK_PART};
+use crate::outage::{subtract, Deferral, RETRY_DIVISOR};
 
-/// The turns of each service's requests.
+/// When the next request of each service comes back.
 #[derive(Debug, Default)]
-pub struct Returns {
+pub struct RetrySchedule {
     next: HashMap<ServiceId, Moment>,
 }
 
 /// A request that no server may take now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Held {
-    /// How long it has waited here.
+pub struct HeldRequest {
+    /// How long the request has waited in the gateway.
     pub waited: Span,
-    /// Within which time its answer is to begin.
+    /// The time within which its answer should begin.
     pub objective: Span,
     /// How long its caller still waits.
     pub left: Span,
-    /// When its service's servers take the next request.
-    pub opens: Moment,
-    /// What they take from then on, all together.
+    /// When the servers of its service take the next request.
+    pub opens_at: Moment,
+    /// The rate that these servers take from then on, all together.
     pub limit: Rate,
-    /// How many gateways share that.
+    /// The number of gateways that share the rate.
     pub gateways: u32,
 }
 
-impl Held {
-    /// The pause between two turns.
-    fn pause(&self) -> Span {
+impl HeldRequest {
+    /// Returns the interval between two requests.
+    fn interval(&self) -> Span {
         let shares = 1_000 * u64::from(self.gateways);
         Span::from_millis(1_000 * shares / self.limit.as_millis().max(1))
     }
 }
 
-impl Returns {
-    /// Gives a request its turn.
-    pub fn turn(&mut self, now: Moment, service: &ServiceId, held: Held) -> Waiting {
-        let longest = Span::from_micros(held.left.as_micros() / BACK_PART);
+impl RetrySchedule {
+    /// Gives a request the next free time of its service.
+    pub fn schedule(&mut self, now: Moment, service: &ServiceId, held: HeldRequest) -> Deferral {
+        let longest = Span::from_micros(held.left.as_micros() / RETRY_DIVISOR);
         let before = self.next.get(service).copied().unwrap_or(Moment::ZERO);
-        let turn = before.max(now).max(held.opens) + held.pause();
-        let span = now.until(turn);
-        // A caller comes back no later than that: it gets no turn, and the line stays as long as it is.
+        let due = before.max(now).max(held.opens_at) + held.interval();
+        let span = now.until(due);
+        // A caller comes back no later than `longest`. Such a request takes no time of the
+        // schedule, which then stays as it is.
         if span > longest {
-            return Waiting::RetryLater(longest);
+            return Deferral::RetryLater(longest);
         }
-        self.next.insert(service.clone(), turn);
-        if span <= less(held.objective, held.waited) {
-            Waiting::Queue(span)
+        self.next.insert(service.clone(), due);
+        if span <= subtract(held.objective, held.waited) {
+            Deferral::Queue(span)
         } else {
-            Waiting::RetryLater(span)
+            Deferral::RetryLater(span)
         }
     }
 }
--- a/crates/placement/src/sends.rs
+++ b/crates/placement/src/sends.rs
@@ -1,43 +1,44 @@
-//! How often one attempt of a caller is sent to servers.
+//! Counts how often one attempt of a caller is sent to servers.
 
-/// The most servers that one attempt is sent to, with those that refused it as not run.
-const MOST: u32 = 3;
+/// The most servers that one attempt is sent to, including those that refused it as not run.
+const MAX_SENDS: u32 = 3;
 
-/// The sends of one attempt, the one under way among them.
+/// The sends of one attempt, including the one under way.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Sends {
-    /// Those that may have run.
+    /// The sends that may have run.
     runs: u32,
-    all: u32,
+    total: u32,
 }
 
 impl Sends {
-    /// Whether one more is within a route's attempts.
+    /// Whether a route with this number of attempts allows one more send.
     pub fn may_begin(&self, attempts: u32) -> bool {
-        self.runs < attempts && self.all < MOST
+        self.runs < attempts && self.total < MAX_SENDS
     }
 
-    /// Whether none has begun yet.
+    /// Whether nothing has been sent yet.
     pub fn is_empty(&self) -> bool {
-        self.all == 0
+        self.total == 0
     }
 
-    /// Which one is under way, from 1.
+    /// Returns the number of the send under way, from 1.
     pub fn count(&self) -> u32 {
-        self.all
+        self.total
     }
 
-    /// A send begins; it counts as run from now on.
+    /// Begins a send, which counts as run from now on.
     ///
-    /// Failure guarded against: counted once when it begins and again when its answer does, a stream of two
-    /// attempts that falls silent in the middle stays at its server until its caller has nearly given up.
+    /// This guards against counting a send twice, when it begins and when its answer does: a stream
+    /// with two attempts that falls silent in the middle would stay at its server until its caller
+    /// has nearly given up.
     pub fn begin(&mut self) {
         self.runs += 1;
-        self.all += 1;
+        self.total += 1;
     }
 
-    /// The send under way has not run and never will.
-    pub fn take_back(&mut self) {
+    /// Records that the send under way did not run and never will.
+    pub fn mark_not_run(&mut self) {
         self.runs = self.runs.saturating_sub(1);
     }
 }
--- a/crates/placement/src/servers.rs
+++ b/crates/placement/src/servers.rs
@@ -1,9 +1,10 @@
-//! What a gateway believes of each server's load and health, and the servers that it may choose.
+//! A gateway's view of each server's load and health, and the choice of a server.
 //!
-//! The load of a server is what this gateway has in flight there, known exactly, and what the other
-//! gateways had when they last told. Health comes from this gateway's own requests.
+//! The load of a server is what this gateway has in flight there, which is known exactly, and what
+//! the other gateways had when they last reported it. The health is what this gateway's own
+//! requests show.
 //!
-//! - `asked`: what servers ask of gateways.
+//! - `asked`: what servers ask of gateways: limits, rests, and leaving.
 //! - `health`: what requests show of servers' health.
 //! - `open`: which servers may take a request now.
 
@@ -23,24 +24,25 @@
 mod health;
 mod open;
 
-pub use health::{ServerFault, STILL};
+pub use health::{ServerFault, SILENCE_LIMIT};
 
-/// How long the others' counts are believed: four of their usual exchanges.
-const OTHERS_AGE: Span = Span::from_millis(1_000);
+/// The age up to which the other gateways' counts are used: four of their usual exchanges.
+const MAX_COUNT_AGE: Span = Span::from_millis(1_000);
 
-/// How long a request is taken to be in flight before the first one was answered.
-const USUAL: Span = Span::from_secs(1);
+/// The assumed time of a request in flight before the first one of its service is answered.
+const DEFAULT_DURATION: Span = Span::from_secs(1);
 
-/// From this pace on, in hundredths of the usual time, a server is slow: a request on a rank that
-/// takes half as long again lengthens every pass of its group by more than the usual unevenness.
-const SLOW: u32 = 150;
+/// The pace from which a server counts as slow, in hundredths of the usual time. A request on a
+/// rank that takes half as long again lengthens every pass of its group by more than the usual
+/// unevenness.
+const SLOW_PACE: u32 = 150;
 
-/// What is believed of each server.
+/// The gateway's view of all servers.
 #[derive(Debug)]
 pub struct Servers<P = PickPolicy> {
     pick: P,
-    /// When a server counts as full.
-    room: LoadLimits,
+    /// How many requests a server may have in flight.
+    load_limits: LoadLimits,
     zone: ZoneId,
     known: BTreeMap<ServerId, Server>,
     /// The pools of each service's servers.
@@ -48,37 +50,39 @@
     slow: HashMap<ServerId, u32>,
     allowances: Allowances,
     rests: Rests,
-    /// For how long a server that leaves may be sent what no other takes.
+    /// How long a server that is leaving still serves. For a part of that it may be sent requests
+    /// that no other server takes.
     drain: Span,
-    /// When the other gateways' counts were taken, in the mean.
-    counted: Moment,
-    /// How long a request is in flight, as a rule.
-    usual: HashMap<ServiceId, Span>,
+    /// When the other gateways' counts were taken, on average.
+    counted_at: Moment,
+    /// How long a request of each service is usually in flight.
+    usual_durations: HashMap<ServiceId, Span>,
 }
 
 #[derive(Debug)]
 struct Server {
-    offered: AnnouncedServer,
+    announced: AnnouncedServer,
     own: u32,
     others: u32,
     failures: u32,
-    strikes: u32,
-    out: Moment,
-    full: Moment,
-    /// When a piece of a stream came last.
-    piece: Moment,
-    /// Whether it is left out until something comes from it: a host that stands still takes connections too.
-    still: bool,
-    /// When it was asked last how it is.
-    asked: Moment,
+    ejections: u32,
+    ejected_until: Moment,
+    full_until: Moment,
+    /// When the server last sent a piece of a stream.
+    last_piece: Moment,
+    /// Whether the server is left out until it sends something. A frozen host still accepts
+    /// connections.
+    frozen: bool,
+    /// When a health check of the server last began.
+    last_check: Moment,
 }
 
 impl<P: Pick> Servers<P> {
-    /// No server yet; those of this zone are preferred among equals.
+    /// Creates a view without servers. Servers of this zone are preferred among equals.
     pub fn new(zone: ZoneId) -> Self {
         Self {
             pick: P::default(),
-            room: LoadLimits::default(),
+            load_limits: LoadLimits::default(),
             zone,
             known: BTreeMap::new(),
             pools: HashMap::new(),
@@ -86,74 +90,75 @@
             allowances: Allowances::new(0),
             rests: Rests::default(),
             drain: Span::default(),
-            counted: Moment::ZERO,
-            usual: HashMap::new(),
+            counted_at: Moment::ZERO,
+            usual_durations: HashMap::new(),
         }
     }
 
-    /// Picks servers in this way.
+    /// Sets the policy that picks servers.
     pub fn with_pick(mut self, pick: P) -> Self {
         self.pick = pick;
         self
     }
 
-    /// Tells this gateway apart from others that believe the same.
+    /// Sets a seed that differs between gateways with the same view.
     pub fn with_seed(mut self, seed: u64) -> Self {
         self.allowances = Allowances::new(seed);
         self.rests = Rests::new(seed);
         self
     }
 
-    /// Sends servers that leave, for so long, what no other takes.
+    /// Sets how long a server that is leaving still serves.
     pub fn with_drain(mut self, drain: Span) -> Self {
         self.drain = drain;
         self
     }
 
-    /// Takes a server for full once it has so many requests in flight.
-    pub fn with_room(mut self, room: LoadLimits) -> Self {
-        self.room = room;
+    /// Sets how many requests a server may have in flight before it counts as full.
+    pub fn with_load_limits(mut self, load_limits: LoadLimits) -> Self {
+        self.load_limits = load_limits;
         self
     }
 
-    /// Sets the servers that may be sent to; what is known of those that stay is kept. Tells where
-    /// servers took requests that are gone or have started again.
+    /// Sets the servers that may be sent requests, and keeps what is known of those that stay.
+    /// Returns the addresses of the servers that are gone or have started again.
     ///
-    /// Failure guarded against: a server crashes and starts again under its id, and the requests that its
-    /// earlier start had, its failures and its pace keep requests away from it.
-    pub fn set_announced(&mut self, offered: Vec<AnnouncedServer>) -> Vec<SocketAddr> {
+    /// This guards against a server that crashes and starts again under the same id: the requests,
+    /// failures and pace of its earlier start would keep requests away from it.
+    pub fn set_announced(&mut self, announced: Vec<AnnouncedServer>) -> Vec<SocketAddr> {
         let mut before = std::mem::take(&mut self.known);
-        let mut left = Vec::new();
-        for offered in offered {
-            let known = before.remove(&offered.server);
+        let mut gone = Vec::new();
+        for announced in announced {
+            let known = before.remove(&announced.server);
             let server = match known {
-                Some(known) if known.is(&offered) => Server { offered, ..known },
+                Some(known) if known.matches(&announced) => Server { announced, ..known },
                 known => {
-                    left.extend(known.map(|s| s.offered.address));
-                    self.slow.remove(&offered.server);
-                    Server::new(offered)
+                    gone.extend(known.map(|s| s.announced.address));
+                    self.slow.remove(&announced.server);
+                    Server::new(announced)
                 }
             };
-            self.known.insert(server.offered.server.clone(), server);
+            self.known.insert(server.announced.server.clone(), server);
         }
-        left.extend(before.into_values().map(|s| s.offered.address));
-        let pools: BTreeSet<&Pool> = self.known.values().map(|s| &s.offered.pool).collect();
+        gone.extend(before.into_values().map(|s| s.announced.address));
+        let pools: BTreeSet<&Pool> = self.known.values().map(|s| &s.announced.pool).collect();
         self.pools.clear();
         for pool in pools {
             let service = self.pools.entry(pool.service.clone()).or_default();
             service.push(pool.clone());
         }
-        left
+        gone
     }
 
-    /// Sets what the other gateways had in flight when they told, and how long ago that was in the mean.
+    /// Sets the number of requests that the other gateways reported in flight, and the average age
+    /// of these reports.
     pub fn set_other_counts(
         &mut self,
         now: Moment,
         age: Span,
         counts: impl Iterator<Item = (ServerId, u32)>,
     ) {
-        self.counted = now - age;
+        self.counted_at = now - age;
         for server in self.known.values_mut() {
             server.others = 0;
         }
@@ -171,77 +176,78 @@
 
     /// Whether a server is left out because it is slow.
     ///
-    /// Answers the load of a group with one slow rank: all ranks wait for it in each pass, and it
-    /// takes its factor longer for each request that it runs itself. So it gets none, as long as
-    /// most of its group is as fast as usual.
-    fn is_shunned(&self, offered: &AnnouncedServer) -> bool {
-        let slow = |id: &ServerId| self.slow.get(id).is_some_and(|pace| *pace >= SLOW);
-        if !slow(&offered.server) {
+    /// All ranks of a group wait for its slowest one in each pass, and a slow rank lengthens each
+    /// pass further for each request that it runs itself. So it gets no requests, as long as most
+    /// of its group runs at the usual pace.
+    fn is_slow_outlier(&self, announced: &AnnouncedServer) -> bool {
+        let slow = |id: &ServerId| self.slow.get(id).is_some_and(|pace| *pace >= SLOW_PACE);
+        if !slow(&announced.server) {
             return false;
         }
-        let same = self.known.values().map(|s| &s.offered);
-        let same = same.filter(|o| o.pool == offered.pool);
-        let (all, bad) = same.fold((0, 0), |(all, bad), o| {
-            (all + 1, bad + usize::from(slow(&o.server)))
+        let peers = self.known.values().map(|s| &s.announced);
+        let peers = peers.filter(|s| s.pool == announced.pool);
+        let (all, bad) = peers.fold((0, 0), |(all, bad), s| {
+            (all + 1, bad + usize::from(slow(&s.server)))
         });
         2 * bad <= all
     }
 
-    /// What this gateway has in flight.
+    /// Returns the number of requests that this gateway has in flight at each busy server.
     pub fn in_flight(&self) -> impl Iterator<Item = (&ServerId, u32)> {
         let busy = self.known.iter().filter(|(_, s)| s.own > 0);
         busy.map(|(id, s)| (id, s.own))
     }
 
-    /// The pools of a service's servers.
+    /// Returns the pools of a service's servers.
     pub fn pools(&self, service: &ServiceId) -> &[Pool] {
         self.pools.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Chooses a server for a request, and counts it there.
+    /// Chooses a server for a request, and counts the request there.
     ///
-    /// `chance` differs from request to request, and between gateways that believe the same.
+    /// `chance` differs between requests, and between gateways with the same view.
     pub fn choose(
         &mut self,
         now: Moment,
-        wanted: Constraints<'_>,
-        turn: Urgency,
+        constraints: Constraints<'_>,
+        urgency: Urgency,
         chance: u64,
     ) -> Result<Choice, Unplaced> {
-        let fresh = self.freshness(now, wanted.service);
-        let open = self.open(now, wanted, turn);
-        let due = self.due(now, &open);
-        let picked = due.or_else(|| self.pick.pick(&open.candidates, fresh, chance));
-        let picked = picked.map(|place| (open.servers[place].clone(), open.candidates[place]));
-        let (unplaced, passed, rested) = (open.unplaced, open.passed, open.rested);
+        let freshness = self.freshness(now, constraints.service);
+        let open = self.open_servers(now, constraints, urgency);
+        let due = self.due_index(now, &open);
+        let picked = due.or_else(|| self.pick.pick(&open.candidates, freshness, chance));
+        let picked = picked.map(|index| (open.servers[index].clone(), open.candidates[index]));
+        let (unplaced, skipped_limited, skipped_resting) =
+            (open.unplaced, open.skipped_limited, open.skipped_resting);
         let limited: Vec<ServerId> = open.limited.into_iter().cloned().collect();
         for server in &limited {
-            self.allowances.note_demand(now, server);
+            self.allowances.record_demand(now, server);
         }
         let (id, Candidate { own, others, .. }) = picked.ok_or(unplaced)?;
         let server = self.known.get_mut(&id).ok_or(Unplaced::Nobody)?;
         server.own += 1;
-        let start = server.offered.start;
+        let start = server.announced.start;
         self.allowances.spend(now, &id);
         self.rests.spend(now, &id, start);
         Ok(Choice {
-            pool: server.offered.pool.clone(),
+            pool: server.announced.pool.clone(),
             start,
-            address: server.offered.address,
+            address: server.announced.address,
             load: own + others,
-            age: fresh.age,
+            load_age: freshness.age,
             limited: self.allowances.is_limited(&id),
-            leaving: server.offered.leaving_since.is_some(),
-            passed,
-            rested,
+            leaving: server.announced.leaving_since.is_some(),
+            skipped_limited,
+            skipped_resting,
             server: id,
         })
     }
 
-    /// What the other gateways have in flight at a server, as far as that is believed.
-    fn others(&self, now: Moment, server: &Server) -> u32 {
-        let fresh = now < self.counted + OTHERS_AGE;
-        if fresh {
+    /// Returns the other gateways' requests in flight at a server, or 0 if the counts are too old.
+    fn fresh_others(&self, now: Moment, server: &Server) -> u32 {
+        let is_fresh = now < self.counted_at + MAX_COUNT_AGE;
+        if is_fresh {
             server.others
         } else {
             0
@@ -249,59 +255,59 @@
     }
 
     fn freshness(&self, now: Moment, service: &ServiceId) -> Freshness {
-        let usual = self.usual.get(service);
+        let usual = self.usual_durations.get(service);
         Freshness {
-            age: self.counted.until(now),
-            usual: usual.copied().unwrap_or(USUAL),
+            age: self.counted_at.until(now),
+            usual_duration: usual.copied().unwrap_or(DEFAULT_DURATION),
         }
     }
 
-    /// A request was answered in whole, after it was in flight for a span.
+    /// Records that a request was answered in full after this time in flight.
     pub fn record_completion(&mut self, service: &ServiceId, took: Span) {
-        /// Over how many answers the usual time is a mean.
-        const FOLLOWED: u64 = 16;
-        let usual = self.usual.entry(service.clone()).or_insert(took);
-        *usual = usual.following(took, FOLLOWED);
+        /// The number of answers over which the usual duration is averaged.
+        const DURATION_MEAN_PARTS: u64 = 16;
+        let usual = self.usual_durations.entry(service.clone()).or_insert(took);
+        *usual = usual.following(took, DURATION_MEAN_PARTS);
     }
 
-    /// A request at a start of a server has ended, however.
+    /// Records that a request at a start of a server has ended, whether it succeeded or not.
     pub fn release(&mut self, server: &ServerId, start: Incarnation) {
         if let Some(server) = self.get(server, start) {
             server.own = server.own.saturating_sub(1);
         }
     }
 
-    /// A server, if it has not started again since.
+    /// Returns a server, unless it has started again since.
     fn get(&mut self, server: &ServerId, start: Incarnation) -> Option<&mut Server> {
         let known = self.known.get_mut(server);
-        known.filter(|s| s.offered.start == start)
+        known.filter(|s| s.announced.start == start)
     }
 
-    /// Whether a start of a server may be sent to.
-    pub fn knows(&self, id: &ServerId, start: Incarnation) -> bool {
+    /// Whether a start of a server may be sent requests.
+    pub fn knows_start(&self, id: &ServerId, start: Incarnation) -> bool {
         let known = self.known.get(id);
-        known.is_some_and(|s| s.offered.start == start)
+        known.is_some_and(|s| s.announced.start == start)
     }
 }
 
 impl Server {
-    fn new(offered: AnnouncedServer) -> Self {
+    fn new(announced: AnnouncedServer) -> Self {
         Self {
-            offered,
+            announced,
             own: 0,
             others: 0,
             failures: 0,
-            strikes: 0,
-            out: Moment::ZERO,
-            full: Moment::ZERO,
-            piece: Moment::ZERO,
-            still: false,
-            asked: Moment::ZERO,
+            ejections: 0,
+            ejected_until: Moment::ZERO,
+            full_until: Moment::ZERO,
+            last_piece: Moment::ZERO,
+            frozen: false,
+            last_check: Moment::ZERO,
         }
     }
 
-    /// Whether this is what a server offers: the same start of it, at the same place.
-    fn is(&self, offered: &AnnouncedServer) -> bool {
-        self.offered.start == offered.start && self.offered.address == offered.address
+    /// Whether an announcement is of the same start of the server at the same address.
+    fn matches(&self, announced: &AnnouncedServer) -> bool {
+        self.announced.start == announced.start && self.announced.address == announced.address
     }
 }
--- a/crates/placement/src/shutdown.rs
+++ b/crates/placement/src/shutdown.rs
@@ -1,56 +1,59 @@
-//! How a process that was told to end takes leave: no answer is cut, and no caller is turned away
-//! for nothing.
+//! Decides how a process shuts down, so that no answer is cut off and no caller is refused without
+//! need.
 
 use snipemast_core::prelude::*;
 
-/// How long requests on open connections are still taken after the process was told to end. What
-/// comes then has the rest of the platform's bound to run; streams take 2 to 4 s.
-pub const TAKEN: Span = Span::from_millis(2_600);
+/// How long requests on open connections are accepted after the shutdown begins. A request that
+/// comes at the end of it has the rest of the platform's grace period to run; streams take 2 to 4
+/// s.
+pub const ACCEPT_PERIOD: Span = Span::from_millis(2_600);
 
-/// How long the process stays at least: the balancer asks once a second, gives up after two misses,
-/// and sends new connections until then.
-pub const NOTICE: Span = Span::from_millis(3_500);
+/// How long the process stays at least. The load balancer checks once a second, gives up after two
+/// misses, and sends new connections until then.
+pub const MIN_DRAIN: Span = Span::from_millis(3_500);
 
-/// How long before the platform's bound the process ends, whatever is still in hand.
-pub const MARGIN: Span = Span::from_millis(300);
+/// How long before the end of the platform's grace period the process ends, whatever is in flight.
+pub const END_MARGIN: Span = Span::from_millis(300);
 
-/// A process's leave.
+/// The state of a process's shutdown.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Shutdown {
-    told: Option<Moment>,
+    begun_at: Option<Moment>,
 }
 
 impl Shutdown {
-    /// A process that was not told to end.
+    /// Creates the state of a process that is not shutting down.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The process was told to end.
-    pub fn tell(&mut self, now: Moment) {
-        self.told.get_or_insert(now);
+    /// Begins the shutdown.
+    pub fn begin(&mut self, now: Moment) {
+        self.begun_at.get_or_insert(now);
     }
 
-    /// Whether the process was told to end: it is not ready, and closes connections after answers.
-    pub fn is_told(&self) -> bool {
-        self.told.is_some()
+    /// Whether the shutdown has begun. The process is then not ready, and closes connections after
+    /// answers.
+    pub fn has_begun(&self) -> bool {
+        self.begun_at.is_some()
     }
 
-    /// Whether a request is still taken.
+    /// Whether the process still accepts requests.
     ///
-    /// Failure guarded against: a caller's idle connection brings a request shortly before the
-    /// process must end, and its answer is cut. Refused as not run, it comes back through another
-    /// entry host at once.
-    pub fn takes(&self, now: Moment) -> bool {
-        self.told.is_none_or(|told| now < told + TAKEN)
+    /// This guards against a request that comes on a caller's idle connection shortly before the
+    /// process must end, so that its answer is cut off. A request that is refused as not run comes
+    /// back at once through another entry host.
+    pub fn accepts_requests(&self, now: Moment) -> bool {
+        self.begun_at
+            .is_none_or(|begun_at| now < begun_at + ACCEPT_PERIOD)
     }
 
     /// Whether the process may end.
-    pub fn may_end(&self, now: Moment, grace: Span, in_hand: u32) -> bool {
-        let Some(told) = self.told else {
+    pub fn may_end(&self, now: Moment, grace: Span, in_flight: u32) -> bool {
+        let Some(begun_at) = self.begun_at else {
             return false;
         };
-        let spent = now >= told + grace - MARGIN;
-        spent || (in_hand == 0 && now >= told + NOTICE)
+        let expired = now >= begun_at + grace - END_MARGIN;
+        expired || (in_flight == 0 && now >= begun_at + MIN_DRAIN)
     }
 }
--- a/crates/placement/src/urgency.rs
+++ b/crates/placement/src/urgency.rs
@@ -1,49 +1,51 @@
-//! Which requests begin first at servers that have more than they run.
+//! Decides which requests begin first at servers that have more than they run.
 //!
-//! Answers the load after an outage: what waited for it, and what came back, is late whenever it begins, and fills
-//! every slot for seconds. Begun in order of arrival it makes all that arrives meanwhile late too. So what can still
-//! be on time begins first, and what is late takes the places that are left.
+//! After an outage, the requests that waited for its end, or came back, are late whenever they
+//! begin, and fill every slot for seconds. In order of arrival, they would make all new requests
+//! late too. So requests that can still be on time begin first, and late ones take the remaining
+//! slots.
 
 use std::collections::HashMap;
 
 use snipemast_core::data;
 use snipemast_core::prelude::*;
 
-/// The part of the objective that may be spent before a request counts as late, in hundredths: its prompt and its
-/// first token take the rest.
-const SPENT: u64 = 60;
+/// The part of the objective that may be spent before a request counts as late, in hundredths. The
+/// prompt and the first token take the rest.
+const LATE_PERCENT: u64 = 60;
 
-/// How long the longest patience of a route's callers is remembered: it falls when the configuration changes it.
-const REMEMBERED: Span = Span::from_secs(30);
+/// How long the longest patience of a route's callers is remembered. It falls when the
+/// configuration changes it.
+const PATIENCE_RETENTION: Span = Span::from_secs(30);
 
 data! {
-    /// The ways to order requests, as settings name them.
+    /// The ways to order requests that settings can name.
     #[derive(Copy, Default)]
     #[serde(rename_all = "lowercase")]
     pub enum QueueOrder {
-        /// As they arrive.
+        /// In order of arrival.
         Arrival,
-        /// Those that can still be on time first.
+        /// Requests that can still be on time go first.
         #[default]
         Lateness,
     }
 }
 
-/// When a request begins, against others at the same server.
+/// How urgent a request is compared with others at the same server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Urgency {
-    /// A stream that goes on: its caller has a part of the answer.
+    /// A stream that is resumed: its caller has a part of the answer.
     Resumed,
-    /// It can still be on time.
+    /// A request that can still be on time.
     InTime,
-    /// It is late whenever it begins.
+    /// A request that is late whenever it begins.
     Late,
 }
 
 impl Urgency {
-    /// The turn of a request that has spent so much time since its caller first asked.
+    /// Returns the urgency of a request. `spent` is the time since its caller first asked.
     pub fn new(spent: Span, objective: Span) -> Self {
-        if spent.times(100) < objective.times(SPENT) {
+        if spent.times(100) < objective.times(LATE_PERCENT) {
             Self::InTime
         } else {
             Self::Late
@@ -51,19 +53,20 @@
     }
 }
 
-/// How much a server may have in flight for a request to be sent there, in hundredths of its slots.
+/// How many requests a server may have in flight to be sent another one, in hundredths of its
+/// slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadLimits {
-    /// For one that can be on time.
+    /// The limit for a request that can be on time.
     pub full: u32,
-    /// For one that is late: what lies above is left to those that can be on time.
+    /// The limit for a late request. What lies above is left to those that can be on time.
     pub late: u32,
 }
 
 impl LoadLimits {
-    /// How much there may be for a request of a turn.
-    pub fn bound(self, turn: Urgency) -> u32 {
-        match turn {
+    /// Returns the limit for a request of this urgency.
+    pub fn limit_for(self, urgency: Urgency) -> u32 {
+        match urgency {
             Urgency::Resumed | Urgency::InTime => self.full,
             Urgency::Late => self.full.min(self.late),
         }
@@ -71,8 +74,8 @@
 }
 
 impl Default for LoadLimits {
-    /// What waits in a server's own queue begins without a round trip, and it refuses what is beyond that. Late
-    /// requests get no place in the queue.
+    /// A request in a server's own queue begins without a round-trip, and the server refuses what
+    /// is beyond that. Late requests get no place in the queue.
     fn default() -> Self {
         Self {
             full: 150,
@@ -81,24 +84,26 @@
     }
 }
 
-/// How long callers of each route wait, which tells those that ask again.
+/// How long the callers of each route wait, which shows whether a caller asks again.
 #[derive(Debug, Clone, Default)]
-pub struct Patience {
-    routes: HashMap<String, Longest>,
+pub struct CallerPatience {
+    routes: HashMap<String, LongestWait>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Longest {
+struct LongestWait {
     patience: Span,
     seen: Moment,
 }
 
-impl Patience {
-    /// How much of its time a caller has spent already that waits for so long from now on.
+impl CallerPatience {
+    /// Returns how much of its time a caller has spent already that waits for `patience` from now
+    /// on.
     ///
-    /// A caller that comes back names what is left of its time, and one that asks first the whole of it.
-    pub fn spent(&mut self, now: Moment, route: &str, patience: Span) -> Span {
-        let first = Longest {
+    /// A caller that comes back names what is left of its time; a caller that asks first names all
+    /// of it.
+    pub fn time_spent(&mut self, now: Moment, route: &str, patience: Span) -> Span {
+        let first = LongestWait {
             patience,
             seen: now,
         };
@@ -106,7 +111,7 @@
             self.routes.insert(route.to_owned(), first);
             return Span::default();
         };
-        if patience >= longest.patience || now >= longest.seen + REMEMBERED {
+        if patience >= longest.patience || now >= longest.seen + PATIENCE_RETENTION {
             *longest = first;
         }
         let spent = longest
--- a/crates/placement/tests/allowances.rs
+++ b/crates/placement/tests/allowances.rs
@@ -1,7 +1,7 @@
-//! What a gateway sends to servers that name limits.
+//! Tests of the requests that a gateway sends to servers with rate limits.
 
 use snipemast_core::prelude::*;
-use snipemast_placement::allowances::Granted;
+use snipemast_placement::allowances::GrantLease;
 use snipemast_placement::Allowances;
 
 fn at(millis: u64) -> Moment {
@@ -14,21 +14,21 @@
 
 fn limited(rate: u64) -> Allowances {
     let mut allowances = Allowances::new(1);
-    allowances.see_gateways(9);
-    allowances.set_grants(at(0), std::iter::empty());
+    allowances.observe_gateways(9);
+    allowances.add_grants(at(0), std::iter::empty());
     allowances.set_limits(at(0), vec![(id(), Rate::per_second(rate))]);
     allowances
 }
 
 fn grant(allowances: &mut Allowances, now: Moment, count: u32, due: bool) {
     let until = now + Span::from_secs(1);
-    let granted = Granted { count, due, until };
-    allowances.set_grants(now, [(id(), granted)].into_iter());
+    let granted = GrantLease { count, due, until };
+    allowances.add_grants(now, [(id(), granted)].into_iter());
 }
 
-/// A gateway sends to a server in need what it was granted long ago, after it stood still.
+/// A gateway that was frozen wakes up and uses old grants, which overloads a server.
 #[test]
-fn grants_end() {
+fn grants_expire() {
     let mut allowances = limited(1);
     assert!(!allowances.admits(at(0), &id()));
     grant(&mut allowances, at(0), 2, false);
@@ -36,23 +36,23 @@
     assert!(!allowances.admits(at(1_000), &id()));
 }
 
-/// Each grant is used once.
+/// A grant is used more than once.
 #[test]
 fn grants_are_spent() {
     let mut allowances = limited(1);
     grant(&mut allowances, at(0), 1, false);
     grant(&mut allowances, at(100), 1, true);
     for due in [true, false] {
-        assert_eq!(allowances.is_due(at(200), &id()), due);
+        assert_eq!(allowances.has_due_grant(at(200), &id()), due);
         assert!(allowances.admits(at(200), &id()));
         allowances.spend(at(200), &id());
     }
     assert!(!allowances.admits(at(200), &id()));
 }
 
-/// What was granted of a higher limit is sent after a lower one is known.
+/// Grants of a higher limit are still used after a lower limit is known.
 #[test]
-fn lower_limit_takes_back() {
+fn lower_limit_revokes() {
     let mut allowances = limited(8);
     grant(&mut allowances, at(0), 4, false);
     allowances.set_limits(at(100), vec![(id(), Rate::per_second(9))]);
@@ -61,21 +61,22 @@
     assert!(!allowances.admits(at(200), &id()));
 }
 
-/// A limit is over, and requests stay away all the same.
+/// A limit has ended, and requests still avoid the server.
 #[test]
-fn end_is_taken() {
+fn limit_end_applied() {
     let mut allowances = limited(1);
     allowances.set_limits(at(100), Vec::new());
     assert!(allowances.admits(at(100), &id()));
     assert!(!allowances.is_limited(&id()));
 }
 
-/// The leader grants what nobody has a use for: a gateway asks only for what its own requests looked for lately.
+/// The leader grants requests that nobody sends. A gateway only asks for what its own requests
+/// recently looked for.
 #[test]
-fn demand_fades() {
+fn demand_expires() {
     let mut allowances = limited(5);
     for _ in 0..3 {
-        allowances.note_demand(at(0), &id());
+        allowances.record_demand(at(0), &id());
     }
     assert_eq!(allowances.demand(at(100), &id()), 3);
     grant(&mut allowances, at(100), 2, false);
@@ -83,13 +84,14 @@
     assert_eq!(allowances.demand(at(500), &id()), 0);
 }
 
-/// All hosts start anew while nobody leads, and each sends a server in need a share as if it were alone.
+/// All hosts restart while there is no leader, and each sends a limited server a share as if it
+/// were the only gateway.
 #[test]
-fn nothing_alone_among_unknown_many() {
+fn ungranted_needs_count() {
     let mut allowances = Allowances::new(1);
     allowances.set_limits(at(0), vec![(id(), Rate::per_second(1))]);
     assert!(!allowances.admits(at(3_600_000), &id()));
-    allowances.see_gateways(3);
+    allowances.observe_gateways(3);
     assert!(allowances.admits(at(3_600_000), &id()));
     allowances.spend(at(3_600_000), &id());
     assert!(!allowances.admits(at(3_629_999), &id()));
--- a/crates/placement/tests/budget.rs
+++ b/crates/placement/tests/budget.rs
@@ -1,33 +1,33 @@
-//! One gateway's share of the repeats.
+//! Tests of one gateway's share of the retry budget.
 
 use quickcheck::quickcheck;
 
 use snipemast_core::prelude::*;
-use snipemast_placement::budget::{Bounds, Budget};
+use snipemast_placement::budget::{RetryBounds, RetryBudget};
 
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: RetryBounds = RetryBounds {
     ratio: 0.2,
     slack: 94,
     window: Span::from_secs(10),
 };
 
 quickcheck! {
-    /// Whatever comes to which of nine gateways, their repeats in any window stay within the bound over
-    /// all of them, though none knows of the others' requests.
-    fn bound_holds(arrivals: Vec<(u8, u8)>) -> bool {
+    /// Nine gateways that don't know of each other's requests send more retries in a window than
+    /// the bound over all of them, whichever requests come to each.
+    fn retry_bound_holds(arrivals: Vec<(u8, u8)>) -> bool {
         let service = ServiceId::new("lector").unwrap();
-        let mut budgets: Vec<Budget> = (0..9).map(|_| Budget::new(BOUNDS)).collect();
-        budgets.iter_mut().for_each(|b| b.see_gateways(9));
+        let mut budgets: Vec<RetryBudget> = (0..9).map(|_| RetryBudget::new(BOUNDS)).collect();
+        budgets.iter_mut().for_each(|b| b.observe_gateways(9));
         let mut now = Moment::from_millis(1_000);
-        let mut repeats = 0;
+        let mut retries = 0;
         for (gateway, pause) in &arrivals {
             now = now + Span::from_millis(u64::from(*pause) / 32);
             let budget = &mut budgets[usize::from(*gateway) % 9];
-            budget.note_request(now, &service);
-            repeats += u32::from(budget.spend(now, &service));
-            repeats += u32::from(budget.spend(now, &service));
+            budget.record_request(now, &service);
+            retries += u32::from(budget.try_spend(now, &service));
+            retries += u32::from(budget.try_spend(now, &service));
         }
-        // All of it lies within one window.
-        f64::from(repeats) <= 0.2 * arrivals.len() as f64 + 94.0
+        // All arrivals lie within one window.
+        f64::from(retries) <= 0.2 * arrivals.len() as f64 + 94.0
     }
 }
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -1,22 +1,22 @@
-//! Servers of one service, and what a gateway that knows them does with a request.
+//! The servers of one service, and how a gateway places requests on them.
 
 use snipemast_core::prelude::*;
 use snipemast_placement::choice::{AnnouncedServer, Choice, Constraints, Unplaced};
 use snipemast_placement::outage::AllowedPools;
 use snipemast_placement::{Pool, Servers, Urgency};
 
-/// A moment of a test.
+/// Returns a moment of a test.
 pub(crate) fn at(millis: u64) -> Moment {
     Moment::from_millis(50_000 + millis)
 }
 
-/// A server's id.
+/// Returns a server's id.
 pub(crate) fn id(number: usize) -> ServerId {
     ServerId::new(format!("i-{number}")).unwrap()
 }
 
-/// The first start of a server.
-pub(crate) fn offered(number: usize) -> AnnouncedServer {
+/// Returns the announcement of the first start of a server.
+pub(crate) fn announced(number: usize) -> AnnouncedServer {
     AnnouncedServer {
         server: id(number),
         start: Incarnation(1),
@@ -33,20 +33,23 @@
 
 /// Chooses a server of the service for a request.
 pub(crate) fn choose(servers: &mut Servers, now: Moment) -> Result<Choice, Unplaced> {
-    with_wanted(|wanted| servers.choose(now, wanted, Urgency::InTime, 7))
+    with_constraints(|constraints| servers.choose(now, constraints, Urgency::InTime, 7))
 }
 
-/// Whether one of the service's servers has a free place.
-pub(crate) fn has_free(servers: &Servers, now: Moment) -> bool {
-    with_wanted(|wanted| servers.has_free(now, wanted))
+/// Whether one of the service's servers has a free slot.
+pub(crate) fn has_free_slot(servers: &Servers, now: Moment) -> bool {
+    with_constraints(|constraints| servers.has_free_slot(now, constraints))
 }
 
-/// Wants any server of the service.
-fn with_wanted<T>(work: impl FnOnce(Constraints<'_>) -> T) -> T {
-    let (service, gate) = (offered(1).pool.service, AllowedPools::AllExcept(Vec::new()));
+/// Runs `work` with constraints that allow every server of the service.
+fn with_constraints<T>(work: impl FnOnce(Constraints<'_>) -> T) -> T {
+    let (service, allowed) = (
+        announced(1).pool.service,
+        AllowedPools::AllExcept(Vec::new()),
+    );
     work(Constraints {
         service: &service,
-        allowed: &gate,
+        allowed: &allowed,
         excluded: &[],
     })
 }
--- a/crates/placement/tests/events.rs
+++ b/crates/placement/tests/events.rs
@@ -1,8 +1,8 @@
-//! Streams that are cut into whole events.
+//! Tests of streams that are split into events.
 
 use quickcheck::quickcheck;
 
-use snipemast_placement::Events;
+use snipemast_placement::EventSplitter;
 
 fn read_id(line: &[u8]) -> Option<u64> {
     std::str::from_utf8(line.strip_prefix(b"id: ")?)
@@ -17,22 +17,22 @@
 }
 
 quickcheck! {
-    /// A stream breaks off anywhere, goes on elsewhere after its last whole event, and arrives whole,
-    /// however it is cut into pieces, though the second server repeats an event.
-    fn joined_whole(cut: usize, piece: u8) -> bool {
+    /// A stream breaks off anywhere and is resumed at another server, which repeats an event.
+    /// However the bytes are split into pieces, the caller must get every event once and complete.
+    fn resumed_stream_complete(cut: usize, piece: u8) -> bool {
         let whole = stream(1, 9);
         let cut = cut % whole.len();
         let piece = usize::from(piece) % 40 + 1;
-        let mut events = Events::new(read_id, None);
+        let mut events = EventSplitter::new(read_id, None);
         let mut out = Vec::new();
         for bytes in whole[..cut].chunks(piece) {
             out.extend(events.push(bytes).unwrap());
         }
-        events.cut();
-        let last = events.last().unwrap_or(0);
+        events.discard_partial();
+        let last = events.last_id().unwrap_or(0);
         for bytes in stream(last.max(1), 9).chunks(piece) {
             out.extend(events.push(bytes).unwrap());
         }
-        out == whole && events.is_whole()
+        out == whole && events.is_complete()
     }
 }
--- a/crates/placement/tests/leaving.rs
+++ b/crates/placement/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Servers that said in their answers that they leave.
+//! Tests of servers that said in an answer that they are leaving.
 
 mod common;
 
@@ -6,23 +6,23 @@
 use snipemast_placement::choice::{AnnouncedServer, Unplaced};
 use snipemast_placement::{ServerFault, Servers};
 
-use common::{at, has_free, id, offered};
+use common::{announced, at, has_free_slot, id};
 
 const DRAIN: Span = Span::from_secs(2);
 
-/// A server with one slot.
+/// Returns the announcement of a server with one slot.
 fn small(number: usize) -> AnnouncedServer {
     AnnouncedServer {
         slots: 1,
-        ..offered(number)
+        ..announced(number)
     }
 }
 
-/// So many servers, the first of which said at the moment 0 that it leaves.
+/// Returns a view of `count` servers, of which the first said at the moment 0 that it is leaving.
 fn servers(count: usize) -> Servers {
     let mut servers = Servers::new(ZoneId::new("a").unwrap()).with_drain(DRAIN);
     servers.set_announced((1..=count).map(small).collect());
-    servers.note_leaving(at(0), &id(1), Incarnation(1));
+    servers.record_leaving(at(0), &id(1), Incarnation(1));
     servers
 }
 
@@ -30,18 +30,18 @@
     common::choose(servers, now).map(|choice| choice.server)
 }
 
-/// A server that leaves is sent requests that another one takes.
+/// A leaving server is sent requests that another server would take.
 #[test]
-fn others_come_first() {
+fn others_preferred() {
     let mut servers = servers(2);
     assert_eq!(choose(&mut servers, at(0)), Ok(id(2)));
     servers.release(&id(2), Incarnation(1));
     assert_eq!(choose(&mut servers, at(10)), Ok(id(2)));
 }
 
-/// Nobody else can take a request, and it is refused although a server that leaves serves still.
+/// No other server takes a request, and it is refused although a leaving server still serves.
 #[test]
-fn serves_what_none_takes() {
+fn last_resort_used() {
     let mut servers = servers(2);
     servers.record_fault(at(0), &id(2), Incarnation(1), ServerFault::Unreachable);
     assert_eq!(choose(&mut servers, at(10)), Ok(id(1)));
@@ -49,16 +49,16 @@
     assert_eq!(choose(&mut servers, at(300)), Ok(id(1)));
 }
 
-/// A request is sent to a server that may be gone before it ends.
+/// A request is sent to a leaving server that may be gone before the request ends.
 #[test]
-fn leaving_ends() {
+fn drain_ends() {
     let mut servers = servers(1);
     assert_eq!(choose(&mut servers, at(1_000)), Err(Unplaced::Nobody));
 }
 
-/// The news of another server puts one that leaves among those on offer anew.
+/// News of another server is applied, and a leaving server counts as staying again.
 #[test]
-fn news_change_nothing() {
+fn news_keep_leaving() {
     let mut servers = servers(1);
     let leaving = AnnouncedServer {
         leaving_since: Some(at(0)),
@@ -71,11 +71,11 @@
     }
 }
 
-/// A stream moves to a server that leaves, or grants are asked for one.
+/// A stream moves to a leaving server, or the leader is asked for grants for it.
 #[test]
-fn leaving_is_no_place() {
+fn leaving_not_free() {
     let mut servers = servers(1);
-    assert!(!has_free(&servers, at(10)));
+    assert!(!has_free_slot(&servers, at(10)));
     servers.set_limits(at(10), vec![(id(1), Rate::per_second(1))]);
     assert!(choose(&mut servers, at(20)).is_err());
     assert_eq!(servers.demand(at(30), &id(1)), 0);
--- a/crates/placement/tests/length.rs
+++ b/crates/placement/tests/length.rs
@@ -1,37 +1,39 @@
-//! How long a stream takes to its end.
+//! Tests of the estimated length of streams.
 
 use snipemast_core::prelude::*;
-use snipemast_placement::length::Length;
-use snipemast_placement::outage::SERVED;
+use snipemast_placement::length::StreamLength;
+use snipemast_placement::outage::DEFAULT_STREAM_TIME;
 
-/// A user's reading is begun with two seconds left, runs for those and fails, while others wait for its slot: its caller
-/// had said that it would be long. A short one still ends in that time.
+/// A long stream begins with two seconds left, runs for that time and fails, while other requests
+/// wait for its slot, although its caller had said that it would be long. A short one can still end
+/// in that time.
 #[test]
 fn long_streams_cannot_end() {
-    let of = |pieces| Length {
+    let stream = |pieces| StreamLength {
         pieces: Some(pieces),
         pause: Some(Span::from_millis(90)),
-        promised: Span::from_millis(120),
+        pause_target: Span::from_millis(120),
     };
     let left = Span::from_secs(2);
-    assert!(of(50).least() > left);
-    assert!(of(20).usual() < left);
-    assert!(of(30).least() < left && of(30).usual() > left);
+    assert!(stream(50).shortest() > left);
+    assert!(stream(20).expected() < left);
+    assert!(stream(30).shortest() < left && stream(30).expected() > left);
 }
 
-/// Where a caller estimates nothing, or no pause was seen yet, what is usual is believed, and nothing refused.
+/// The caller gives no estimate, or no pause was seen yet: defaults are used, and nothing is
+/// refused.
 #[test]
 fn unknown_length_sent() {
-    let unknown = Length {
+    let unknown = StreamLength {
         pieces: None,
         pause: None,
-        promised: Span::from_millis(120),
+        pause_target: Span::from_millis(120),
     };
-    assert_eq!(unknown.least(), Span::default());
-    assert_eq!(unknown.usual(), SERVED);
-    let unseen = Length {
+    assert_eq!(unknown.shortest(), Span::default());
+    assert_eq!(unknown.expected(), DEFAULT_STREAM_TIME);
+    let default_pause = StreamLength {
         pieces: Some(8),
         ..unknown
     };
-    assert_eq!(unseen.usual(), Span::from_millis(720));
+    assert_eq!(default_pause.expected(), Span::from_millis(720));
 }
--- a/crates/placement/tests/outage.rs
+++ b/crates/placement/tests/outage.rs
@@ -1,12 +1,13 @@
-//! What becomes of requests while a service is out.
+//! Tests of requests during an outage of a service.
 
 use snipemast_core::prelude::*;
 use snipemast_placement::outage::{
-    waiting, AllowedPools, Blocked, Outages, Waiting, Word, LONGEST, PROBE, SERVED,
+    defer, AllowedPools, BlockedRequest, Deferral, Outages, ReportedChange, DEFAULT_STREAM_TIME,
+    MAX_QUEUE_TIME, PROBE_INTERVAL,
 };
-use snipemast_placement::pools::{Forming, Pool};
+use snipemast_placement::pools::{GroupState, Pool};
 
-const WHOLE: Span = Span::from_secs(8);
+const TIMEOUT: Span = Span::from_secs(8);
 
 fn pool(group: Option<&str>) -> Pool {
     Pool {
@@ -15,25 +16,28 @@
     }
 }
 
-fn forming(epoch: u64, goes_on: bool) -> Forming {
-    Forming {
+fn group_state(epoch: u64, running: bool) -> GroupState {
+    GroupState {
         epoch: GroupIncarnation(epoch),
-        goes_on,
+        running,
     }
 }
 
-fn blocked(left: Span, waited: Span) -> Blocked {
-    Blocked {
+fn blocked(left: Span, waited: Span) -> BlockedRequest {
+    BlockedRequest {
         left,
         waited,
-        whole: WHOLE,
-        needed: SERVED,
+        timeout: TIMEOUT,
+        answer_time: DEFAULT_STREAM_TIME,
     }
 }
 
-/// A user's reading is refused twice within a second and given up, although its group is back four
-/// seconds later: a rank crashes, all ranks refuse, and each refusal says to come back at once. Plays
-/// an outage of `outage` ms over callers that come back once; the share that is answered.
+/// Returns the share of callers that are answered in an outage of `outage` ms, if each comes back
+/// once.
+///
+/// The failure: a rank crashes, all ranks refuse, and each refusal says to come back at once. A
+/// request is refused twice within a second, and its caller gives up although the group is back
+/// four seconds later.
 fn answered(outage: u64) -> f64 {
     let arrivals = (0..outage).step_by(10);
     let total = arrivals.clone().count() as f64;
@@ -42,38 +46,39 @@
 }
 
 fn is_answered(at: u64, outage: u64) -> bool {
-    let deadline = at + WHOLE.as_millis();
+    let deadline = at + TIMEOUT.as_millis();
     let mut now = at;
     for _ in 0..2 {
         let mut waited = 0;
         loop {
             let left = Span::from_millis(deadline.saturating_sub(now));
-            match waiting(&blocked(left, Span::from_millis(waited))) {
-                Waiting::Queue(span) => {
+            match defer(&blocked(left, Span::from_millis(waited))) {
+                Deferral::Queue(span) => {
                     let end = (now + span.as_millis()).min(outage.max(now));
                     waited += end - now;
                     now = end;
                 }
-                Waiting::RetryLater(span) => {
+                Deferral::RetryLater(span) => {
                     now += span.as_millis();
                     break;
                 }
-                Waiting::Refuse => return false,
+                Deferral::Refuse => return false,
             }
             if now >= outage {
-                return now + SERVED.as_millis() <= deadline;
+                return now + DEFAULT_STREAM_TIME.as_millis() <= deadline;
             }
         }
         if now >= outage {
-            return now + SERVED.as_millis() <= deadline;
+            return now + DEFAULT_STREAM_TIME.as_millis() <= deadline;
         }
     }
     false
 }
 
-/// Every request of an outage of five seconds is answered, late, and most of one of six. With 0.3 s to
-/// come back after each refusal it was the last 0.3 s of an outage only: 0.15 of two seconds, 0.05 of
-/// six; with a first attempt that comes back at once 0.68 of six.
+/// Every request of an outage of five seconds is answered late, and so are most of an outage of
+/// six. With 0.3 s to come back after each refusal, only requests of the last 0.3 s of an outage
+/// were answered: 0.15 of two seconds, 0.05 of six. With a first attempt that comes back at once,
+/// it was 0.68 of six.
 #[test]
 fn outage_waited_out() {
     assert!(answered(2_000) > 0.99, "{}", answered(2_000));
@@ -82,45 +87,49 @@
     assert!(answered(6_000) > 0.85, "{}", answered(6_000));
 }
 
-/// Nobody waits for longer than callers bear with a stream that shows nothing.
+/// A request waits longer than callers tolerate a stream that shows nothing.
 #[test]
-fn patience_bounded() {
+fn queueing_bounded() {
     let left = Span::from_secs(5);
     assert_eq!(
-        waiting(&blocked(left, Span::default())),
-        Waiting::Queue(LONGEST)
+        defer(&blocked(left, Span::default())),
+        Deferral::Queue(MAX_QUEUE_TIME)
     );
-    let after = Span::from_micros(left.as_micros() - LONGEST.as_micros());
-    assert_eq!(waiting(&blocked(after, LONGEST)), Waiting::Refuse);
+    let after = Span::from_micros(left.as_micros() - MAX_QUEUE_TIME.as_micros());
+    assert_eq!(defer(&blocked(after, MAX_QUEUE_TIME)), Deferral::Refuse);
 }
 
-/// A first attempt waits, and comes back after that.
+/// A first attempt is refused without waiting, or does not come back after waiting.
 #[test]
-fn first_waits() {
-    let first = blocked(WHOLE, Span::default());
-    assert_eq!(waiting(&first), Waiting::Queue(LONGEST));
-    let waited = blocked(Span::from_millis(6_400), LONGEST);
-    assert!(matches!(waiting(&waited), Waiting::RetryLater(_)));
+fn first_attempt_waits() {
+    let first = blocked(TIMEOUT, Span::default());
+    assert_eq!(defer(&first), Deferral::Queue(MAX_QUEUE_TIME));
+    let waited = blocked(Span::from_millis(6_400), MAX_QUEUE_TIME);
+    assert!(matches!(defer(&waited), Deferral::RetryLater(_)));
 }
 
-/// One request at a time finds out whether the service is back.
+/// Many requests probe a service that is out at the same time.
 #[test]
 fn one_probe() {
     let mut outages = Outages::new();
     let (pools, now) = ([pool(None)], Moment::from_millis(10_000));
     let open = || AllowedPools::AllExcept(Vec::new());
-    assert_eq!(outages.gate(now, &pools), open());
-    assert!(outages.note_out(now, &pools[0]));
-    assert_eq!(outages.gate(now, &pools), AllowedPools::NoPool);
-    let later = now + PROBE;
-    assert_eq!(outages.gate(later, &pools), AllowedPools::Probe(pool(None)));
-    assert_eq!(outages.gate(later, &pools), AllowedPools::NoPool);
-    assert!(outages.note_open(&pools[0]));
-    assert_eq!(outages.gate(later, &pools), open());
+    assert_eq!(outages.allowed_pools(now, &pools), open());
+    assert!(outages.mark_out(now, &pools[0]));
+    assert_eq!(outages.allowed_pools(now, &pools), AllowedPools::NoPool);
+    let later = now + PROBE_INTERVAL;
+    assert_eq!(
+        outages.allowed_pools(later, &pools),
+        AllowedPools::Probe(pool(None))
+    );
+    assert_eq!(outages.allowed_pools(later, &pools), AllowedPools::NoPool);
+    assert!(outages.mark_open(&pools[0]));
+    assert_eq!(outages.allowed_pools(later, &pools), open());
 }
 
-/// A user's reading waits for a group that has lost a rank although another one of its service is open: requests go to
-/// the open one, an answer from there opens only that, and the other is looked at now and then.
+/// A request waits for a group that lost a rank although another group of its service is open.
+/// Requests must go to the open group, an answer from it opens only that group, and the other one
+/// is probed now and then.
 #[test]
 fn other_group_stays_open() {
     let mut outages = Outages::new();
@@ -128,62 +137,73 @@
         [pool(Some("g0")), pool(Some("g1"))],
         Moment::from_millis(10_000),
     );
-    outages.note_out(now, &pools[0]);
+    outages.mark_out(now, &pools[0]);
     let others = AllowedPools::AllExcept(vec![pool(Some("g0"))]);
-    assert!(others.holds(&pools[1]) && !others.holds(&pools[0]));
-    assert_eq!(outages.gate(now + PROBE, &pools), others);
-    assert!(!outages.note_open(&pools[1]));
-    assert_eq!(outages.gate(now + PROBE, &pools), others);
+    assert!(others.allows(&pools[1]) && !others.allows(&pools[0]));
+    assert_eq!(outages.allowed_pools(now + PROBE_INTERVAL, &pools), others);
+    assert!(!outages.mark_open(&pools[1]));
+    assert_eq!(outages.allowed_pools(now + PROBE_INTERVAL, &pools), others);
     let later = now + Span::from_secs(6);
     assert_eq!(
-        outages.gate(later, &pools),
+        outages.allowed_pools(later, &pools),
         AllowedPools::Probe(pool(Some("g0")))
     );
-    outages.note_out(now, &pools[1]);
-    assert_eq!(outages.gate(now, &pools), AllowedPools::NoPool);
+    outages.mark_out(now, &pools[1]);
+    assert_eq!(outages.allowed_pools(now, &pools), AllowedPools::NoPool);
 }
 
-/// A user's reading waits half a second longer than its group is out, or is sent into it again at once: the ranks tell
-/// that they go on in the forming that refused, a moment before they know. Only a later forming opens it.
+/// A request waits half a second longer than its group is out, or is sent into the outage again at
+/// once, because the ranks still report the epoch that refused as running. Only a later epoch opens
+/// the group.
 #[test]
-fn told_by_ranks() {
+fn reported_by_ranks() {
     let mut outages = Outages::new();
     let (pools, now) = ([pool(Some("g0"))], Moment::from_millis(10_000));
-    let told = |outages: &mut Outages, epoch, goes_on| {
-        outages.note_told(now, &pools[0], forming(epoch, goes_on))
+    let report = |outages: &mut Outages, epoch, running| {
+        outages.apply_report(now, &pools[0], group_state(epoch, running))
     };
-    assert_eq!(told(&mut outages, 1, true), None);
-    assert_eq!(told(&mut outages, 1, false), Some(Word::Stalled));
-    assert_eq!(outages.gate(now, &pools), AllowedPools::NoPool);
-    assert_eq!(told(&mut outages, 1, true), Some(Word::GoesOn));
-    assert!(outages.note_out(now, &pools[0]));
-    assert_eq!(told(&mut outages, 1, true), None);
-    assert_eq!(outages.gate(now, &pools), AllowedPools::NoPool);
-    assert_eq!(told(&mut outages, 2, true), Some(Word::GoesOn));
+    assert_eq!(report(&mut outages, 1, true), None);
+    assert_eq!(
+        report(&mut outages, 1, false),
+        Some(ReportedChange::Stalled)
+    );
+    assert_eq!(outages.allowed_pools(now, &pools), AllowedPools::NoPool);
+    assert_eq!(report(&mut outages, 1, true), Some(ReportedChange::Resumed));
+    assert!(outages.mark_out(now, &pools[0]));
+    assert_eq!(report(&mut outages, 1, true), None);
+    assert_eq!(outages.allowed_pools(now, &pools), AllowedPools::NoPool);
+    assert_eq!(report(&mut outages, 2, true), Some(ReportedChange::Resumed));
     assert_eq!(
-        outages.gate(now, &pools),
+        outages.allowed_pools(now, &pools),
         AllowedPools::AllExcept(Vec::new())
     );
 }
 
-/// A user's reading is refused although its group answers others: its ranks told that they had stalled, no later word of
-/// them comes through, and each piece of other news brings the old one again. An answer outweighs it.
+/// A request is refused although its group answers others: the ranks reported a stall, newer
+/// reports don't come through, and other news repeats the old one. An answer outweighs the old
+/// report.
 #[test]
-fn old_word_counts_once() {
+fn old_report_ignored() {
     let mut outages = Outages::new();
     let (pool, now) = (pool(Some("g0")), Moment::from_millis(10_000));
-    let stalled = forming(1, false);
-    assert_eq!(outages.note_told(now, &pool, stalled), Some(Word::Stalled));
-    assert!(outages.note_open(&pool));
-    assert_eq!(outages.note_told(now, &pool, stalled), None);
+    let stalled = group_state(1, false);
     assert_eq!(
-        outages.gate(now, &[pool]),
+        outages.apply_report(now, &pool, stalled),
+        Some(ReportedChange::Stalled)
+    );
+    assert!(outages.mark_open(&pool));
+    assert_eq!(outages.apply_report(now, &pool, stalled), None);
+    assert_eq!(
+        outages.allowed_pools(now, &[pool]),
         AllowedPools::AllExcept(Vec::new())
     );
 }
 
-/// A request that has no time left to be answered is refused at once.
+/// A request waits although it has no time left to be answered.
 #[test]
-fn too_late_given_up() {
-    assert_eq!(waiting(&blocked(SERVED, Span::default())), Waiting::Refuse);
+fn late_request_refused() {
+    assert_eq!(
+        defer(&blocked(DEFAULT_STREAM_TIME, Span::default())),
+        Deferral::Refuse
+    );
 }
--- a/crates/placement/tests/pick.rs
+++ b/crates/placement/tests/pick.rs
@@ -1,4 +1,4 @@
-//! Which of several servers a request is given to.
+//! Tests of the policies that pick a server.
 
 use quickcheck::quickcheck;
 
@@ -7,7 +7,7 @@
 
 const FRESH: Freshness = Freshness {
     age: Span::from_millis(0),
-    usual: Span::from_millis(1_600),
+    usual_duration: Span::from_millis(1_600),
 };
 
 const OLD: Freshness = Freshness {
@@ -15,29 +15,29 @@
     ..FRESH
 };
 
-fn candidate(own: u32, others: u32, near: bool) -> Candidate {
+fn candidate(own: u32, others: u32, same_zone: bool) -> Candidate {
     Candidate {
         own,
         others,
         slots: 10,
-        near,
+        same_zone,
     }
 }
 
-/// How often each candidate is picked, of a thousand times.
-fn shares(pick: impl Pick, candidates: &[Candidate], fresh: Freshness) -> Vec<u32> {
+/// Returns how often each candidate is picked in a thousand draws.
+fn shares(pick: impl Pick, candidates: &[Candidate], freshness: Freshness) -> Vec<u32> {
     let mut shares = vec![0; candidates.len()];
     for chance in 0..1_000 {
-        let picked = pick.pick(candidates, fresh, chance);
+        let picked = pick.pick(candidates, freshness, chance);
         shares[picked.expect("there are candidates")] += 1;
     }
     shares
 }
 
-/// A user waits a second for a first token while other servers stand idle: twenty gateways hold the same counts, one
-/// server is free in them, and all send it their requests before the next counts show that. With old counts the
-/// requests are spread over the servers that have places; the least loaded one alone gets them with counts
-/// that nobody else acts on.
+/// Twenty gateways have the same counts, one server is free in them, and all gateways send it their
+/// requests before the next counts show that: requests wait a second for a first token while other
+/// servers are idle. With old counts, requests must spread over the servers with free slots. With
+/// counts that no other gateway acts on, the least loaded server gets them all.
 #[test]
 fn old_counts_spread() {
     let mut loads = vec![candidate(0, 6, true); 20];
@@ -53,7 +53,7 @@
     assert_eq!(shares(Expected, &alone, FRESH), vec![0, 1_000]);
 }
 
-/// Requests stay in their zone while one of its servers has a free slot, and go to others after that.
+/// Requests leave their zone while one of its servers has a free slot, or stay there after that.
 #[test]
 fn own_zone_while_free() {
     let free = [candidate(2, 5, true), candidate(0, 0, false)];
@@ -64,10 +64,10 @@
     assert_eq!(shares(Expected, &full, FRESH)[1], 1_000);
 }
 
-/// Two users' streams go to the one server of two that stands still, and neither shows that the other server goes on: two
-/// different servers are drawn, so of two the less loaded one is always picked.
+/// Two streams go to the frozen one of two servers, and none shows that the other server is
+/// running. Two different servers are drawn, so the less loaded one of two is always picked.
 #[test]
-fn two_servers_shared() {
+fn two_servers_compared() {
     let busy = [candidate(1, 0, true), candidate(0, 0, true)];
     assert_eq!(shares(Sampled, &busy, FRESH), vec![0, 1_000]);
     let alike = [candidate(0, 0, true), candidate(0, 0, true)];
@@ -77,25 +77,26 @@
 }
 
 quickcheck! {
-    /// Whatever the loads and the age of counts, somebody is picked who is there, and nobody out of nobody.
-    fn picked_is_there(loads: Vec<(u8, u8, u8, bool)>, age: u16, chance: u64) -> bool {
+    /// With any loads and any age of the counts, a policy picks a candidate that doesn't exist, or
+    /// none although there is one.
+    fn picked_exists(loads: Vec<(u8, u8, u8, bool)>, age: u16, chance: u64) -> bool {
         let candidates: Vec<Candidate> = loads
             .iter()
-            .map(|(own, others, slots, near)| Candidate {
+            .map(|(own, others, slots, same_zone)| Candidate {
                 own: u32::from(*own),
                 others: u32::from(*others),
                 slots: u32::from(*slots),
-                near: *near,
+                same_zone: *same_zone,
             })
             .collect();
-        let fresh = Freshness { age: Span::from_millis(u64::from(age)), ..FRESH };
+        let freshness = Freshness { age: Span::from_millis(u64::from(age)), ..FRESH };
         let picks = [
-            Least.pick(&candidates, fresh, chance),
-            Sampled.pick(&candidates, fresh, chance),
-            Expected.pick(&candidates, fresh, chance),
+            Least.pick(&candidates, freshness, chance),
+            Sampled.pick(&candidates, freshness, chance),
+            Expected.pick(&candidates, freshness, chance),
         ];
         picks.iter().all(|picked| match picked {
-            Some(place) => *place < candidates.len(),
+            Some(index) => *index < candidates.len(),
             None => candidates.is_empty(),
         })
     }
--- a/crates/placement/tests/returns.rs
+++ b/crates/placement/tests/returns.rs
@@ -1,8 +1,8 @@
-//! When requests come back whose servers all name limits, or rest.
+//! Tests of when requests come back if all servers are limited or resting.
 
 use snipemast_core::prelude::*;
-use snipemast_placement::outage::Waiting;
-use snipemast_placement::returns::{Held, Returns};
+use snipemast_placement::outage::Deferral;
+use snipemast_placement::returns::{HeldRequest, RetrySchedule};
 
 const NOW: Moment = Moment::from_millis(50_000);
 
@@ -10,66 +10,75 @@
     ServiceId::new("lector").unwrap()
 }
 
-/// A request that has just come, with three seconds left; nine gateways before servers that take so many a second.
-fn held(limit: u64) -> Held {
-    Held {
+/// Returns a request that has just arrived, with three seconds left, at one of nine gateways, for
+/// servers that take `limit` requests a second.
+fn held(limit: u64) -> HeldRequest {
+    HeldRequest {
         waited: Span::default(),
         objective: Span::from_millis(400),
         left: Span::from_secs(3),
-        opens: NOW,
+        opens_at: NOW,
         limit: Rate::per_second(limit),
         gateways: 9,
     }
 }
 
-/// All callers of a service in need are told to come back at the same time, and all but one come in vain.
+/// All callers of a limited service are told to come back at the same time, and all but one are
+/// refused again.
 #[test]
-fn returns_are_spread() {
-    let mut returns = Returns::default();
-    let turns: Vec<Waiting> = (0..6)
-        .map(|_| returns.turn(NOW, &service(), held(45)))
+fn retries_are_spread() {
+    let mut retries = RetrySchedule::default();
+    let deferrals: Vec<Deferral> = (0..6)
+        .map(|_| retries.schedule(NOW, &service(), held(45)))
         .collect();
     let expected = [200, 400, 600, 800, 1_000, 1_000].map(Span::from_millis);
-    let waits = expected[..2].iter().map(|span| Waiting::Queue(*span));
-    let backs = expected[2..].iter().map(|span| Waiting::RetryLater(*span));
-    assert_eq!(turns, waits.chain(backs).collect::<Vec<_>>());
+    let waits = expected[..2].iter().map(|span| Deferral::Queue(*span));
+    let backs = expected[2..].iter().map(|span| Deferral::RetryLater(*span));
+    assert_eq!(deferrals, waits.chain(backs).collect::<Vec<_>>());
 }
 
-/// A user who could be answered on time is sent back, or one who can't is held here.
+/// A request that could be on time is sent back, or one that can't waits in the gateway.
 #[test]
 fn waits_only_on_time() {
-    let mut returns = Returns::default();
-    let late = Held {
+    let mut retries = RetrySchedule::default();
+    let late = HeldRequest {
         waited: Span::from_millis(300),
         ..held(45)
     };
-    let turn = returns.turn(NOW, &service(), late);
-    assert_eq!(turn, Waiting::RetryLater(Span::from_millis(200)));
+    let deferral = retries.schedule(NOW, &service(), late);
+    assert_eq!(deferral, Deferral::RetryLater(Span::from_millis(200)));
 }
 
-/// The line of an hour ago holds nobody up, and a limit of nothing ends nobody's wait in a fault.
+/// A schedule from long ago delays new requests, or a limit of zero causes a division by zero.
 #[test]
-fn line_moves_on() {
-    let mut returns = Returns::default();
+fn old_schedule_ignored() {
+    let mut retries = RetrySchedule::default();
     for _ in 0..9 {
-        returns.turn(NOW, &service(), held(45));
+        retries.schedule(NOW, &service(), held(45));
     }
     let later = NOW + Span::from_secs(2);
-    let turn = returns.turn(later, &service(), held(45));
-    assert_eq!(turn, Waiting::Queue(Span::from_millis(200)));
-    let turn = returns.turn(later, &service(), held(0));
-    assert_eq!(turn, Waiting::RetryLater(Span::from_secs(1)));
+    let deferral = retries.schedule(later, &service(), held(45));
+    assert_eq!(deferral, Deferral::Queue(Span::from_millis(200)));
+    let deferral = retries.schedule(later, &service(), held(0));
+    assert_eq!(deferral, Deferral::RetryLater(Span::from_secs(1)));
 }
 
 /// All callers of a service whose servers rest are told to come back before the first rest is over.
 #[test]
-fn returns_after_rest() {
-    let mut returns = Returns::default();
-    let mut turn = |opens: u64| {
-        let opens = NOW + Span::from_millis(opens);
-        returns.turn(NOW, &service(), Held { opens, ..held(45) })
+fn retries_after_rest() {
+    let mut retries = RetrySchedule::default();
+    let mut schedule = |opens: u64| {
+        let opens_at = NOW + Span::from_millis(opens);
+        retries.schedule(
+            NOW,
+            &service(),
+            HeldRequest {
+                opens_at,
+                ..held(45)
+            },
+        )
     };
-    assert_eq!(turn(100), Waiting::Queue(Span::from_millis(300)));
-    assert_eq!(turn(100), Waiting::RetryLater(Span::from_millis(500)));
-    assert_eq!(turn(60_000), Waiting::RetryLater(Span::from_secs(1)));
+    assert_eq!(schedule(100), Deferral::Queue(Span::from_millis(300)));
+    assert_eq!(schedule(100), Deferral::RetryLater(Span::from_millis(500)));
+    assert_eq!(schedule(60_000), Deferral::RetryLater(Span::from_secs(1)));
 }
--- a/crates/placement/tests/sends.rs
+++ b/crates/placement/tests/sends.rs
@@ -1,9 +1,9 @@
-//! How often one attempt is sent.
+//! Tests of how often one attempt is sent.
 
 use snipemast_placement::Sends;
 
-/// A user's reading stops in the middle and goes on after 1.75 s instead of 0.9 s: its server's host has frozen, the
-/// route allows two attempts, and the one under way was counted twice once its answer had begun.
+/// A stream whose server's host froze is resumed after 1.75 s instead of 0.9 s: the route allows
+/// two attempts, and the send under way was counted twice once its answer had begun.
 #[test]
 fn silent_stream_moves() {
     let mut sends = Sends::default();
@@ -14,7 +14,8 @@
     assert!(!sends.may_begin(2));
 }
 
-/// A server that refused an attempt as not run leaves it its attempts, but not more than three sends.
+/// A server that refuses an attempt as not run uses up the route's attempts, or an attempt is sent
+/// more than three times.
 #[test]
 fn refused_sends_bounded() {
     let mut sends = Sends::default();
@@ -23,7 +24,7 @@
         sends.begin();
         assert_eq!(sends.count(), count);
         assert!(!sends.may_begin(1));
-        sends.take_back();
+        sends.mark_not_run();
     }
     assert!(!sends.may_begin(1));
 }
--- a/crates/placement/tests/servers.rs
+++ b/crates/placement/tests/servers.rs
@@ -1,7 +1,7 @@
-//! Which server a request is placed on.
+//! Tests of the server that a request is placed on.
 
 use snipemast_core::prelude::*;
-use snipemast_placement::allowances::Granted;
+use snipemast_placement::allowances::GrantLease;
 use snipemast_placement::choice::{AnnouncedServer, Constraints, Unplaced};
 use snipemast_placement::outage::AllowedPools;
 use snipemast_placement::pick::PickPolicy;
@@ -14,7 +14,7 @@
     ServerId::new(format!("i-{number}")).unwrap()
 }
 
-fn wanted<'a>(
+fn constraints<'a>(
     service: &'a ServiceId,
     gate: &'a AllowedPools,
     but: &'a [ServerId],
@@ -26,7 +26,7 @@
     }
 }
 
-fn open() -> AllowedPools {
+fn all_pools() -> AllowedPools {
     AllowedPools::AllExcept(Vec::new())
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-fn offered(number: usize, zone: &str) -> AnnouncedServer {
+fn announced(number: usize, zone: &str) -> AnnouncedServer {
     AnnouncedServer {
         server: id(number),
         start: Incarnation(0),
@@ -52,21 +52,22 @@
 fn servers(zones: &[&str]) -> Servers {
     let mut servers = Servers::new(ZoneId::new("a").unwrap());
     let all = zones.iter().enumerate();
-    servers.set_announced(all.map(|(n, zone)| offered(n + 1, zone)).collect());
+    servers.set_announced(all.map(|(n, zone)| announced(n + 1, zone)).collect());
     servers
 }
 
-fn place(servers: &mut Servers, chance: u64) -> Result<ServerId, Unplaced> {
+fn choose(servers: &mut Servers, chance: u64) -> Result<ServerId, Unplaced> {
     let choice = servers.choose(
         NOW,
-        wanted(&pool().service, &open(), &[]),
+        constraints(&pool().service, &all_pools(), &[]),
         Urgency::InTime,
         chance,
     );
     choice.map(|c| c.server)
 }
 
-/// The server with the least in flight is chosen, whoever sent what is there, where a gateway is set to that.
+/// With the policy of the least load, a server with more requests in flight is chosen, because
+/// another gateway sent them.
 #[test]
 fn least_loaded_chosen() {
     let mut servers = servers(&["a", "a", "a"]).with_pick(PickPolicy::Least);
@@ -75,44 +76,44 @@
         Span::default(),
         [(id(1), 3), (id(2), 1), (id(3), 2)].into_iter(),
     );
-    assert_eq!(place(&mut servers, 1), Ok(id(2)));
+    assert_eq!(choose(&mut servers, 1), Ok(id(2)));
     assert_eq!(servers.in_flight().count(), 1);
 }
 
-/// Requests stay in their zone until its servers have some more in flight than others, where a gateway is set to
-/// the least loaded one.
+/// With the policy of the least load, requests leave their zone although its servers have hardly
+/// more in flight than others, or never leave it.
 #[test]
 fn own_zone_first() {
     let mut servers = servers(&["a", "b"]).with_pick(PickPolicy::Least);
-    assert_eq!(place(&mut servers, 1), Ok(id(1)));
-    assert_eq!(place(&mut servers, 2), Ok(id(1)));
+    assert_eq!(choose(&mut servers, 1), Ok(id(1)));
+    assert_eq!(choose(&mut servers, 2), Ok(id(1)));
     let third = (0..3)
-        .map(|n| place(&mut servers, n).unwrap())
+        .map(|n| choose(&mut servers, n).unwrap())
         .collect::<Vec<_>>();
     assert!(third.contains(&id(2)), "{third:?}");
 }
 
-/// Others' counts that are old are not believed: they may be of gateways that are gone.
+/// Old counts of other gateways, which may be gone by now, are still used.
 #[test]
-fn old_counts_fade() {
+fn old_counts_ignored() {
     let mut servers = servers(&["a"]);
     servers.set_other_counts(NOW, Span::default(), [(id(1), 6)].into_iter());
-    assert_eq!(place(&mut servers, 1), Err(Unplaced::AllFull));
+    assert_eq!(choose(&mut servers, 1), Err(Unplaced::AllFull));
     let later = NOW + Span::from_secs(2);
     assert!(servers
         .choose(
             later,
-            wanted(&pool().service, &open(), &[]),
+            constraints(&pool().service, &all_pools(), &[]),
             Urgency::InTime,
             1
         )
         .is_ok());
 }
 
-/// A user waits for a server that is gone: it is left out after one connection that failed, and for
-/// longer each time.
+/// A request waits for a server that is gone. The server must be ejected after one failed
+/// connection, and for longer each time.
 #[test]
-fn unreachable_left_out() {
+fn unreachable_ejected() {
     let mut servers = servers(&["a"]);
     let first = servers
         .record_fault(NOW, &id(1), Incarnation(0), ServerFault::Unreachable)
@@ -121,138 +122,153 @@
         .record_fault(NOW, &id(1), Incarnation(0), ServerFault::Unreachable)
         .unwrap();
     assert!(second > first);
-    assert_eq!(place(&mut servers, 1), Err(Unplaced::AllOut));
-    servers.note_reachable(NOW, &id(1));
-    assert!(place(&mut servers, 1).is_ok());
+    assert_eq!(choose(&mut servers, 1), Err(Unplaced::AllOut));
+    servers.mark_reachable(NOW, &id(1));
+    assert!(choose(&mut servers, 1).is_ok());
 }
 
-/// A user sees every stream stutter for as long as one server is slow, because its group waits for it:
-/// no request is placed there, unless most of the service is slow.
+/// Every stream of a group stutters while one of its servers is slow, because the group waits for
+/// it. That server must get no requests, unless most of the service is slow.
 #[test]
-fn slow_server_shunned() {
+fn slow_server_excluded() {
     let mut servers = servers(&["b", "a", "b"]);
     servers.set_slow([(id(2), 500)].into_iter().collect());
     for chance in 0..10 {
-        assert_ne!(place(&mut servers, chance), Ok(id(2)));
+        assert_ne!(choose(&mut servers, chance), Ok(id(2)));
     }
     servers.set_slow((1..=3).map(|n| (id(n), 500)).collect());
-    assert_eq!(place(&mut servers, 11), Ok(id(2)));
+    assert_eq!(choose(&mut servers, 11), Ok(id(2)));
 }
 
-/// A user is refused although a server stands idle: it crashed with all it could carry and started again
-/// under its id. What it had, its failures and its pace are forgotten, and an old request's end counts for
-/// nothing.
+/// A request is refused although a server is idle: the server crashed with as many requests as it
+/// could carry and started again under the same id. Its old requests, failures and pace must be
+/// forgotten, and the end of an old request must not count.
 #[test]
-fn restart_forgets() {
+fn restart_resets() {
     let mut servers = servers(&["a"]);
     for chance in 0..6 {
-        assert!(place(&mut servers, chance).is_ok());
+        assert!(choose(&mut servers, chance).is_ok());
     }
-    assert_eq!(place(&mut servers, 7), Err(Unplaced::AllFull));
+    assert_eq!(choose(&mut servers, 7), Err(Unplaced::AllFull));
     let again = AnnouncedServer {
         start: Incarnation(1),
-        ..offered(1, "a")
+        ..announced(1, "a")
     };
     let left = servers.set_announced(vec![again.clone()]);
     assert_eq!(left, vec![again.address]);
     for chance in 0..6 {
-        assert!(place(&mut servers, chance).is_ok());
+        assert!(choose(&mut servers, chance).is_ok());
     }
     servers.release(&id(1), Incarnation(0));
-    assert_eq!(place(&mut servers, 7), Err(Unplaced::AllFull));
+    assert_eq!(choose(&mut servers, 7), Err(Unplaced::AllFull));
     servers.release(&id(1), Incarnation(1));
-    assert!(place(&mut servers, 7).is_ok());
+    assert!(choose(&mut servers, 7).is_ok());
     assert_eq!(servers.set_announced(vec![again]), Vec::new());
 }
 
-/// A user sees nothing of an answer and gives up after two seconds: the host of one server stands still while
-/// its service goes on elsewhere. That is told from a group that pauses as a whole.
+/// A request shows nothing and its caller gives up after two seconds: the host of one server is
+/// frozen while its service runs elsewhere. This must be distinguished from a group that pauses as
+/// a whole.
 #[test]
-fn lone_server_stands_still() {
+fn lone_silence_detected() {
     let mut servers = servers(&["a", "a"]);
     let at = |millis| NOW + Span::from_millis(millis);
     let start = Incarnation(0);
-    servers.note_piece(NOW, &id(1), start);
-    servers.note_piece(NOW, &id(2), start);
-    assert!(!servers.stands_still(at(900), &id(1), at(1)));
-    servers.note_piece(at(800), &id(2), start);
-    assert!(servers.stands_still(at(900), &id(1), at(1)));
-    assert!(!servers.stands_still(at(900), &id(2), at(1)));
-    servers.note_piece(at(850), &id(1), start);
-    assert!(!servers.stands_still(at(900), &id(1), at(1)));
-    assert!(!servers.stands_still(at(2_000), &id(1), at(900)));
+    servers.record_piece(NOW, &id(1), start);
+    servers.record_piece(NOW, &id(2), start);
+    assert!(!servers.seems_frozen(at(900), &id(1), at(1)));
+    servers.record_piece(at(800), &id(2), start);
+    assert!(servers.seems_frozen(at(900), &id(1), at(1)));
+    assert!(!servers.seems_frozen(at(900), &id(2), at(1)));
+    servers.record_piece(at(850), &id(1), start);
+    assert!(!servers.seems_frozen(at(900), &id(1), at(1)));
+    assert!(!servers.seems_frozen(at(2_000), &id(1), at(900)));
 }
 
-/// A user's request is sent to a host that stands still, again and again, because it takes connections: it is left
-/// out until it shows something.
+/// Requests are sent to a frozen host again and again, because it accepts connections. The server
+/// must be ejected until it shows something.
 #[test]
-fn still_server_left_out() {
+fn frozen_server_ejected() {
     let mut servers = servers(&["a", "b"]);
     let start = Incarnation(0);
     let out = servers.record_fault(NOW, &id(1), start, ServerFault::Still);
     assert!(out.is_some_and(|out| out >= Span::from_secs(3)));
-    assert_eq!(place(&mut servers, 1), Ok(id(2)));
-    servers.note_piece(NOW, &id(1), start);
-    assert_eq!(place(&mut servers, 2), Ok(id(1)));
+    assert_eq!(choose(&mut servers, 1), Ok(id(2)));
+    servers.record_piece(NOW, &id(1), start);
+    assert_eq!(choose(&mut servers, 2), Ok(id(1)));
 }
 
-/// A host stands still for longer than a server is left out after failures, and is sent requests again.
+/// A host is frozen for longer than a server is ejected after failures, and is sent requests again.
 #[test]
-fn still_until_it_answers() {
+fn frozen_until_answer() {
     let mut servers = servers(&["a", "a"]);
     let start = Incarnation(0);
     let later = NOW + Span::from_secs(3_600);
     let gone = [id(2)];
-    let (service, gate) = (pool().service, open());
-    let wanted = wanted(&service, &gate, &gone);
+    let (service, allowed) = (pool().service, all_pools());
+    let constraints = constraints(&service, &allowed, &gone);
     servers.record_fault(NOW, &id(1), start, ServerFault::Still);
-    assert_eq!(servers.still().collect::<Vec<_>>(), [&id(1)]);
-    assert!(!servers.has_free(later, wanted));
-    let chosen = servers.choose(later, wanted, Urgency::InTime, 1);
+    assert_eq!(servers.frozen().collect::<Vec<_>>(), [&id(1)]);
+    assert!(!servers.has_free_slot(later, constraints));
+    let chosen = servers.choose(later, constraints, Urgency::InTime, 1);
     assert_eq!(chosen.unwrap_err(), Unplaced::AllOut);
-    servers.note_answering(later, &id(1), start);
-    assert!(servers.choose(later, wanted, Urgency::InTime, 1).is_ok());
-    assert_eq!(servers.still().count(), 0);
+    servers.mark_answering(later, &id(1), start);
+    assert!(servers
+        .choose(later, constraints, Urgency::InTime, 1)
+        .is_ok());
+    assert_eq!(servers.frozen().count(), 0);
 }
 
-/// A stream waits at a host that stands still until its caller gives up, because all other servers have queues.
+/// A stream waits at a frozen host until its caller gives up, because all other servers have
+/// queues.
 #[test]
-fn leaves_frozen_for_a_queue() {
+fn frozen_left_for_queue() {
     let mut servers = servers(&["a", "a"]);
-    let (service, gate, gone) = (pool().service, open(), [id(1)]);
-    let wanted = wanted(&service, &gate, &gone);
-    let moves = |servers: &Servers| servers.may_move(NOW, &id(1), wanted, Urgency::Resumed);
+    let (service, allowed, gone) = (pool().service, all_pools(), [id(1)]);
+    let constraints = constraints(&service, &allowed, &gone);
+    let moves = |servers: &Servers| servers.may_move(NOW, &id(1), constraints, Urgency::Resumed);
     assert!(moves(&servers));
     let queued = |count| [(id(2), count)].into_iter();
     servers.set_other_counts(NOW, Span::default(), queued(4));
-    assert!(!moves(&servers), "it may be answered where it is");
+    assert!(!moves(&servers), "the request may be answered where it is");
     servers.record_fault(NOW, &id(1), Incarnation(0), ServerFault::Still);
     assert!(moves(&servers));
-    assert!(!servers.may_move(NOW, &id(1), wanted, Urgency::Late));
+    assert!(!servers.may_move(NOW, &id(1), constraints, Urgency::Late));
     servers.set_other_counts(NOW, Span::default(), queued(6));
-    assert!(!moves(&servers), "it would be refused there");
+    assert!(!moves(&servers), "the request would be refused there");
 }
 
-/// Another gateway's path to a server is cut, and a sound server is left out, or is asked by each of its streams.
+/// Another gateway's path to a server is cut, and a healthy server is ejected, or is checked for
+/// each of its streams.
 #[test]
-fn told_servers_are_asked() {
+fn reported_servers_checked() {
     let mut servers = servers(&["a", "a"]);
     let start = Incarnation(0);
-    assert!(servers.asks_told(NOW, &id(1)).is_some());
-    assert!(servers.asks_told(NOW, &id(1)).is_none(), "asked just now");
-    servers.note_piece(NOW, &id(2), start);
-    assert!(servers.asks_told(NOW, &id(2)).is_none(), "it goes on");
-    assert!(servers.asks_told(NOW, &id(3)).is_none(), "nobody");
-    assert!(place(&mut servers, 1).is_ok());
+    assert!(servers.begin_reported_check(NOW, &id(1)).is_some());
+    assert!(
+        servers.begin_reported_check(NOW, &id(1)).is_none(),
+        "just checked"
+    );
+    servers.record_piece(NOW, &id(2), start);
+    assert!(
+        servers.begin_reported_check(NOW, &id(2)).is_none(),
+        "it is running"
+    );
+    assert!(
+        servers.begin_reported_check(NOW, &id(3)).is_none(),
+        "unknown server"
+    );
+    assert!(choose(&mut servers, 1).is_ok());
 }
 
-/// A user's stream is given up at a sound server with a long queue, and no other one can take it up: it moves only
-/// to a free place, and a server that shows nothing is asked how it is once at a time.
+/// A stream is given up at a healthy server with a long queue, and no other server can take it. It
+/// must move only to a free slot, and a silent server is checked once at a time.
 #[test]
-fn moves_to_free_places() {
+fn moves_to_free_slots() {
     let mut servers = servers(&["a", "a"]);
-    let free =
-        |servers: &Servers| servers.has_free(NOW, wanted(&pool().service, &open(), &[id(1)]));
+    let free = |servers: &Servers| {
+        servers.has_free_slot(NOW, constraints(&pool().service, &all_pools(), &[id(1)]))
+    };
     assert!(free(&servers));
     let start = Incarnation(0);
     let others = [(id(2), 4)];
@@ -262,71 +278,77 @@
     servers.record_fault(NOW, &id(2), start, ServerFault::Full);
     assert!(!free(&servers));
     let later = NOW + Span::from_secs(5);
-    assert!(servers.has_free(later, wanted(&pool().service, &open(), &[id(1)])));
-    assert!(!servers.has_free(later, wanted(&pool().service, &open(), &[id(1), id(2)])));
-    assert!(servers.asks(later, &id(1)));
-    assert!(!servers.asks(later, &id(1)));
-    assert!(servers.asks(later + Span::from_secs(1), &id(1)));
+    assert!(servers.has_free_slot(later, constraints(&pool().service, &all_pools(), &[id(1)])));
+    assert!(!servers.has_free_slot(
+        later,
+        constraints(&pool().service, &all_pools(), &[id(1), id(2)])
+    ));
+    assert!(servers.begin_check(later, &id(1)));
+    assert!(!servers.begin_check(later, &id(1)));
+    assert!(servers.begin_check(later + Span::from_secs(1), &id(1)));
 }
 
 fn grant(servers: &mut Servers, number: usize, due: bool) {
-    let granted = Granted {
+    let granted = GrantLease {
         count: 1,
         due,
         until: NOW + Span::from_secs(1),
     };
-    servers.set_grants(NOW, [(id(number), granted)].into_iter());
+    servers.add_grants(NOW, [(id(number), granted)].into_iter());
 }
 
-/// A server in need is sent more than it takes, or a user is refused although another server is free.
+/// A limited server is sent more than it takes, or a request is refused although another server is
+/// free.
 #[test]
-fn limited_server_passed() {
+fn limited_server_skipped() {
     let mut servers = servers(&["a", "a"]);
     servers.set_limits(NOW, vec![(id(1), Rate::per_second(1))]);
     for chance in 0..4 {
-        assert_eq!(place(&mut servers, chance), Ok(id(2)));
+        assert_eq!(choose(&mut servers, chance), Ok(id(2)));
     }
     grant(&mut servers, 1, false);
-    assert_eq!(place(&mut servers, 4), Ok(id(1)));
+    assert_eq!(choose(&mut servers, 4), Ok(id(1)));
     servers.set_limits(
         NOW,
         vec![(id(1), Rate::per_second(1)), (id(2), Rate::per_second(1))],
     );
-    assert_eq!(place(&mut servers, 5), Err(Unplaced::AllLimited));
+    assert_eq!(choose(&mut servers, 5), Err(Unplaced::AllLimited));
 }
 
-/// A stream moves from a server that shows nothing to one that takes no more, and breaks off there.
+/// A stream moves from a silent server to one that takes no more requests, and breaks off there.
 #[test]
-fn limited_server_is_not_free() {
+fn limited_not_free() {
     let mut servers = servers(&["a", "a"]);
     servers.set_limits(NOW, vec![(id(2), Rate::per_second(1))]);
-    let free =
-        |servers: &Servers| servers.has_free(NOW, wanted(&pool().service, &open(), &[id(1)]));
+    let free = |servers: &Servers| {
+        servers.has_free_slot(NOW, constraints(&pool().service, &all_pools(), &[id(1)]))
+    };
     assert!(!free(&servers));
     grant(&mut servers, 2, false);
     assert!(free(&servers));
 }
 
-/// A server's limit is over, but it can't say so, because the one gateway that may send to it prefers others.
+/// A limit has ended, but the server can't say so, because the one gateway that may send to it
+/// prefers other servers.
 #[test]
 fn due_server_first() {
     for chance in 0..20 {
         let mut servers = servers(&["a", "a", "b"]);
         servers.set_limits(NOW, vec![(id(3), Rate::per_second(1))]);
         grant(&mut servers, 3, true);
-        assert_eq!(place(&mut servers, chance), Ok(id(3)));
+        assert_eq!(choose(&mut servers, chance), Ok(id(3)));
     }
 }
 
-/// What a server in need takes is granted to gateways of other zones, which have free servers of their own.
+/// Grants for a limited server go to gateways of other zones, which have free servers of their own.
 #[test]
 fn own_zone_asks_first() {
     let mut servers = servers(&["a", "b"]);
     servers.set_limits(NOW, vec![(id(2), Rate::per_second(1))]);
-    assert_eq!(place(&mut servers, 1), Ok(id(1)));
+    assert_eq!(choose(&mut servers, 1), Ok(id(1)));
     assert_eq!(servers.demand(NOW, &id(2)), 0);
     for chance in 2..8 {
-        let _ = place(&mut servers, chance);
+        let _ = choose(&mut servers, chance);
     }
     assert!(servers.demand(NOW, &id(2)) > 0);
 }
--- a/crates/placement/tests/shutdown.rs
+++ b/crates/placement/tests/shutdown.rs
@@ -1,7 +1,7 @@
-//! How a process takes leave.
+//! Tests of how a process shuts down.
 
 use snipemast_core::prelude::*;
-use snipemast_placement::shutdown::{Shutdown, NOTICE};
+use snipemast_placement::shutdown::{Shutdown, MIN_DRAIN};
 
 const GRACE: Span = Span::from_secs(8);
 
@@ -9,39 +9,43 @@
     Moment::from_millis(100_000 + millis)
 }
 
-fn told() -> Shutdown {
+fn begun() -> Shutdown {
     let mut shutdown = Shutdown::new();
-    shutdown.tell(at(0));
+    shutdown.begin(at(0));
     shutdown
 }
 
-/// A user sees a stream break off in the middle during a rolling restart. The entry host is told to
-/// end; seven seconds later an idle connection of the user brings a request; the host takes it, and
-/// ends half a second later with the stream half told.
+/// A stream breaks off during a rolling restart: seven seconds after the entry host was told to
+/// end, an idle connection brings a request; the host accepts it, and ends half a second later in
+/// the middle of the stream.
 #[test]
 fn late_request_refused() {
-    let shutdown = told();
-    assert!(shutdown.takes(at(2_000)));
-    assert!(!shutdown.takes(at(7_000)));
+    let shutdown = begun();
+    assert!(shutdown.accepts_requests(at(2_000)));
+    assert!(!shutdown.accepts_requests(at(7_000)));
 }
 
-/// A request that is taken has half of the grace to be answered.
+/// A request that is accepted has less than half of the grace period to be answered.
 #[test]
-fn taken_has_time() {
-    let shutdown = told();
-    let last = (0..8_000).rev().find(|m| shutdown.takes(at(*m))).unwrap();
+fn accepted_has_time() {
+    let shutdown = begun();
+    let last = (0..8_000)
+        .rev()
+        .find(|m| shutdown.accepts_requests(at(*m)))
+        .unwrap();
     let end = (0..9_000)
         .find(|m| shutdown.may_end(at(*m), GRACE, 1))
         .unwrap();
     assert!(end - last >= 4_500, "{last} to {end}");
 }
 
-/// The process stays while the balancer may still send it new connections, and no longer.
+/// The process ends while the load balancer may still send it new connections, or stays longer than
+/// that.
 #[test]
 fn ends_when_empty() {
-    let shutdown = told();
-    assert!(!shutdown.may_end(at(NOTICE.as_millis() - 1), GRACE, 0));
-    assert!(shutdown.may_end(at(NOTICE.as_millis()), GRACE, 0));
-    assert!(!shutdown.may_end(at(NOTICE.as_millis()), GRACE, 1));
+    let shutdown = begun();
+    assert!(!shutdown.may_end(at(MIN_DRAIN.as_millis() - 1), GRACE, 0));
+    assert!(shutdown.may_end(at(MIN_DRAIN.as_millis()), GRACE, 0));
+    assert!(!shutdown.may_end(at(MIN_DRAIN.as_millis()), GRACE, 1));
     assert!(!Shutdown::new().may_end(at(60_000), GRACE, 0));
 }
