--- a/crates/placement/tests/turn.rs
+++ b/crates/placement/tests/turn.rs
@@ -1,7 +1,7 @@
-//! Which requests begin first.
+//! Tests of which requests begin first.
 
 use snipemast_core::prelude::*;
-use snipemast_placement::urgency::{LoadLimits, Patience, Urgency};
+use snipemast_placement::urgency::{CallerPatience, LoadLimits, Urgency};
 
 const OBJECTIVE: Span = Span::from_millis(400);
 
@@ -9,12 +9,13 @@
     Moment::from_millis(millis)
 }
 
-/// A user's request arrives a second after an outage and waits behind all that came back after it: those are late
-/// whenever they begin. It begins first, and the others are told by the time that their callers have left.
+/// A request arrives a second after an outage and waits behind all requests that came back after
+/// the outage, which are late whenever they begin. It must begin first. The late ones are
+/// recognised by the time that their callers have left.
 #[test]
-fn late_ones_wait() {
-    let mut patience = Patience::default();
-    let mut spent = |now, left| patience.spent(at(now), "read", Span::from_millis(left));
+fn late_requests_wait() {
+    let mut patience = CallerPatience::default();
+    let mut spent = |now, left| patience.time_spent(at(now), "read", Span::from_millis(left));
     assert_eq!(spent(0, 8_000), Span::default());
     let back = spent(5_000, 5_300);
     assert_eq!(back, Span::from_millis(2_700));
@@ -27,22 +28,23 @@
         Urgency::new(Span::from_millis(300), OBJECTIVE),
         Urgency::Late
     );
-    let room = LoadLimits::default();
-    assert!(room.bound(Urgency::Late) < room.bound(Urgency::InTime));
-    assert_eq!(room.bound(Urgency::Resumed), room.full);
+    let limits = LoadLimits::default();
+    assert!(limits.limit_for(Urgency::Late) < limits.limit_for(Urgency::InTime));
+    assert_eq!(limits.limit_for(Urgency::Resumed), limits.full);
 }
 
-/// A route's callers wait for less time than they used to: none of them is taken for one that came back for good.
+/// The callers of a route wait for less time than they used to, and all of them count as callers
+/// that ask again, for good.
 #[test]
 fn shorter_patience_learned() {
-    let mut patience = Patience::default();
-    patience.spent(at(0), "read", Span::from_secs(8));
-    let spent = patience.spent(at(1_000), "read", Span::from_secs(4));
+    let mut patience = CallerPatience::default();
+    patience.time_spent(at(0), "read", Span::from_secs(8));
+    let spent = patience.time_spent(at(1_000), "read", Span::from_secs(4));
     assert_eq!(spent, Span::from_secs(4));
-    let spent = patience.spent(at(31_000), "read", Span::from_secs(4));
+    let spent = patience.time_spent(at(31_000), "read", Span::from_secs(4));
     assert_eq!(spent, Span::default());
     assert_eq!(
-        patience.spent(at(31_000), "write", Span::from_secs(1)),
+        patience.time_spent(at(31_000), "write", Span::from_secs(1)),
         Span::default()
     );
 }
