--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -14,41 +14,42 @@
 
 use snipemast_core::prelude::*;
 
-/// An answer's way to its caller.
-pub(crate) type Answer = Response<Outgoing>;
+/// An answer to a caller.
+pub(crate) type Answer = Response<AnswerBody>;
 
 /// The body of an answer.
 #[derive(Debug)]
-pub(crate) enum Outgoing {
-    /// All of it.
+pub(crate) enum AnswerBody {
+    /// The complete body.
     Whole(Option<Bytes>),
-    /// Pieces as they come; dropping it stops the work on it.
+    /// Pieces as they come. Dropping it stops the work on them.
     Pieces(Pieces),
 }
 
 /// Pieces of an answer that another task fetches.
 #[derive(Debug)]
 pub(crate) struct Pieces {
-    /// Pinned on the heap, as channels ask for it.
-    receiver: Pin<Box<Receiver<Result<Bytes, Broken>>>>,
+    /// Pinned on the heap, as the channel's stream requires.
+    receiver: Pin<Box<Receiver<Result<Bytes, IncompleteAnswer>>>>,
     /// Fetches the pieces; ends when the caller is gone.
     _task: Task<()>,
 }
 
-/// An answer that can't be completed: its connection is closed, so that it never looks whole.
+/// The error for an answer that can't be completed. Its connection is closed, so that the answer
+/// never looks complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Broken;
+pub(crate) struct IncompleteAnswer;
 
-impl fmt::Display for Broken {
+impl fmt::Display for IncompleteAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the answer can't be completed")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for IncompleteAnswer {}
 
 impl Pieces {
-    pub(crate) fn new(receiver: Receiver<Result<Bytes, Broken>>, task: Task<()>) -> Self {
+    pub(crate) fn new(receiver: Receiver<Result<Bytes, IncompleteAnswer>>, task: Task<()>) -> Self {
         Self {
             receiver: Box::pin(receiver),
             _task: task,
@@ -56,14 +57,14 @@
     }
 }
 
-impl Body for Outgoing {
+impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = IncompleteAnswer;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteAnswer>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
             Self::Pieces(pieces) => {
@@ -86,17 +87,18 @@
     }
 }
 
-/// An answer of the gateway's own.
-pub(crate) fn own(status: StatusCode, reason: &str) -> Answer {
+/// Creates an answer of the gateway itself.
+pub(crate) fn local_answer(status: StatusCode, reason: &str) -> Answer {
     let body = Bytes::from(format!("{reason}\n"));
-    let mut response = Response::new(Outgoing::Whole(Some(body)));
+    let mut response = Response::new(AnswerBody::Whole(Some(body)));
     *response.status_mut() = status;
     response
 }
 
-/// A refusal: the request has not run and never will; the caller may come back after the span.
+/// Creates a refusal: the request has not run and never will, and the caller may come back after
+/// the span.
 pub(crate) fn refusal(reason: &str, after: Span) -> Answer {
-    let mut response = own(StatusCode::SERVICE_UNAVAILABLE, reason);
+    let mut response = local_answer(StatusCode::SERVICE_UNAVAILABLE, reason);
     let seconds = format!("{:.3}", after.as_secs_f64());
     if let Ok(value) = HeaderValue::from_str(&seconds) {
         response.headers_mut().insert(RETRY_AFTER, value);
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -1,4 +1,4 @@
-//! Open connections to servers.
+//! The pool of idle connections to servers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,30 +8,30 @@
 use snipemast_core::prelude::*;
 use snipemast_net::Connection;
 
-/// How long a connection is kept where the server states no idle time.
-const UNSTATED: Span = Span::from_millis(1_000);
+/// How long an idle connection is kept if the server states no idle time.
+const DEFAULT_IDLE_TIME: Span = Span::from_millis(1_000);
 
-/// How long before the server's idle time a connection is given up, so that none is closed
-/// there while a request is on its way.
-const MARGIN: Span = Span::from_millis(700);
+/// How long before the server's idle time a connection is closed, so that the server doesn't close
+/// it while a request is on its way.
+const IDLE_MARGIN: Span = Span::from_millis(700);
 
 /// The most idle connections that are kept to one server: a gateway's share of a server's slots.
-const KEPT: usize = 12;
+const MAX_IDLE_PER_SERVER: usize = 12;
 
-/// Idle connections, by server.
+/// Idle connections by server.
 #[derive(Debug, Default)]
-pub(crate) struct Connections {
-    idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
+pub(crate) struct ConnectionPool {
+    idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     until: Moment,
 }
 
-impl Connections {
-    /// A connection that can take a request now, the one that was used last first.
+impl ConnectionPool {
+    /// Takes a connection that can carry a request now, the most recently used one first.
     pub(crate) fn take(&self, now: Moment, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.lock();
         let kept = idle.get_mut(&address)?;
@@ -39,7 +39,7 @@
         kept.pop().map(|i| i.connection)
     }
 
-    /// Keeps a connection whose last answer was read in whole.
+    /// Keeps a connection whose last answer was read in full.
     pub(crate) fn put(
         &self,
         now: Moment,
@@ -47,8 +47,8 @@
         connection: Connection,
         idle: Option<Span>,
     ) {
-        let span = idle.map_or(UNSTATED, |i| {
-            Span::from_micros(i.as_micros().saturating_sub(MARGIN.as_micros()))
+        let span = idle.map_or(DEFAULT_IDLE_TIME, |i| {
+            Span::from_micros(i.as_micros().saturating_sub(IDLE_MARGIN.as_micros()))
         });
         if span == Span::default() {
             return;
@@ -56,15 +56,15 @@
         let mut pool = self.idle.lock();
         let kept = pool.entry(address).or_default();
         kept.retain(|i| now < i.until);
-        if kept.len() < KEPT {
-            kept.push(Idle {
+        if kept.len() < MAX_IDLE_PER_SERVER {
+            kept.push(IdleConnection {
                 connection,
                 until: now + span,
             });
         }
     }
 
-    /// Closes what was idle for too long.
+    /// Closes connections that have been idle for too long.
     pub(crate) fn expire(&self, now: Moment) {
         let mut idle = self.idle.lock();
         for kept in idle.values_mut() {
@@ -73,8 +73,9 @@
         idle.retain(|_, kept| !kept.is_empty());
     }
 
-    /// Closes every idle connection to a server, one of which went silent or carried strange bytes.
-    pub(crate) fn retire(&self, address: SocketAddr) {
+    /// Closes all idle connections to a server after one of them fell silent or carried unexpected
+    /// bytes.
+    pub(crate) fn close_idle(&self, address: SocketAddr) {
         self.idle.lock().remove(&address);
     }
 }
--- a/crates/gateway/src/frozen.rs
+++ b/crates/gateway/src/frozen.rs
@@ -1,4 +1,4 @@
-//! Servers that answer nothing, not even how they are, until they do.
+//! Health checks of servers that show nothing, and the wait until frozen ones answer again.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,25 +14,25 @@
 use snipemast_placement::{Choice, ServerFault};
 use snipemast_platform::server;
 
-use crate::send::{Job, CONNECT};
+use crate::send::{Job, CONNECT_TIMEOUT};
 use crate::state::State;
 
-/// How long a server may take to tell how it is: some times what that takes between distant zones, with a new
-/// connection.
-const TELLS: Span = Span::from_millis(150);
+/// How long a server may take to answer a health check: several times what this takes between
+/// distant availability zones with a new connection.
+const CHECK_TIMEOUT: Span = Span::from_millis(150);
 
-/// How often a server that answers nothing is asked, until it answers.
-const AGAIN: Span = Span::from_millis(500);
+/// How often a frozen server is checked until it answers.
+const CHECK_INTERVAL: Span = Span::from_millis(500);
 
 /// A start of a server that shows nothing.
 #[derive(Debug)]
-pub(crate) struct Frozen {
+pub(crate) struct FrozenServer {
     server: ServerId,
     start: Incarnation,
     address: SocketAddr,
 }
 
-impl Frozen {
+impl FrozenServer {
     pub(crate) fn new(choice: &Choice) -> Self {
         Self {
             server: choice.server.clone(),
@@ -41,22 +41,23 @@
         }
     }
 
-    /// Asks the server again and again until it answers, as long as it is on offer.
+    /// Checks the server until it answers or is no longer announced.
     ///
-    /// Failure guarded against: it is taken back after a time and stands still yet; what is sent there is given up by its
-    /// callers, and is worked on for nobody once the host goes on.
-    pub(crate) async fn await_answer(self, state: Arc<State>) {
+    /// This guards against a server that is taken back after some time although it is still frozen.
+    /// The callers of requests that are sent there give up, and the requests are processed for
+    /// nobody once the host goes on.
+    pub(crate) async fn await_recovery(self, state: Arc<State>) {
         loop {
-            pause(AGAIN).await;
+            pause(CHECK_INTERVAL).await;
             let now = state.clock.now();
-            let rests = {
+            let resting = {
                 let servers = state.servers.lock();
                 if !servers.knows_start(&self.server, self.start) {
                     return;
                 }
                 servers.is_resting(now, &self.server, self.start)
             };
-            if !rests && answers(self.address).await {
+            if !resting && passes_check(self.address).await {
                 break;
             }
         }
@@ -70,67 +71,68 @@
 }
 
 impl Job {
-    /// Asks a server that shows nothing how it is, and leaves it out where it does not answer.
+    /// Checks a server that shows nothing, and ejects it if it does not answer.
     ///
-    /// Failure guarded against: in a large group a stream waits a second and more in a rank's queue, and sound
-    /// ranks are left out, which fills the queues of the others. A server whose host stands still
-    /// takes connections, but answers nothing; one with a long queue tells how it is without one.
-    pub(crate) async fn leave_out_if_frozen(&self, choice: &Choice) {
+    /// In a large group a stream may wait a second and more in a rank's queue. If such healthy
+    /// ranks were ejected, the queues of the others would fill. A frozen host accepts connections
+    /// but answers nothing, while a server with a long queue answers a health check without
+    /// queueing it.
+    pub(crate) async fn eject_if_frozen(&self, choice: &Choice) {
         let now = self.state.clock.now();
-        let asks = self.state.servers.lock().begin_check(now, &choice.server);
-        if asks && !answers(choice.address).await {
-            self.trouble(choice, ServerFault::Still, "stands still");
+        let begun = self.state.servers.lock().begin_check(now, &choice.server);
+        if begun && !passes_check(choice.address).await {
+            self.record_fault(choice, ServerFault::Still, "answers no health check");
         }
     }
 }
 
-/// Asks the servers how they are that answer some other gateway nothing.
-pub(crate) fn check(state: &Arc<State>, told: &[ServerId]) {
+/// Checks the servers that other gateways found to be frozen.
+pub(crate) fn check_reported(state: &Arc<State>, reported: &[ServerId]) {
     let now = state.clock.now();
-    for server in told {
-        let asked = state.servers.lock().begin_reported_check(now, server);
-        if let Some((start, address)) = asked {
-            let frozen = Frozen {
+    for server in reported {
+        let begun = state.servers.lock().begin_reported_check(now, server);
+        if let Some((start, address)) = begun {
+            let frozen = FrozenServer {
                 server: server.clone(),
                 start,
                 address,
             };
-            spawn(ask_once(Arc::clone(state), frozen)).detach();
+            spawn(check_once(Arc::clone(state), frozen)).detach();
         }
     }
 }
 
-async fn ask_once(state: Arc<State>, frozen: Frozen) {
-    if answers(frozen.address).await {
+async fn check_once(state: Arc<State>, frozen: FrozenServer) {
+    if passes_check(frozen.address).await {
         return;
     }
-    let news = {
+    let is_new = {
         let now = state.clock.now();
         let mut servers = state.servers.lock();
         let out = servers.record_fault(now, &frozen.server, frozen.start, ServerFault::Still);
         out.is_some()
     };
-    if news {
+    if is_new {
         state.frozen.notify(usize::MAX);
-        let detail = "stands still, another gateway told";
+        let detail = "answers no health check, reported by another gateway";
         state
             .journal
             .record(Event::ServerEjected, &frozen.server, detail);
-        frozen.await_answer(state).await;
+        frozen.await_recovery(state).await;
     }
 }
 
-/// Whether a server tells how it is, on a connection of its own.
-async fn answers(address: SocketAddr) -> bool {
+/// Whether a server answers a health check on a connection of its own.
+async fn passes_check(address: SocketAddr) -> bool {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = Uri::from_static(server::REPORT);
     let Ok(host) = HeaderValue::from_str(&address.to_string()) else {
         return true;
     };
     request.headers_mut().insert(HOST, host);
-    let told = async {
-        let mut connection = connect(address, CONNECT).await.ok()?;
+    let answer = async {
+        let mut connection = connect(address, CONNECT_TIMEOUT).await.ok()?;
         connection.send(request).await.ok()
     };
-    within(TELLS, told).await.flatten().is_some()
+    within(CHECK_TIMEOUT, answer).await.flatten().is_some()
 }
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -1,4 +1,4 @@
-//! A request's way from its caller to an answer.
+//! The path of a request from its caller to an answer.
 
 use std::sync::Arc;
 
@@ -18,42 +18,47 @@
 use snipemast_platform::response;
 use snipemast_routes::{Denied, Match, Route, Table as Routes};
 
-use crate::answer::{own, refusal, Answer, Outgoing, Pieces};
+use crate::answer::{local_answer, refusal, Answer, AnswerBody, Pieces};
 use crate::metrics::Ended;
+use crate::request_log::UnloggedLines;
 use crate::send::{Failure, Job, Run};
 use crate::state::{ActiveRequest, State};
-use crate::story::Unsaid;
 use crate::stream;
-use crate::waiting::{wait, BACK_OUT};
+use crate::waiting::{wait_for_server, RETRY_AFTER_OUT};
 
-/// The largest answer that is read in whole before it is passed on, so that one that breaks off can
-/// be asked again.
-const WHOLE: usize = 256 << 10;
+/// The largest answer that is buffered before it is passed on, so that the request can be sent
+/// again if the answer breaks off.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// Another host takes the request at once.
-const BACK_ELSEWHERE: Span = Span::from_millis(10);
+/// When a caller comes back to a host that is shutting down: another host takes the request at
+/// once.
+const RETRY_ELSEWHERE: Span = Span::from_millis(10);
 
-/// The shortest time for which a server is asked at all.
-const WORTHWHILE: Span = Span::from_millis(20);
+/// The shortest remaining time in which a request is still sent to a server.
+const MIN_SEND_TIME: Span = Span::from_millis(20);
 
 /// Answers a caller's request.
 pub(crate) async fn handle(state: Arc<State>, request: Request<Incoming>) -> Answer {
     let active = state.begin_request();
-    let mut answer = serve(&state, request, active).await;
-    if state.is_leaving() {
+    let mut answer = process_request(&state, request, active).await;
+    if state.is_shutting_down() {
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(CONNECTION, close);
     }
     answer
 }
 
-async fn serve(state: &Arc<State>, request: Request<Incoming>, active: ActiveRequest) -> Answer {
+async fn process_request(
+    state: &Arc<State>,
+    request: Request<Incoming>,
+    active: ActiveRequest,
+) -> Answer {
     let started = state.clock.now();
     if !state.shutdown.lock().accepts_requests(started) {
-        return refusal("this host is leaving", BACK_ELSEWHERE);
+        return refusal("this host is shutting down", RETRY_ELSEWHERE);
     }
     let Some(routes) = state.routes() else {
-        return refusal("no configuration is known yet", BACK_OUT);
+        return refusal("no configuration is known yet", RETRY_AFTER_OUT);
     };
     let ask = Ask::read(request.headers());
     let host = request.headers().get(HOST).and_then(|h| h.to_str().ok());
@@ -72,10 +77,10 @@
     let body = match within(patience, Limited::new(body, bound).collect()).await {
         Some(Ok(body)) => body.to_bytes(),
         Some(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
-            return own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
+            return local_answer(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
         }
-        Some(Err(_)) => return own(StatusCode::BAD_REQUEST, "the body can't be read"),
-        None => return own(StatusCode::REQUEST_TIMEOUT, "the body took too long"),
+        Some(Err(_)) => return local_answer(StatusCode::BAD_REQUEST, "the body can't be read"),
+        None => return local_answer(StatusCode::REQUEST_TIMEOUT, "the body took too long"),
     };
     let number = state.next_number();
     let name = ask.attempt.clone().unwrap_or_else(|| number.to_string());
@@ -84,7 +89,7 @@
         known.time_spent(started, &route.name, patience)
     };
     let service = choose_service(&route, rand::random());
-    let pieces = pieces(&routes, &service, &ask);
+    let pieces = estimate_pieces(&routes, &service, &ask);
     let job = Job {
         state: Arc::clone(state),
         method: parts.method,
@@ -100,10 +105,10 @@
         ask,
         route,
         name,
-        unsaid: Unsaid::default(),
+        unlogged: UnloggedLines::default(),
     };
     state.budget.lock().record_request(started, &job.service);
-    place(Arc::new(job), active).await
+    place_request(Arc::new(job), active).await
 }
 
 fn deny(state: &State, denied: Denied, request: &Request<Incoming>) -> Answer {
@@ -111,19 +116,19 @@
     let detail = format_args!("{denied:?}, version {}", state.version());
     state.journal.record(Event::RequestRefused, path, detail);
     match denied {
-        Denied::NoRoute => own(StatusCode::NOT_FOUND, "no route leads there"),
-        Denied::NoKey => own(StatusCode::UNAUTHORIZED, "the key is not known"),
+        Denied::NoRoute => local_answer(StatusCode::NOT_FOUND, "no route matches"),
+        Denied::NoKey => local_answer(StatusCode::UNAUTHORIZED, "the key is not known"),
     }
 }
 
-/// How many pieces of an answer are still to come, as its caller estimates.
-fn pieces(routes: &Routes, service: &ServiceId, ask: &Ask) -> Option<u64> {
+/// Returns how many pieces of an answer are still to come, as its caller estimates.
+fn estimate_pieces(routes: &Routes, service: &ServiceId, ask: &Ask) -> Option<u64> {
     let engine = routes.service(service)?.engine.as_ref()?;
-    let whole = ask.length? / u64::from(engine.stride.max(1));
-    Some(whole.saturating_sub(ask.last.unwrap_or(0)))
+    let pieces = ask.length? / u64::from(engine.stride.max(1));
+    Some(pieces.saturating_sub(ask.last.unwrap_or(0)))
 }
 
-/// A service of a route, by weight.
+/// Returns a service of a route, drawn by weight.
 fn choose_service(route: &Route, chance: u64) -> ServiceId {
     let total: u64 = route.split.iter().map(|s| u64::from(s.weight)).sum();
     let mut point = chance % total.max(1);
@@ -134,115 +139,116 @@
         }
         point -= weight;
     }
-    // A checked route has a share of positive weight, which the loop has found.
+    // A checked route has a share with a positive weight, which the loop finds.
     route.split[0].service.clone()
 }
 
-/// The servers that one attempt was sent to.
+/// The servers that one attempt of a caller was sent to.
 #[derive(Debug, Default)]
-pub(crate) struct Tries {
+pub(crate) struct Attempt {
     excluded: Vec<ServerId>,
     sends: Sends,
-    /// Whether the next send is granted already.
-    granted: bool,
+    /// Whether the retry budget already covers the next send.
+    move_granted: bool,
 }
 
 /// What became of a request that was sent to servers.
-enum Placed {
-    /// One answers.
+enum Placement {
+    /// A server answers.
     Run(Box<Run>),
-    /// None was sent to, or all refused it: it has not run.
+    /// The request was sent to no server, or all refused it: it has not run.
     Unplaced(Unplaced),
-    /// It may have run.
+    /// The request may have run.
     Failed(Failure),
 }
 
-impl Tries {
-    /// Leaves a server out from now on.
+impl Attempt {
+    /// Excludes a server from further sends.
     pub(crate) fn exclude(&mut self, server: &ServerId) {
         self.excluded.push(server.clone());
     }
 
-    /// Whether a request moves away from a server, which may have run it, to a place at another one; that send is
-    /// granted then. The caller has got a stream up to the last event.
-    pub(crate) fn moves(&mut self, job: &Job, from: &ServerId, last: Option<u64>) -> bool {
+    /// Whether a request moves from a server, which may have run it, to another one. If it does,
+    /// the next send is paid from the retry budget already. `last` is the last event that the
+    /// caller has got.
+    pub(crate) fn try_move(&mut self, job: &Job, from: &ServerId, last: Option<u64>) -> bool {
         if !self.sends.may_begin(job.route.attempts) {
             return false;
         }
         let now = job.state.clock.now();
-        let but = [self.excluded.as_slice(), std::slice::from_ref(from)].concat();
-        let gate = job.gate(now);
-        let wanted = Constraints {
+        let excluded = [self.excluded.as_slice(), std::slice::from_ref(from)].concat();
+        let allowed = job.allowed_pools(now);
+        let constraints = Constraints {
             service: &job.service,
-            allowed: &gate,
-            excluded: &but,
+            allowed: &allowed,
+            excluded: &excluded,
         };
-        let turn = job.turn(last);
+        let urgency = job.urgency(last);
         let servers = job.state.servers.lock();
-        let may_move = servers.may_move(now, from, wanted, turn);
+        let may_move = servers.may_move(now, from, constraints, urgency);
         drop(servers);
-        self.granted = may_move
-            && !matches!(gate, AllowedPools::Probe(_))
+        self.move_granted = may_move
+            && !matches!(allowed, AllowedPools::Probe(_))
             && job.state.budget.lock().try_spend(now, &job.service);
-        if self.granted {
-            let detail = format_args!("{from} shows nothing, another server has a place");
-            job.note_trouble(Event::RequestRetried, detail);
+        if self.move_granted {
+            let detail = format_args!("{from} shows nothing, another server can take the request");
+            job.log_problem(Event::RequestRetried, detail);
         }
-        self.granted
+        self.move_granted
     }
 
-    /// Sends a stream that broke to another server, if it may be.
-    pub(crate) async fn again(&mut self, job: &Job, last: Option<u64>) -> Option<Run> {
-        match self.place(job, last).await {
-            Placed::Run(run) if run.response.status() == StatusCode::OK => Some(*run),
+    /// Sends a broken stream to another server, if it may be resumed.
+    pub(crate) async fn resume(&mut self, job: &Job, last: Option<u64>) -> Option<Run> {
+        match self.send_until_answered(job, last).await {
+            Placement::Run(run) if run.response.status() == StatusCode::OK => Some(*run),
             _ => None,
         }
     }
 
     /// Sends a request to one server after another until one answers.
-    async fn place(&mut self, job: &Job, last: Option<u64>) -> Placed {
+    async fn send_until_answered(&mut self, job: &Job, last: Option<u64>) -> Placement {
         let mut failure = None;
         loop {
             let give_up = |unplaced| match failure {
-                Some(failure) => Placed::Failed(failure),
-                None => Placed::Unplaced(unplaced),
+                Some(failure) => Placement::Failed(failure),
+                None => Placement::Unplaced(unplaced),
             };
-            if job.left() < WORTHWHILE || !self.sends.may_begin(job.route.attempts) {
+            if job.left() < MIN_SEND_TIME || !self.sends.may_begin(job.route.attempts) {
                 return give_up(Unplaced::Spent);
             }
             let now = job.state.clock.now();
-            if self.sends.is_empty() && self.is_too_long(job) {
+            if self.sends.is_empty() && self.cannot_end_in_time(job) {
                 return give_up(Unplaced::TooLong);
             }
-            let gate = job.gate(now);
-            if gate == AllowedPools::NoPool {
+            let allowed = job.allowed_pools(now);
+            if allowed == AllowedPools::NoPool {
                 return give_up(Unplaced::Out);
             }
             let chosen = {
                 let mut servers = job.state.servers.lock();
-                let turn = job.turn(last);
-                let wanted = Constraints {
+                let urgency = job.urgency(last);
+                let constraints = Constraints {
                     service: &job.service,
-                    allowed: &gate,
+                    allowed: &allowed,
                     excluded: &self.excluded,
                 };
-                servers.choose(now, wanted, turn, rand::random())
+                servers.choose(now, constraints, urgency, rand::random())
             };
             let choice = match chosen {
                 Ok(choice) => choice,
                 Err(unplaced) => return give_up(unplaced),
             };
-            // Asked last: a repeat that has nowhere to go is not spent.
-            if !self.is_granted(job) {
+            // Checked last, so that no retry is spent if there is no server to send to.
+            if !self.try_spend_retry(job) {
                 let mut servers = job.state.servers.lock();
                 servers.release(&choice.server, choice.start);
                 return give_up(Unplaced::Spent);
             }
             let server = choice.server.clone();
-            job.note_routed(&choice, !self.sends.is_empty());
+            job.record_routed(&choice, !self.sends.is_empty());
             self.sends.begin();
             match job.send(choice, self, last).await {
-                Ok(run) => return Placed::Run(Box::new(run)),
+                Ok(run) => return Placement::Run(Box::new(run)),
                 Err(Failure::NotRun) => {
                     self.sends.mark_not_run();
                     self.exclude(&server);
@@ -256,70 +262,76 @@
                     failure = Some(lost);
                     let repeatable = job.route.repeat.is_repeatable();
                     if lost == Failure::Late || !repeatable {
-                        return Placed::Failed(lost);
+                        return Placement::Failed(lost);
                     }
                 }
             }
         }
     }
 
-    /// Whether an answer that is late could not end any more before its caller leaves.
-    fn is_too_long(&self, job: &Job) -> bool {
-        let late = job.turn(None) == Urgency::Late;
-        late && job.length().is_some_and(|l| job.left() < l.shortest())
+    /// Whether the request is late and its answer could no longer end before its caller gives up.
+    fn cannot_end_in_time(&self, job: &Job) -> bool {
+        let late = job.urgency(None) == Urgency::Late;
+        late && job
+            .stream_length()
+            .is_some_and(|l| job.left() < l.shortest())
     }
 
-    /// Whether one more send is within the budget.
-    fn is_granted(&mut self, job: &Job) -> bool {
-        if self.sends.is_empty() || std::mem::take(&mut self.granted) {
+    /// Whether the retry budget covers one more send.
+    fn try_spend_retry(&mut self, job: &Job) -> bool {
+        if self.sends.is_empty() || std::mem::take(&mut self.move_granted) {
             return true;
         }
         let now = job.state.clock.now();
         let granted = job.state.budget.lock().try_spend(now, &job.service);
         let detail = format_args!("send {}, granted: {granted}", self.sends.count() + 1);
-        job.note_trouble(Event::RequestRetried, detail);
+        job.log_problem(Event::RequestRetried, detail);
         granted
     }
 }
 
-async fn place(job: Arc<Job>, active: ActiveRequest) -> Answer {
-    let mut tries = Tries::default();
+async fn place_request(job: Arc<Job>, active: ActiveRequest) -> Answer {
+    let mut attempt = Attempt::default();
     let mut last_failure = None;
     let mut queued = false;
     await_short_passes(&job).await;
     loop {
-        let run = match tries.place(&job, job.ask.last).await {
-            Placed::Run(run) => *run,
-            Placed::Unplaced(unplaced) => match last_failure {
+        let run = match attempt.send_until_answered(&job, job.ask.last).await {
+            Placement::Run(run) => *run,
+            Placement::Unplaced(unplaced) => match last_failure {
                 Some(answer) => return answer,
-                None => match wait(&job, unplaced, &mut queued).await {
+                None => match wait_for_server(&job, unplaced, &mut queued).await {
                     Some(refused) => return refused,
                     None => {
-                        tries.excluded.clear();
+                        attempt.excluded.clear();
                         continue;
                     }
                 },
             },
-            Placed::Failed(failure) => return last_failure.unwrap_or_else(|| fail(&job, failure)),
+            Placement::Failed(failure) => {
+                return last_failure.unwrap_or_else(|| answer_failure(&job, failure))
+            }
         };
         if job.route.repeat.is_stream() && response::is_event_stream(run.response.headers()) {
-            return pass_stream(job, tries, run, active);
+            return pass_stream(job, attempt, run, active);
         }
         let server = run.choice.server.clone();
         let failed = run.is_failure();
-        match read_whole(&job, run).await {
+        match buffer_answer(&job, run).await {
             Some(answer) if failed && job.route.repeat.is_repeatable() => {
                 last_failure = Some(answer);
             }
             Some(answer) => return answer,
-            None if !job.route.repeat.is_repeatable() => return fail(&job, Failure::Unknown),
+            None if !job.route.repeat.is_repeatable() => {
+                return answer_failure(&job, Failure::Unknown)
+            }
             None => {}
         }
-        tries.exclude(&server);
+        attempt.exclude(&server);
     }
 }
 
-/// Waits while the passes of the request's service are long for a moment.
+/// Waits while the forward passes of the request's service are long.
 async fn await_short_passes(job: &Job) {
     if job.route.gap.is_none() || !job.state.decisions.holding {
         return;
@@ -328,64 +340,64 @@
         let shortened = job.state.shortened.listen();
         let now = job.state.clock.now();
         let (waited, objective) = (now.since(job.started), job.route.objective);
-        let wait = {
+        let hold = {
             let servers = job.state.servers.lock();
             let passes = job.state.passes.lock();
             passes.hold_time(now, servers.pools(&job.service), waited, objective)
         };
-        let Some(span) = wait else {
+        let Some(span) = hold else {
             return;
         };
         futures_lite::future::or(shortened, pause(span)).await;
     }
 }
 
-fn fail(job: &Job, failure: Failure) -> Answer {
+fn answer_failure(job: &Job, failure: Failure) -> Answer {
     let detail = format_args!("{failure:?}");
-    job.note_trouble(Event::AnswerFailed, detail);
-    job.state.metrics.end(Ended::Unknown);
+    job.log_problem(Event::AnswerFailed, detail);
+    job.state.metrics.count_end(Ended::Unknown);
     match failure {
-        Failure::Late => own(StatusCode::GATEWAY_TIMEOUT, "no answer came in time"),
-        _ => own(
+        Failure::Late => local_answer(StatusCode::GATEWAY_TIMEOUT, "no answer came in time"),
+        _ => local_answer(
             StatusCode::BAD_GATEWAY,
-            "the answer was lost; it may have run",
+            "the answer was lost; the request may have run",
         ),
     }
 }
 
-/// Reads an answer in whole and passes it on; nothing where it breaks off.
-async fn read_whole(job: &Job, mut run: Run) -> Option<Answer> {
-    let pace = job.note_begun();
-    let body = Limited::new(run.response.body_mut(), WHOLE).collect();
+/// Buffers an answer and passes it on. Returns nothing if the answer breaks off.
+async fn buffer_answer(job: &Job, mut run: Run) -> Option<Answer> {
+    let times = job.record_begun();
+    let body = Limited::new(run.response.body_mut(), MAX_BUFFERED_BYTES).collect();
     let read = within(job.left(), body).await;
     let bytes: Bytes = match read {
         Some(Ok(body)) => body.to_bytes(),
         _ => {
             let detail = format_args!("{}: broken off", run.choice.server);
-            job.note_trouble(Event::AnswerFailed, detail);
+            job.log_problem(Event::AnswerFailed, detail);
             return None;
         }
     };
-    let mut answer = Response::new(Outgoing::Whole(Some(bytes)));
+    let mut answer = Response::new(AnswerBody::Whole(Some(bytes)));
     *answer.status_mut() = run.response.status();
     *answer.headers_mut() = response::forward(run.response.headers());
-    job.note_delivered(&run.choice.server, &pace);
+    job.record_delivered(&run.choice.server, &times);
     run.finish(job);
     Some(answer)
 }
 
-/// PassTimes a stream on as it comes.
-fn pass_stream(job: Arc<Job>, tries: Tries, run: Run, active: ActiveRequest) -> Answer {
+/// Passes a stream on as it comes.
+fn pass_stream(job: Arc<Job>, attempt: Attempt, run: Run, active: ActiveRequest) -> Answer {
     let mut headers = response::forward(run.response.headers());
-    // A stream that goes on elsewhere has another length than its first server said.
+    // A stream that is resumed elsewhere has another length than its first server said.
     headers.remove(CONTENT_LENGTH);
     let status = run.response.status();
-    let (sender, receiver) = bounded(stream::WAITING);
+    let (sender, receiver) = bounded(stream::MAX_WAITING_PIECES);
     let task = spawn(async move {
-        stream::pass(job, tries, run, sender).await;
+        stream::pass_on(job, attempt, run, sender).await;
         drop(active);
     });
-    let mut answer = Response::new(Outgoing::Pieces(Pieces::new(receiver, task)));
+    let mut answer = Response::new(AnswerBody::Pieces(Pieces::new(receiver, task)));
     *answer.status_mut() = status;
     *answer.headers_mut() = headers;
     answer
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,19 +1,22 @@
-//! The shell of an entry host on the platform: sockets and clocks around the decisions.
+//! The gateway process: takes callers' requests, sends them to servers, and passes the answers on.
 //!
-//! - [`process`]: starts everything, says whether it is ready, and ends without a cut answer.
-//! - [`state`]: what the parts share.
-//! - `news`: what this gateway polls controllers for, and what it makes of it.
-//! - `handle`: a request's way from its caller to an answer.
+//! This crate has the sockets, clocks and tasks; the decisions are in `snipemast_placement`.
+//!
+//! - [`process`]: starts the gateway, reports whether it is ready, and shuts it down without
+//!   cutting   off answers.
+//! - [`state`]: the state that all parts share.
+//! - `news`: polls controllers and applies their news.
+//! - `handle`: the path of a request from its caller to an answer.
 //! - `send`: one send of a request to one server.
-//! - `frozen`: servers that answer nothing, until they do.
-//! - `stream`: passes events on, and goes on at another server where a stream breaks.
-//! - `story`: what is logged and measured of one request.
+//! - `frozen`: health checks of servers that show nothing.
+//! - `stream`: passes a stream on, and resumes it at another server if it breaks.
+//! - `request_log`: what is logged and measured of a request.
 //! - `waiting`: requests that no server may take now.
-//! - `limits`: what answers say of the requests that their servers take.
-//! - `rests`: the rest that servers ask for, and their leaving.
-//! - `unknown`: headers of answers that nobody here knows.
-//! - `metrics`: what a gateway counts and measures.
-//! - `connections`: open connections to servers.
+//! - `limits`: rate limits that servers name, and the leader's grants.
+//! - `rests`: rests that servers ask for, and servers that are leaving.
+//! - `unknown`: unknown headers in servers' answers.
+//! - `metrics`: the gateway's metrics.
+//! - `connections`: the pool of idle connections to servers.
 //! - `answer`: the gateway's own answers, and the body of every answer.
 
 pub mod process;
@@ -26,9 +29,9 @@
 mod limits;
 mod metrics;
 mod news;
+mod request_log;
 mod rests;
 mod send;
-mod story;
 mod stream;
 mod unknown;
 mod waiting;
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,4 +1,5 @@
-//! Limits that servers name: what answers tell of them, and what is told of that to the leader.
+//! Rate limits that servers name in their answers, the demand that is reported to the leader, and
+//! the leader's grants.
 
 use std::fmt;
 
@@ -13,22 +14,22 @@
 use crate::send::Job;
 use crate::state::State;
 
-/// The lowest limit that is kept to: the end of a lower one would hardly show, and it is within what servers bear
-/// beyond their limits.
-const LEAST: Rate = Rate::from_millis(250);
+/// The lowest limit that is applied. With a lower one, the end of the limit would hardly be
+/// noticed, and this rate is within what servers tolerate beyond their limits.
+const MIN_LIMIT: Rate = Rate::from_millis(250);
 
-/// How long the end of a limit is told: some polls of the leader, and an election.
-const TOLD: Span = Span::from_secs(10);
+/// How long the end of a limit is reported: some polls of the leader, and an election.
+const END_REPORT_TIME: Span = Span::from_secs(10);
 
 impl Job {
-    /// Takes note of the limit that an answer names, or of its end; the request was sent at a moment.
-    pub(crate) fn note_limit(&self, choice: &Choice, limit: &Limit, sent: Moment) {
+    /// Records the limit that an answer names, or its end. `sent` is when the request was sent.
+    pub(crate) fn record_limit(&self, choice: &Choice, limit: &Limit, sent: Moment) {
         let rate = match limit {
             Limit::Unnamed => None,
-            Limit::Named(rate) => Some(LEAST.max(*rate)),
+            Limit::Named(rate) => Some(MIN_LIMIT.max(*rate)),
             Limit::Unreadable(text) => {
                 let detail = format_args!("{}: limit {text} can't be read", choice.server);
-                self.note_trouble(Event::AnswerFailed, detail);
+                self.log_problem(Event::AnswerFailed, detail);
                 return;
             }
         };
@@ -45,7 +46,7 @@
         if !registry.note_limit(server, word) {
             return;
         }
-        let limits = limits(&registry);
+        let limits = named_limits(&registry);
         drop(registry);
         state.servers.lock().set_limits(now, limits);
         let source = format_args!("answer to {}, sent {} ago", self.name, sent.until(now));
@@ -53,20 +54,21 @@
     }
 }
 
-/// The limits that servers name.
-pub(crate) fn limits(registry: &Table) -> Vec<(ServerId, Rate)> {
+/// Returns the limits that servers name.
+pub(crate) fn named_limits(registry: &Table) -> Vec<(ServerId, Rate)> {
     let named = registry.limits();
     let named = named.filter_map(|(id, word)| Some((id.clone(), word.rate?)));
     named.collect()
 }
 
 impl State {
-    /// What the leader is told of limits, and asked for.
-    pub(crate) fn demands(&self) -> Vec<Demand> {
+    /// Returns the limits and the demand that are reported to the leader.
+    pub(crate) fn limit_demands(&self) -> Vec<Demand> {
         let now = self.clock.now();
         let registry = self.registry.lock();
-        let told = |word: &LimitWord| word.rate.is_some() || now < word.seen + TOLD;
-        let limits = registry.limits().filter(|(_, word)| told(word));
+        let is_reported =
+            |word: &LimitWord| word.rate.is_some() || now < word.seen + END_REPORT_TIME;
+        let limits = registry.limits().filter(|(_, word)| is_reported(word));
         let mut demands: Vec<Demand> = limits
             .map(|(server, word)| Demand {
                 server: server.clone(),
@@ -82,8 +84,8 @@
         demands
     }
 
-    /// Takes what the leader grants, which was asked for at a moment.
-    pub(crate) fn take_grants(&self, asked: Moment, grants: Vec<Grant>) {
+    /// Applies the grants of the leader, which were asked for at `asked`.
+    pub(crate) fn apply_grants(&self, asked: Moment, grants: Vec<Grant>) {
         let now = self.clock.now();
         let registry = self.registry.lock();
         let granted = grants.into_iter().filter_map(|grant| {
@@ -102,12 +104,12 @@
         let granted: Vec<(ServerId, GrantLease)> = granted.collect();
         drop(registry);
         for (server, granted) in &granted {
-            self.metrics.grant(server, granted.count);
+            self.metrics.count_grant(server, granted.count);
         }
         self.servers.lock().add_grants(now, granted.into_iter());
     }
 
-    /// Logs that a server's limit is another one, and where that was learnt.
+    /// Logs that a server's limit changed, and where this was learned.
     pub(crate) fn log_limit(
         &self,
         server: &ServerId,
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a gateway counts and measures, in the usual text format.
+//! The gateway's metrics, in the Prometheus text format.
 
 use std::fmt::Debug;
 
@@ -12,7 +12,8 @@
 
 use snipemast_core::prelude::*;
 
-/// The bounds of the buckets, in seconds: from a call within a zone to the longest that callers wait.
+/// The bounds of the buckets, in seconds: from a call within an availability zone to the longest
+/// that callers wait.
 const BUCKETS: [f64; 13] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0,
 ];
@@ -26,20 +27,20 @@
     First,
     /// From its arrival until the answer has ended.
     Whole,
-    /// Between two pieces of an answer, the longest of each answer.
+    /// The longest pause between two pieces of an answer.
     Gap,
 }
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub(crate) enum Ended {
-    /// Its answer was passed on, on time.
+    /// Its answer was passed on in time.
     OnTime,
-    /// Its answer was passed on, late.
+    /// Its answer was passed on late.
     Late,
     /// It was refused and has not run.
     Refused,
-    /// It may have run, and has no answer.
+    /// It has no answer and may have run.
     Unknown,
     /// Its answer broke off.
     Broken,
@@ -65,7 +66,7 @@
     header: String,
 }
 
-fn add(family: &Family<ServerLabel, Counter>, server: &ServerId, count: u32) {
+fn increment(family: &Family<ServerLabel, Counter>, server: &ServerId, count: u32) {
     let server = server.to_string();
     let counter = family.get_or_create(&ServerLabel { server });
     counter.inc_by(count.into());
@@ -75,7 +76,7 @@
     Histogram::new(BUCKETS)
 }
 
-/// A gateway's metrics.
+/// The gateway's metrics.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Mutex<Registry>,
@@ -91,7 +92,7 @@
 }
 
 impl Metrics {
-    /// Nothing is counted yet.
+    /// Creates metrics that have counted nothing.
     pub(crate) fn new() -> Self {
         let phases = Family::new_with_constructor(buckets as fn() -> Histogram);
         let (ended, sends, repeats) = (Family::default(), Counter::default(), Counter::default());
@@ -146,55 +147,55 @@
         }
     }
 
-    /// The leader granted requests to a server that names a limit.
-    pub(crate) fn grant(&self, server: &ServerId, count: u32) {
-        add(&self.granted, server, count);
+    /// Counts requests that the leader granted to a server that names a limit.
+    pub(crate) fn count_grant(&self, server: &ServerId, count: u32) {
+        increment(&self.granted, server, count);
     }
 
-    /// A request was sent to a server that names a limit.
-    pub(crate) fn send_limited(&self, server: &ServerId) {
-        add(&self.limited, server, 1);
+    /// Counts a request that was sent to a server that names a limit.
+    pub(crate) fn count_limited_send(&self, server: &ServerId) {
+        increment(&self.limited, server, 1);
     }
 
-    /// A server asked this host for rest.
-    pub(crate) fn rest(&self, server: &ServerId) {
-        add(&self.rests, server, 1);
+    /// Counts a rest that a server asked this host for.
+    pub(crate) fn count_rest(&self, server: &ServerId) {
+        increment(&self.rests, server, 1);
     }
 
-    /// A request was sent to a server that said that it leaves.
-    pub(crate) fn send_leaving(&self, server: &ServerId) {
-        add(&self.leaving, server, 1);
+    /// Counts a request that was sent to a leaving server.
+    pub(crate) fn count_leaving_send(&self, server: &ServerId) {
+        increment(&self.leaving, server, 1);
     }
 
-    /// An answer had a header that is not known.
-    pub(crate) fn meet_unknown(&self, header: &str) {
+    /// Counts an answer with an unknown header.
+    pub(crate) fn count_unknown_header(&self, header: &str) {
         let header = header.to_owned();
         self.unknown.get_or_create(&HeaderLabel { header }).inc();
     }
 
-    /// A part of a request took so long.
-    pub(crate) fn took(&self, phase: Phase, span: Span) {
+    /// Observes the length of a part of a request.
+    pub(crate) fn observe(&self, phase: Phase, span: Span) {
         let histogram = self.phases.get_or_create(&PhaseLabel { phase });
         histogram.observe(span.as_secs_f64());
     }
 
-    /// A request ended.
-    pub(crate) fn end(&self, ended: Ended) {
+    /// Counts the end of a request.
+    pub(crate) fn count_end(&self, ended: Ended) {
         self.ended.get_or_create(&EndedLabel { ended }).inc();
     }
 
-    /// A request was sent to a server.
-    pub(crate) fn send(&self, repeat: bool) {
+    /// Counts a request that was sent to a server.
+    pub(crate) fn count_send(&self, retry: bool) {
         self.sends.inc();
-        if repeat {
+        if retry {
             self.repeats.inc();
         }
     }
 
-    /// All of it, as text; the last line says that there is no more.
-    pub(crate) fn text(&self) -> String {
+    /// Returns all metrics as text. The last line marks the end.
+    pub(crate) fn render(&self) -> String {
         let mut text = String::new();
-        // Writing into a string never fails.
+        // Writing to a string never fails.
         let _ = encode(&mut text, &self.registry.lock());
         text
     }
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -1,4 +1,4 @@
-//! What this gateway polls controllers for, and what it makes of it.
+//! Polls controllers and applies their news.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,21 +18,22 @@
 use snipemast_routes::Table as Routes;
 
 use crate::frozen;
-use crate::limits::limits;
+use crate::limits::named_limits;
 use crate::state::State;
 
-/// How long a poll of another controller waits: it tells that this gateway is connected.
-const OTHER_WAIT: Span = Span::from_millis(1_000);
+/// How long a poll of a controller that is not the leader waits. It only shows that this gateway is
+/// connected.
+const FOLLOWER_WAIT: Span = Span::from_millis(1_000);
 
-/// Takes news from controllers.
+/// Applies the news of controllers to the gateway's state.
 #[derive(Debug)]
-pub(crate) struct Reader {
+pub(crate) struct NewsReader {
     state: Arc<State>,
-    known: Mutex<Learnt>,
+    known: Mutex<KnownControllers>,
 }
 
 #[derive(Debug, Default)]
-struct Learnt {
+struct KnownControllers {
     controllers: HashMap<SocketAddr, Controller>,
     leader: Option<SocketAddr>,
     source: Source,
@@ -41,30 +42,30 @@
 #[derive(Debug, Default)]
 struct Controller {
     cursor: Cursor,
-    told: Version,
-    /// When it was polled last.
+    reported_version: Version,
+    /// When the controller was last polled.
     polled: Moment,
-    near: bool,
-    /// Whether it is asked for the document, because nobody else handed it out in time.
-    wanted: bool,
+    same_zone: bool,
+    /// Whether the controller is asked for the document, because no other one delivered it in time.
+    wants_document: bool,
 }
 
-impl Learnt {
-    /// The version that a controller told of last.
-    fn told(&self, controller: SocketAddr) -> Version {
+impl KnownControllers {
+    /// Returns the version that a controller last reported.
+    fn reported_version(&self, controller: SocketAddr) -> Version {
         let known = self.controllers.get(&controller);
-        known.map_or(Version(0), |c| c.told)
+        known.map_or(Version(0), |c| c.reported_version)
     }
 
-    /// Asks a controller for the document.
-    fn want(&mut self, controller: SocketAddr) {
+    /// Asks a controller for the document in the next poll.
+    fn request_document(&mut self, controller: SocketAddr) {
         if let Some(entry) = self.controllers.get_mut(&controller) {
-            entry.wanted = true;
+            entry.wants_document = true;
         }
     }
 }
 
-impl Reader {
+impl NewsReader {
     pub(crate) fn new(state: Arc<State>) -> Arc<Self> {
         Arc::new(Self {
             state,
@@ -72,11 +73,12 @@
         })
     }
 
-    /// How long a poll of the leader waits: the age of the others' requests in flight.
+    /// Returns how long a poll of the leader waits, which is the age of the other gateways'
+    /// requests in flight.
     ///
-    /// Load answered: the more gateways there are, the more of them choose on the same counts, and the more polls
-    /// the leader's share of a processor has to answer.
-    fn counts_wait(&self) -> Span {
+    /// The more gateways there are, the more of them choose with the same counts, and the more
+    /// polls the leader answers with its share of a processor.
+    fn leader_wait(&self) -> Span {
         const SHORTEST: Span = Span::from_millis(50);
         const LONGEST: Span = Span::from_millis(500);
         let gateways = u64::from(self.state.budget.lock().gateway_count());
@@ -84,15 +86,15 @@
         Span::from_micros(wait).max(SHORTEST).min(LONGEST)
     }
 
-    /// Adds to a poll what the leader adds up, grants and passes on.
-    fn tell_leader(&self, poll: Poll) -> Poll {
-        let demands = self.state.demands();
+    /// Adds to a poll what the leader sums up, grants and passes on.
+    fn add_reports(&self, poll: Poll) -> Poll {
+        let demands = self.state.limit_demands();
         let leaving = self.state.unspread_leaving();
         let servers = self.state.servers.lock();
         let flying = servers.in_flight();
         let flying = flying.map(|(server, count)| (server.clone(), count));
         Poll {
-            wait: self.counts_wait(),
+            wait: self.leader_wait(),
             flying: flying.collect(),
             still: servers.frozen().cloned().collect(),
             demands,
@@ -102,7 +104,7 @@
     }
 
     /// Puts a document into force that an operator's controller has checked.
-    fn apply(&self, text: &[u8]) {
+    fn apply_document(&self, text: &[u8]) {
         let version = match document::read(text) {
             Ok(document) => {
                 let version = document.version;
@@ -123,23 +125,23 @@
             .record(Event::VersionApplied, subject, "in force");
     }
 
-    /// Takes note of the groups that have stalled, and of those that go on.
-    fn note_groups(&self, pools: &Pools) {
+    /// Records which groups have stalled and which are running.
+    fn apply_groups(&self, pools: &Pools) {
         let now = self.state.clock.now();
         for (pool, group) in pools.groups() {
-            let word = self.state.outages.lock().apply_report(now, pool, group);
-            let event = match word {
+            let change = self.state.outages.lock().apply_report(now, pool, group);
+            let event = match change {
                 Some(ReportedChange::Stalled) => Event::ServiceOut,
                 Some(ReportedChange::Resumed) => Event::ServiceReopened,
                 None => continue,
             };
             let detail = format!("epoch {}, told by its ranks", group.epoch);
-            self.state.note_outage(pool, event, &detail);
+            self.state.log_outage(pool, event, &detail);
         }
     }
 
-    /// Takes changes of servers, and rearranges those that may be sent to.
-    fn merge(&self, controller: SocketAddr, news: &mut News) {
+    /// Applies changes of servers, and updates the servers that may be sent requests.
+    fn apply_entries(&self, controller: SocketAddr, news: &mut News) {
         if news.entries.is_empty() {
             return;
         }
@@ -147,14 +149,14 @@
         let mut registry = self.state.registry.lock();
         for entry in news.entries.drain(..) {
             let (id, standing) = (entry.announcement.id.clone(), entry.standing);
-            let (before, left) = (registry.limit(&id), registry.leaving(&id));
+            let (before, left_before) = (registry.limit(&id), registry.leaving(&id));
             let changed = registry.merge_standing(now, entry);
             let limit = registry.limit(&id);
             if limit != before {
                 let source = format_args!("told by {controller}");
                 self.state.log_limit(&id, before, limit, source);
             }
-            if left.is_none() && registry.leaving(&id).is_some() {
+            if left_before.is_none() && registry.leaving(&id).is_some() {
                 let detail = format_args!("told by {controller}");
                 self.state.journal.record(Event::LeavingTold, &id, detail);
             }
@@ -171,9 +173,9 @@
         }
         registry.forget(now);
         let ready = || registry.iter().filter(|k| k.standing == Standing::Ready);
-        let told: Vec<ServerReport> = ready().map(|k| told(&registry, k)).collect();
-        let pools = Pools::new(&told);
-        let offered = ready().filter_map(|k| {
+        let reports: Vec<ServerReport> = ready().map(|k| server_report(&registry, k)).collect();
+        let pools = Pools::new(&reports);
+        let announced = ready().filter_map(|k| {
             Some(AnnouncedServer {
                 server: k.announcement.id.clone(),
                 start: k.announcement.start,
@@ -184,22 +186,22 @@
                 leaving_since: registry.leaving(&k.announcement.id),
             })
         });
-        let offered = offered.collect();
-        let limits = limits(&registry);
+        let announced = announced.collect();
+        let limits = named_limits(&registry);
         drop(registry);
-        self.note_groups(&pools);
+        self.apply_groups(&pools);
         let mut servers = self.state.servers.lock();
-        let left = servers.set_announced(offered);
+        let gone = servers.set_announced(announced);
         servers.set_limits(now, limits);
         drop(servers);
-        for address in left {
-            self.state.connections.retire(address);
+        for address in gone {
+            self.state.connections.close_idle(address);
         }
     }
 }
 
-/// What is told of a server's place in a group.
-fn told(registry: &Registry, known: &Known) -> ServerReport {
+/// Returns a server and its rank in a group.
+fn server_report(registry: &Registry, known: &Known) -> ServerReport {
     ServerReport {
         server: known.announcement.id.clone(),
         service: known.announcement.service.clone(),
@@ -207,24 +209,24 @@
     }
 }
 
-impl Sink for Reader {
+impl Sink for NewsReader {
     fn poll(&self, controller: SocketAddr) -> Poll {
         let version = self.state.version();
         let mut known = self.known.lock();
         let leads = known.leader == Some(controller);
         let entry = known.controllers.entry(controller).or_default();
         entry.polled = self.state.clock.now();
-        let wanted = entry.near || entry.wanted || version == Version(0);
+        let wanted = entry.same_zone || entry.wants_document || version == Version(0);
         let poll = Poll {
             version,
-            told: entry.told,
+            told: entry.reported_version,
             wanted,
             cursor: entry.cursor,
-            wait: OTHER_WAIT,
+            wait: FOLLOWER_WAIT,
             ..Poll::new(self.state.settings.host.clone(), PollerKind::Gateway)
         };
         if leads {
-            self.tell_leader(poll)
+            self.add_reports(poll)
         } else {
             poll
         }
@@ -232,9 +234,9 @@
 
     fn take(&self, controller: SocketAddr, mut news: News) {
         if let Some(document) = news.document.take() {
-            self.apply(&document.0);
+            self.apply_document(&document.0);
         }
-        self.merge(controller, &mut news);
+        self.apply_entries(controller, &mut news);
         let now = self.state.clock.now();
         self.state.budget.lock().observe_gateways(news.gateways);
         self.state.servers.lock().observe_gateways(news.gateways);
@@ -247,26 +249,26 @@
             servers.set_other_counts(now, news.age, counts);
             servers.set_slow(slow.collect());
             drop(servers);
-            frozen::check(&self.state, &news.still);
+            frozen::check_reported(&self.state, &news.still);
             if let Some(grants) = news.grants {
                 let entry = known.controllers.entry(controller).or_default();
-                self.state.take_grants(entry.polled, grants);
+                self.state.apply_grants(entry.polled, grants);
             }
         } else if known.leader == Some(controller) {
             known.leader = news.leader;
         }
         let entry = known.controllers.entry(controller).or_default();
         entry.cursor = news.cursor;
-        entry.told = news.version;
-        entry.near = news.zone == self.state.settings.zone;
-        entry.wanted = false;
+        entry.reported_version = news.version;
+        entry.same_zone = news.zone == self.state.settings.zone;
+        entry.wants_document = false;
     }
 
-    /// Waits until a version that was told of is in force, so that the next poll says so; asks
-    /// this controller for it where nobody else hands it out.
+    /// Waits until a version that a controller reported is in force, so that the next poll says so.
+    /// Asks this controller for the document if no other one delivers it.
     async fn settle(&self, controller: SocketAddr) {
-        let lags = || self.known.lock().told(controller) > self.state.version();
-        // Twice, so that a second one is asked where the first does not answer.
+        let lags = || self.known.lock().reported_version(controller) > self.state.version();
+        // Twice, so that a second controller is asked if the first one does not answer.
         for _ in 0..2 {
             let applied = self.state.applied.listen();
             if !lags() {
@@ -274,9 +276,9 @@
             }
             futures_lite::future::or(applied, pause(HANDED_OUT)).await;
             let mut known = self.known.lock();
-            let late = self.state.version() < known.told(controller);
+            let late = self.state.version() < known.reported_version(controller);
             if late && known.source.asks(self.state.clock.now()) {
-                known.want(controller);
+                known.request_document(controller);
                 return;
             }
         }
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! Starts a gateway's parts, says whether it is ready, and ends without a cut answer.
+//! Starts a gateway, reports whether it is ready, and shuts it down without cutting off answers.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,26 +16,26 @@
 use snipemast_platform::settings::Settings;
 use snipemast_settings::Decisions;
 
-use crate::answer::{own, Answer};
+use crate::answer::{local_answer, Answer};
 use crate::handle::handle;
-use crate::news::Reader;
+use crate::news::NewsReader;
 use crate::state::State;
 
-/// The result of starting a gateway.
+/// The result of running a gateway.
 pub type Result<T> = std::result::Result<T, Report<GatewayError>>;
 
-/// How often the settings file is looked at, which may change without a signal.
-const RELOAD: Span = Span::from_secs(2);
+/// How often the settings file is read again. It may change without a signal.
+const RELOAD_INTERVAL: Span = Span::from_secs(2);
 
-/// How often idle connections are looked after.
-const UPKEEP: Span = Span::from_millis(500);
+/// How often expired idle connections are closed.
+const EXPIRY_INTERVAL: Span = Span::from_millis(500);
 
 /// Why a gateway can't start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GatewayError {
-    /// The settings name no address for callers or the balancer.
+    /// The settings name no address for callers or for the load balancer.
     NoAddress,
-    /// Another process listens at the address.
+    /// The gateway can't listen at the address, for example because another process does.
     Taken(SocketAddr),
 }
 
@@ -43,14 +43,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoAddress => f.write_str("the settings name no address for callers"),
-            Self::Taken(address) => write!(f, "{address} can't be listened at"),
+            Self::Taken(address) => write!(f, "can't listen at {address}"),
         }
     }
 }
 
 impl std::error::Error for GatewayError {}
 
-/// Runs a gateway until the future that ends it is ready and its answers are delivered.
+/// Runs a gateway until `end` is ready and the answers under way are delivered.
 pub async fn run(
     settings: Settings,
     decisions: Decisions,
@@ -64,7 +64,7 @@
     let balancer = socket::listen(ready).change_context_lazy(taken(ready))?;
     let grace = settings.bounds.grace;
     let state = State::new(settings.clone(), decisions, journal.clone());
-    let reader = Reader::new(Arc::clone(&state));
+    let reader = NewsReader::new(Arc::clone(&state));
     let feed = Feed::new(reader, journal.clone(), None);
     let (for_callers, for_balancer) = (Arc::clone(&state), Arc::clone(&state));
     let tasks = [
@@ -72,28 +72,29 @@
             handle(Arc::clone(&for_callers), r)
         })),
         spawn(serve(balancer, move |r, _| {
-            tell(Arc::clone(&for_balancer), r)
+            answer_probe(Arc::clone(&for_balancer), r)
         })),
-        spawn(keep_seeds(settings, feed, Arc::clone(&state))),
-        spawn(keep_up(Arc::clone(&state))),
+        spawn(follow_seeds(settings, feed, Arc::clone(&state))),
+        spawn(expire_connections(Arc::clone(&state))),
     ];
     journal.record(Event::ProcessStarted, front, "gateway");
     end.await;
-    leave(&state, grace).await;
+    shut_down(&state, grace).await;
     drop(tasks);
     journal.record(Event::ProcessEnded, front, "gateway");
     Ok(())
 }
 
-/// Takes leave: not ready at once, serving on until nothing is in hand, within the platform's bound.
-async fn leave(state: &State, grace: Span) {
-    const STEP: Span = Span::from_millis(50);
+/// Shuts the gateway down: it is not ready from now on, and serves until no request is left or the
+/// platform's grace period is over.
+async fn shut_down(state: &State, grace: Span) {
+    const CHECK_INTERVAL: Span = Span::from_millis(50);
     state.shutdown.lock().begin(state.clock.now());
-    let active = state.active();
+    let active = state.active_requests();
     let detail = format!("{active} active requests");
     state.journal.record(Event::DrainBegun, "gateway", detail);
     loop {
-        let (now, active) = (state.clock.now(), state.active());
+        let (now, active) = (state.clock.now(), state.active_requests());
         if state.shutdown.lock().may_end(now, grace, active) {
             if active > 0 {
                 let detail = format_args!("{active} active requests");
@@ -101,43 +102,46 @@
             }
             return;
         }
-        pause(STEP).await;
+        pause(CHECK_INTERVAL).await;
     }
 }
 
-/// Answers the balancer, and whoever reads metrics.
-async fn tell(state: Arc<State>, request: Request<Incoming>) -> Answer {
+/// Answers the load balancer's readiness checks and reads of metrics.
+async fn answer_probe(state: Arc<State>, request: Request<Incoming>) -> Answer {
     match request.uri().path() {
-        READY if state.is_ready() => own(StatusCode::OK, "ready"),
-        READY => own(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
-        METRICS => own(StatusCode::OK, &metrics(&state)),
-        _ => own(StatusCode::NOT_FOUND, "no such call"),
+        READY if state.is_ready() => local_answer(StatusCode::OK, "ready"),
+        READY => local_answer(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
+        METRICS => local_answer(StatusCode::OK, &metrics(&state)),
+        _ => local_answer(StatusCode::NOT_FOUND, "no such call"),
     }
 }
 
 fn metrics(state: &State) -> String {
     let mut text = state.journal.ring().exposition();
-    text.push_str(&format!("snipemast_active_requests {}\n", state.active()));
+    text.push_str(&format!(
+        "snipemast_active_requests {}\n",
+        state.active_requests()
+    ));
     text.push_str(&format!(
         "snipemast_configuration_version {}\n",
         state.version()
     ));
-    text.push_str(&state.metrics.text());
+    text.push_str(&state.metrics.render());
     text
 }
 
-async fn keep_up(state: Arc<State>) {
+async fn expire_connections(state: Arc<State>) {
     loop {
-        pause(UPKEEP).await;
+        pause(EXPIRY_INTERVAL).await;
         state.connections.expire(state.clock.now());
     }
 }
 
-/// Polls the controllers that the settings file names, whatever it names now.
-async fn keep_seeds(mut settings: Settings, feed: Arc<Feed<Reader>>, state: Arc<State>) {
+/// Polls the controllers that the settings file names, and follows changes of the file.
+async fn follow_seeds(mut settings: Settings, feed: Arc<Feed<NewsReader>>, state: Arc<State>) {
     loop {
         feed.set_seeds(settings.internal_seeds());
-        pause(RELOAD).await;
+        pause(RELOAD_INTERVAL).await;
         settings.refresh(&state.journal);
     }
 }
--- a/crates/gateway/src/story.rs
+++ b/crates/gateway/src/request_log.rs
@@ -1,4 +1,4 @@
-//! What is logged of one request, so that its way can be told afterwards.
+//! What is logged and measured of one request.
 
 use parking_lot::Mutex;
 
@@ -8,36 +8,37 @@
 use crate::metrics::{Ended, Phase};
 use crate::send::Job;
 
-/// Lines that were left out of a full log, in case the request comes to grief.
+/// Log lines that were left out because the log was full. They are logged if the request runs into
+/// a problem.
 #[derive(Debug, Default)]
-pub(crate) struct Unsaid(Mutex<Vec<String>>);
+pub(crate) struct UnloggedLines(Mutex<Vec<String>>);
 
 /// The times of an answer as it is passed on.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Pace {
+pub(crate) struct AnswerTimes {
     first: Span,
     last: Moment,
     gap: Span,
 }
 
 impl Job {
-    /// How long ago the request arrived.
+    /// Returns how long ago the request arrived.
     pub(crate) fn age(&self) -> Span {
         self.state.clock.now().since(self.started)
     }
 
-    /// A server was chosen.
-    pub(crate) fn note_routed(&self, choice: &Choice, repeat: bool) {
+    /// Records that a server was chosen.
+    pub(crate) fn record_routed(&self, choice: &Choice, retry: bool) {
         let (state, age) = (&self.state, self.age());
-        state.metrics.send(repeat);
+        state.metrics.count_send(retry);
         if choice.limited {
-            state.metrics.send_limited(&choice.server);
+            state.metrics.count_limited_send(&choice.server);
         }
         if choice.leaving {
-            state.metrics.send_leaving(&choice.server);
+            state.metrics.count_leaving_send(&choice.server);
         }
-        if !repeat {
-            state.metrics.took(Phase::Placed, age);
+        if !retry {
+            state.metrics.observe(Phase::Placed, age);
         }
         let detail = format!(
             "{} of {} by {}, version {}: {} in flight, told {} ago, {} passed at their limits, {} at rest; {age} after its arrival",
@@ -52,43 +53,43 @@
         );
         let journal = &state.journal;
         if !journal.record_routine(Event::RequestRouted, &self.name, &detail) {
-            self.unsaid.0.lock().push(detail);
+            self.unlogged.0.lock().push(detail);
         }
     }
 
-    /// The request came to grief: what was left out of the log about it is said now.
-    pub(crate) fn say(&self) {
-        for detail in self.unsaid.0.lock().drain(..) {
+    /// Logs the lines that were left out, because the request ran into a problem.
+    pub(crate) fn log_unlogged(&self) {
+        for detail in self.unlogged.0.lock().drain(..) {
             let journal = &self.state.journal;
             journal.log_after(Event::RequestRouted, &self.name, detail);
         }
     }
 
-    /// A trouble with this request.
-    pub(crate) fn note_trouble(&self, event: Event, detail: impl std::fmt::Display) {
-        self.say();
+    /// Logs a problem of this request.
+    pub(crate) fn log_problem(&self, event: Event, detail: impl std::fmt::Display) {
+        self.log_unlogged();
         self.state.journal.record(event, &self.name, detail);
     }
 
-    /// An answer begins.
-    pub(crate) fn note_begun(&self) -> Pace {
+    /// Records that an answer begins.
+    pub(crate) fn record_begun(&self) -> AnswerTimes {
         let first = self.age();
-        self.state.metrics.took(Phase::First, first);
-        Pace {
+        self.state.metrics.observe(Phase::First, first);
+        AnswerTimes {
             first,
             last: self.state.clock.now(),
             gap: Span::default(),
         }
     }
 
-    /// A piece of a stream came from a server.
+    /// Records that a server sent a piece of a stream.
     pub(crate) fn record_piece(&self, choice: &Choice, now: Moment) {
         let mut servers = self.state.servers.lock();
         servers.record_piece(now, &choice.server, choice.start);
     }
 
-    /// A piece of a stream came after a pause.
-    pub(crate) fn note_pause(&self, choice: &Choice, pause: Span) {
+    /// Records the pause before a piece of a stream.
+    pub(crate) fn record_pause(&self, choice: &Choice, pause: Span) {
         let Some(pause_target) = self.route.gap else {
             return;
         };
@@ -99,28 +100,28 @@
         }
     }
 
-    /// An answer was passed on in whole.
-    pub(crate) fn note_delivered(&self, server: &ServerId, pace: &Pace) {
+    /// Records that an answer was passed on in full.
+    pub(crate) fn record_delivered(&self, server: &ServerId, times: &AnswerTimes) {
         let (metrics, whole) = (&self.state.metrics, self.age());
-        metrics.took(Phase::Whole, whole);
-        metrics.took(Phase::Gap, pace.gap);
-        let slow = self.route.gap.is_some_and(|gap| pace.gap > gap);
-        let late = match (pace.first > self.route.objective, slow) {
+        metrics.observe(Phase::Whole, whole);
+        metrics.observe(Phase::Gap, times.gap);
+        let slow = self.route.gap.is_some_and(|gap| times.gap > gap);
+        let late = match (times.first > self.route.objective, slow) {
             (true, true) => Some("first and pause"),
             (true, false) => Some("first"),
             (false, true) => Some("pause"),
             (false, false) => None,
         };
-        metrics.end(if late.is_some() {
+        metrics.count_end(if late.is_some() {
             Ended::Late
         } else {
             Ended::OnTime
         });
-        let (first, gap) = (pace.first, pace.gap);
+        let (first, gap) = (times.first, times.gap);
         let detail =
             format!("{server}: first after {first}, longest pause {gap}, whole after {whole}");
         if let Some(late) = late {
-            self.note_trouble(Event::AnswerLate, format_args!("{detail}, late: {late}"));
+            self.log_problem(Event::AnswerLate, format_args!("{detail}, late: {late}"));
         } else {
             let journal = &self.state.journal;
             journal.record_routine(Event::AnswerDelivered, &self.name, detail);
@@ -128,9 +129,9 @@
     }
 }
 
-impl Pace {
-    /// A piece of the answer came; how long after the one before it.
-    pub(crate) fn piece(&mut self, now: Moment) -> Span {
+impl AnswerTimes {
+    /// Records a piece of the answer. Returns the pause since the one before it.
+    pub(crate) fn record_piece(&mut self, now: Moment) -> Span {
         let pause = now.since(self.last);
         self.gap = self.gap.max(pause);
         self.last = now;
--- a/crates/gateway/src/rests.rs
+++ b/crates/gateway/src/rests.rs
@@ -1,4 +1,4 @@
-//! The rest that servers ask for, and their leaving, as answers tell of them.
+//! Rests that servers ask for in their answers, and servers that are leaving.
 
 use snipemast_core::prelude::*;
 use snipemast_placement::Choice;
@@ -9,38 +9,39 @@
 use crate::state::State;
 
 impl Job {
-    /// Takes note of the rest that a server asks this host for.
+    /// Records the rest that a server asks this host for.
     pub(crate) fn record_rest(&self, choice: &Choice, rest: &Rest) {
         let Some(span) = rest.span() else {
             return;
         };
         if let Rest::Unreadable(_, text) = rest {
             let detail = format_args!("{}: rest {text:?} can't be read", choice.server);
-            self.note_trouble(Event::AnswerFailed, detail);
+            self.log_problem(Event::AnswerFailed, detail);
         }
         let (state, server) = (&self.state, &choice.server);
         let now = state.clock.now();
         let mut servers = state.servers.lock();
         servers.record_rest(now, server, choice.start, span);
         drop(servers);
-        state.metrics.rest(server);
+        state.metrics.count_rest(server);
         let detail = format_args!("for {span}, answer to {}", self.name);
         state.journal.record(Event::RestAsked, server, detail);
     }
 
-    /// Whether a server asked for rest after it was chosen, while the request was on its way to a connection.
-    pub(crate) fn rests_since(&self, choice: &Choice, now: Moment) -> bool {
+    /// Whether a server asked for rest after it was chosen, while the request was waiting for a
+    /// connection.
+    pub(crate) fn is_resting_now(&self, choice: &Choice, now: Moment) -> bool {
         let servers = self.state.servers.lock();
-        let rests = servers.is_resting(now, &choice.server, choice.start);
+        let resting = servers.is_resting(now, &choice.server, choice.start);
         drop(servers);
-        if rests {
+        if resting {
             let detail = format_args!("{} asked for rest meanwhile", choice.server);
-            self.note_trouble(Event::RequestRetried, detail);
+            self.log_problem(Event::RequestRetried, detail);
         }
-        rests
+        resting
     }
 
-    /// Takes note of a server that took a request that was sent at a moment.
+    /// Records that a server accepted a request that was sent at `sent`.
     pub(crate) fn record_accepted(&self, choice: &Choice, sent: Moment) {
         let (state, server) = (&self.state, &choice.server);
         let mut servers = state.servers.lock();
@@ -52,18 +53,18 @@
         }
     }
 
-    /// Takes note of a server that says that it leaves.
+    /// Records that a server said that it is leaving.
     pub(crate) fn record_leaving(&self, choice: &Choice, reply: &Reply) {
         if !reply.leaving {
             return;
         }
         let (state, server) = (&self.state, &choice.server);
         let now = state.clock.now();
-        let news = state
+        let is_new = state
             .registry
             .lock()
             .note_leaving(now, server, choice.start);
-        if news {
+        if is_new {
             let mut servers = state.servers.lock();
             servers.record_leaving(now, server, choice.start);
             drop(servers);
@@ -74,7 +75,7 @@
 }
 
 impl State {
-    /// What the leader is told of servers that leave.
+    /// Returns the leaving servers that are reported to the leader.
     pub(crate) fn unspread_leaving(&self) -> Vec<LeavingServer> {
         let now = self.clock.now();
         self.registry.lock().unspread_leaving(now)
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -23,23 +23,23 @@
 use snipemast_platform::response::Reply;
 use snipemast_routes::{Repeat, Route};
 
-use crate::frozen::Frozen;
-use crate::handle::Tries;
+use crate::frozen::FrozenServer;
+use crate::handle::Attempt;
+use crate::request_log::UnloggedLines;
 use crate::state::State;
-use crate::story::Unsaid;
 
-/// How long a connection to a server may take: some round trips between zones, without a lost
-/// packet's wait, because another server is nearer than that.
-pub(crate) const CONNECT: Span = Span::from_millis(250);
+/// How long a connection to a server may take: some round-trips between availability zones, but not
+/// the wait after a lost packet, because another server is nearer than that.
+pub(crate) const CONNECT_TIMEOUT: Span = Span::from_millis(250);
 
-/// How often it is asked after that whether a server stands still: its group may stand as a whole at first, and go
-/// on without it.
-const STILL_AGAIN: Span = Span::from_millis(100);
+/// How often it is checked again whether a server is frozen. Its group may stall as a whole at
+/// first and then run without it.
+const FROZEN_CHECK_INTERVAL: Span = Span::from_millis(100);
 
-/// How long beyond its time a server may take to say itself that the time is over.
-const OVERTIME: Span = Span::from_millis(60);
+/// How long beyond the deadline a server may take to report itself that the time is over.
+const DEADLINE_GRACE: Span = Span::from_millis(60);
 
-/// A caller's request, read in whole, with what decides its way.
+/// A caller's request, read in full, with everything that decides where it is sent.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) state: Arc<State>,
@@ -55,34 +55,35 @@
     /// How much of its time the caller had spent before it asked here.
     pub(crate) spent: Span,
     pub(crate) deadline: Moment,
-    /// How many pieces its caller estimates are still to come, where it is a stream and says so.
+    /// The number of pieces that are still to come, if this is a stream and its caller gives an
+    /// estimate.
     pub(crate) pieces: Option<u64>,
-    /// For the log.
+    /// The name of the request in logs.
     pub(crate) name: String,
-    /// What the log has no line of yet.
-    pub(crate) unsaid: Unsaid,
+    /// Lines that were not logged yet.
+    pub(crate) unlogged: UnloggedLines,
 }
 
-/// A server that works on a request; dropping it closes the connection and stops the work.
+/// A server that works on a request. Dropping it closes the connection and stops the work.
 #[derive(Debug)]
 pub(crate) struct Run {
     pub(crate) choice: Choice,
     pub(crate) reply: Reply,
     pub(crate) response: Response<Incoming>,
     connection: Connection,
-    flight: Flight,
+    in_flight: InFlight,
 }
 
-/// Counts a request out of a server's flight when dropped.
+/// A request in flight at a server; counts it out when dropped.
 #[derive(Debug)]
-struct Flight {
+struct InFlight {
     state: Arc<State>,
     server: ServerId,
     start: Incarnation,
-    since: Moment,
+    begun: Moment,
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.state.servers.lock().release(&self.server, self.start);
     }
@@ -91,24 +92,24 @@
 /// Why a send has no answer that can be passed on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// The server has not run it and never will.
+    /// The server has not run the request and never will.
     NotRun,
-    /// Nor will any other server of the service: it is out.
+    /// No server of the pool has run the request or will run it, because the pool is out.
     Out,
-    /// It may have run.
+    /// The server may have run the request.
     Unknown,
-    /// The time is over, and the server may be at work.
+    /// The time is over, and the server may be working on the request.
     Late,
 }
 
 impl Job {
-    /// How long the caller still waits.
+    /// Returns how long the caller still waits.
     pub(crate) fn left(&self) -> Span {
         self.state.clock.now().until(self.deadline)
     }
 
-    /// How long the answer takes once it is sent; nothing where it is no stream.
-    pub(crate) fn length(&self) -> Option<StreamLength> {
+    /// Returns the estimated length of the answer, or nothing if it is no stream.
+    pub(crate) fn stream_length(&self) -> Option<StreamLength> {
         let pause_target = self.route.gap?;
         let servers = self.state.servers.lock();
         let passes = self.state.passes.lock();
@@ -119,13 +120,14 @@
         })
     }
 
-    /// When the request begins, against others.
-    pub(crate) fn turn(&self, last: Option<u64>) -> Urgency {
-        self.named_turn(last).unwrap_or(Urgency::InTime)
+    /// Returns how urgent the request is compared with others.
+    pub(crate) fn urgency(&self, last: Option<u64>) -> Urgency {
+        self.ordered_urgency(last).unwrap_or(Urgency::InTime)
     }
 
-    /// The same, where requests are ordered: those to engines, whose queues are long.
-    fn named_turn(&self, last: Option<u64>) -> Option<Urgency> {
+    /// Returns the urgency if requests are ordered by it. Only requests to engines are, because
+    /// their queues are long.
+    fn ordered_urgency(&self, last: Option<u64>) -> Option<Urgency> {
         let ordered = self.state.decisions.order == QueueOrder::Lateness;
         if !ordered || self.route.gap.is_none() {
             return None;
@@ -142,18 +144,18 @@
     pub(crate) async fn send(
         &self,
         choice: Choice,
-        tries: &mut Tries,
+        attempt: &mut Attempt,
         last: Option<u64>,
     ) -> Result<Run, Failure> {
-        let flight = Flight {
+        let in_flight = InFlight {
             state: Arc::clone(&self.state),
             server: choice.server.clone(),
             start: choice.start,
-            since: self.state.clock.now(),
+            begun: self.state.clock.now(),
         };
-        let mut fresh = !self.may_share();
+        let mut new_connection = !self.may_pool();
         loop {
-            let pooled = if fresh {
+            let pooled = if new_connection {
                 None
             } else {
                 self.state
@@ -164,126 +166,134 @@
                 Some(connection) => connection,
                 None => self.connect(&choice).await?,
             };
-            let request = self.request(&choice, last).ok_or(Failure::NotRun)?;
-            let limit = Span::from_micros(self.left().as_micros() + OVERTIME.as_micros());
+            let request = self.build_request(&choice, last).ok_or(Failure::NotRun)?;
+            let limit = Span::from_micros(self.left().as_micros() + DEADLINE_GRACE.as_micros());
             let sent = self.state.clock.now();
-            if self.rests_since(&choice, sent) {
+            if self.is_resting_now(&choice, sent) {
                 return Err(Failure::NotRun);
             }
             let sending = connection.send(request);
-            let answered = self.unless_still(&choice, tries, last, limit, sending);
+            let answered = self.wait_unless_frozen(&choice, attempt, last, limit, sending);
             match answered.await? {
                 Ok(response) => {
-                    return self.judge(choice, response, connection, flight, sent);
+                    return self.check_answer(choice, response, connection, in_flight, sent);
                 }
                 // The server closed the pooled connection before anything was written to it.
-                Err(SendError::Unsent) if !fresh => fresh = true,
+                Err(SendError::Unsent) if !new_connection => new_connection = true,
                 Err(SendError::Unsent) => {
-                    self.trouble(&choice, ServerFault::Broken, "closed before the request");
+                    self.record_fault(
+                        &choice,
+                        ServerFault::Broken,
+                        "connection closed before the request was written",
+                    );
                     return Err(Failure::NotRun);
                 }
                 Err(SendError::Unknown(e)) => {
-                    self.state.connections.retire(choice.address);
-                    self.trouble(&choice, ServerFault::Broken, &e.to_string());
+                    self.state.connections.close_idle(choice.address);
+                    self.record_fault(&choice, ServerFault::Broken, &e.to_string());
                     return Err(Failure::Unknown);
                 }
             }
         }
     }
 
-    /// Waits for something of a server: within a limit, and no longer than until the server alone shows nothing
-    /// and the request has a place at another one.
+    /// Waits for a server's work within a limit, but not once the server alone shows nothing and
+    /// another server can take the request.
     ///
-    /// A request that has none goes on waiting: it may be answered yet, and given up it would fail.
-    pub(crate) async fn unless_still<T>(
+    /// A request that no other server can take goes on waiting: it may still be answered, and it
+    /// would fail if it were given up.
+    pub(crate) async fn wait_unless_frozen<T>(
         &self,
         choice: &Choice,
-        tries: &mut Tries,
+        attempt: &mut Attempt,
         last: Option<u64>,
         limit: Span,
         work: impl Future<Output = T>,
     ) -> Result<T, Failure> {
         let since = self.state.clock.now();
-        let (mut look, end) = (since + SILENCE_LIMIT, since + limit);
+        let (mut next_check, end) = (since + SILENCE_LIMIT, since + limit);
         let mut work = pin!(work);
         loop {
-            let found = self.state.frozen.listen();
+            let ejected = self.state.frozen.listen();
             let now = self.state.clock.now();
             if now >= end {
                 return Err(Failure::Late);
             }
-            let done = within(now.until(look.min(end)), work.as_mut());
-            let found = async {
-                found.await;
+            let done = within(now.until(next_check.min(end)), work.as_mut());
+            let ejected = async {
+                ejected.await;
                 None
             };
-            if let Some(done) = futures_lite::future::or(done, found).await {
+            if let Some(done) = futures_lite::future::or(done, ejected).await {
                 return Ok(done);
             }
             let now = self.state.clock.now();
-            let due = now >= look;
+            let due = now >= next_check;
             if due {
-                look = now + STILL_AGAIN;
+                next_check = now + FROZEN_CHECK_INTERVAL;
             }
-            if !(self.is_frozen(choice) || due && self.stands_still(choice, since)) {
+            if !(self.is_frozen(choice) || due && self.seems_frozen(choice, since)) {
                 continue;
             }
             let done = async { Some(work.as_mut().await) };
-            let asked = async {
-                self.leave_out_if_frozen(choice).await;
+            let checked = async {
+                self.eject_if_frozen(choice).await;
                 None
             };
-            if let Some(done) = futures_lite::future::or(done, asked).await {
+            if let Some(done) = futures_lite::future::or(done, checked).await {
                 return Ok(done);
             }
-            if tries.moves(self, &choice.server, last) {
-                self.state.connections.retire(choice.address);
+            if attempt.try_move(self, &choice.server, last) {
+                self.state.connections.close_idle(choice.address);
                 return Err(Failure::Unknown);
             }
         }
     }
 
-    /// Whether a server is known to answer nothing, and the request may go elsewhere.
+    /// Whether a server is known to be frozen and the request may go elsewhere.
     fn is_frozen(&self, choice: &Choice) -> bool {
         let servers = self.state.servers.lock();
         self.route.repeat == Repeat::ResumableStream
             && servers.is_frozen(&choice.server, choice.start)
     }
 
-    /// Whether a server has shown nothing since a moment while others go on, and the request may go elsewhere.
-    fn stands_still(&self, choice: &Choice, since: Moment) -> bool {
+    /// Whether a server has shown nothing since a moment while others are running, and the request
+    /// may go elsewhere.
+    fn seems_frozen(&self, choice: &Choice, since: Moment) -> bool {
         let now = self.state.clock.now();
         let servers = self.state.servers.lock();
         self.route.repeat == Repeat::ResumableStream
             && servers.seems_frozen(now, &choice.server, since)
     }
 
-    /// Failure guarded against: a pooled connection is closed by the server, is silent, or holds
-    /// a late answer to an earlier request, and a request that may run once only is written to it:
-    /// its outcome is unknown, and it can't be sent again. Such requests get a connection of
+    /// Whether the request may be sent on a pooled connection.
+    ///
+    /// This guards against a pooled connection that the server has closed, that is silent, or that
+    /// holds a late answer to an earlier request. If a request that may run only once is written to
+    /// it, its outcome is unknown and it can't be sent again. Such requests get a connection of
     /// their own.
-    fn may_share(&self) -> bool {
+    fn may_pool(&self) -> bool {
         self.route.repeat.is_repeatable()
     }
 
     async fn connect(&self, choice: &Choice) -> Result<Connection, Failure> {
-        let limit = CONNECT.min(self.left());
+        let limit = CONNECT_TIMEOUT.min(self.left());
         match connect(choice.address, limit).await {
             Ok(connection) => Ok(connection),
             Err(_) => {
-                self.trouble(choice, ServerFault::Unreachable, "no connection");
+                self.record_fault(choice, ServerFault::Unreachable, "no connection");
                 Err(Failure::NotRun)
             }
         }
     }
 
-    fn request(&self, choice: &Choice, last: Option<u64>) -> Option<Request<Full<Bytes>>> {
+    fn build_request(&self, choice: &Choice, last: Option<u64>) -> Option<Request<Full<Bytes>>> {
         let add = Forward {
             server: &choice.server,
             workspace: self.workspace.as_deref(),
             left: self.left(),
             last,
-            turn: self.named_turn(last),
+            turn: self.ordered_urgency(last),
         };
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
@@ -293,125 +303,131 @@
         Some(request)
     }
 
-    /// Sorts an answer's head: to be passed on, or a failure that may be tried elsewhere.
-    fn judge(
+    /// Checks the head of an answer: it can be passed on, or the send failed and may be repeated
+    /// elsewhere.
+    fn check_answer(
         &self,
         choice: Choice,
         response: Response<Incoming>,
         connection: Connection,
-        flight: Flight,
+        in_flight: InFlight,
         sent: Moment,
     ) -> Result<Run, Failure> {
         let status = response.status();
         let reply = Reply::read(status, response.headers());
-        // Failure guarded against: an extra or late answer to an earlier request stands where
-        // this one's is expected, and its caller gets another's answer. The attempt's id tells.
+        // This guards against an extra or late answer to an earlier request, which would go to the
+        // wrong caller. The attempt's id shows which request an answer belongs to.
         if self.ask.attempt.is_some() && reply.attempt != self.ask.attempt && !reply.unrun {
-            self.state.connections.retire(choice.address);
-            self.trouble(&choice, ServerFault::Broken, "an answer to another request");
+            self.state.connections.close_idle(choice.address);
+            self.record_fault(&choice, ServerFault::Broken, "an answer to another request");
             return Err(Failure::Unknown);
         }
-        self.note_unknown(&choice, response.headers());
-        if self.is_own_word(status, &reply) {
-            self.note_limit(&choice, &reply.limit, sent);
+        self.record_unknown_headers(&choice, response.headers());
+        if self.is_from_chosen(status, &reply) {
+            self.record_limit(&choice, &reply.limit, sent);
             self.record_rest(&choice, &reply.rest);
             self.record_leaving(&choice, &reply);
         }
         if reply.unrun {
-            return Err(self.not_run(&choice, status, &reply));
+            return Err(self.handle_not_run(&choice, status, &reply));
         }
-        self.note_open(&choice.pool);
+        self.mark_open(&choice.pool);
         self.record_accepted(&choice, sent);
         if status.is_server_error() {
-            self.trouble(&choice, ServerFault::Failed, status.as_str());
+            self.record_fault(&choice, ServerFault::Failed, status.as_str());
         }
         Ok(Run {
             choice,
             reply,
             response,
             connection,
-            flight,
+            in_flight,
         })
     }
 
-    /// Whether an answer is the chosen server's own, and to this request: another server may stand at its address,
-    /// and an answer to an earlier request may be late.
-    fn is_own_word(&self, status: StatusCode, reply: &Reply) -> bool {
-        let (asked, told) = (self.ask.attempt.as_ref(), reply.attempt.as_ref());
-        let stray = asked.zip(told).is_some_and(|(asked, told)| asked != told);
+    /// Whether an answer comes from the chosen server and belongs to this request. Another server
+    /// may listen at its address now, and an answer to an earlier request may be late.
+    fn is_from_chosen(&self, status: StatusCode, reply: &Reply) -> bool {
+        let (asked, answered) = (self.ask.attempt.as_ref(), reply.attempt.as_ref());
+        let stray = asked
+            .zip(answered)
+            .is_some_and(|(asked, answered)| asked != answered);
         status != StatusCode::MISDIRECTED_REQUEST && !stray
     }
 
-    fn not_run(&self, choice: &Choice, status: StatusCode, reply: &Reply) -> Failure {
+    fn handle_not_run(&self, choice: &Choice, status: StatusCode, reply: &Reply) -> Failure {
         let culprit = reply.culprit.as_deref().unwrap_or("");
         let detail = format!("{status}, not run, by {culprit}");
         if reply.culprit.is_some() && status == StatusCode::SERVICE_UNAVAILABLE {
-            self.note_out(&choice.pool, &detail);
+            self.mark_out(&choice.pool, &detail);
             return Failure::Out;
         }
-        let trouble = match status {
+        let fault = match status {
             StatusCode::MISDIRECTED_REQUEST => ServerFault::Unreachable,
             _ => ServerFault::Full,
         };
-        self.trouble(choice, trouble, &detail);
+        self.record_fault(choice, fault, &detail);
         Failure::NotRun
     }
 
-    /// Where the request may be sent now.
-    pub(crate) fn gate(&self, now: Moment) -> AllowedPools {
+    /// Returns the pools that the request may be sent to now.
+    pub(crate) fn allowed_pools(&self, now: Moment) -> AllowedPools {
         let servers = self.state.servers.lock();
         let mut outages = self.state.outages.lock();
         outages.allowed_pools(now, servers.pools(&self.service))
     }
 
-    fn note_out(&self, pool: &Pool, detail: &str) {
+    fn mark_out(&self, pool: &Pool, detail: &str) {
         let now = self.state.clock.now();
         if self.state.outages.lock().mark_out(now, pool) {
-            self.state.note_outage(pool, Event::ServiceOut, detail);
+            self.state.log_outage(pool, Event::ServiceOut, detail);
         }
     }
 
-    fn note_open(&self, pool: &Pool) {
+    fn mark_open(&self, pool: &Pool) {
         if self.state.outages.lock().mark_open(pool) {
             self.state
-                .note_outage(pool, Event::ServiceReopened, &self.name);
+                .log_outage(pool, Event::ServiceReopened, &self.name);
         }
     }
 
-    pub(crate) fn trouble(&self, choice: &Choice, trouble: ServerFault, detail: &str) {
+    pub(crate) fn record_fault(&self, choice: &Choice, fault: ServerFault, detail: &str) {
         let now = self.state.clock.now();
         let id = &choice.server;
         let mut servers = self.state.servers.lock();
-        let out = servers.record_fault(now, id, choice.start, trouble);
+        let ejected_for = servers.record_fault(now, id, choice.start, fault);
         drop(servers);
         let journal = &self.state.journal;
-        let said = format_args!("{} at {id}: {trouble:?}, {detail}", self.name);
-        self.note_trouble(Event::AnswerFailed, said);
-        let Some(out) = out else {
+        let line = format_args!("{} at {id}: {fault:?}, {detail}", self.name);
+        self.log_problem(Event::AnswerFailed, line);
+        let Some(ejected_for) = ejected_for else {
             return;
         };
         journal.record(
             Event::ServerEjected,
             id,
-            format_args!("for {out}, {detail}"),
+            format_args!("for {ejected_for}, {detail}"),
         );
         let state = Arc::clone(&self.state);
-        match trouble {
-            ServerFault::Unreachable => spawn(await_return(state, choice.clone(), out)).detach(),
+        match fault {
+            ServerFault::Unreachable => {
+                spawn(reconnect(state, choice.clone(), ejected_for)).detach()
+            }
             ServerFault::Still => {
                 state.frozen.notify(usize::MAX);
-                let frozen = Frozen::new(choice);
-                spawn(frozen.await_answer(state)).detach();
+                let frozen = FrozenServer::new(choice);
+                spawn(frozen.await_recovery(state)).detach();
             }
             _ => {}
         }
     }
 }
 
-/// Connects to a server that could not be reached, so that no request has to try it.
-async fn await_return(state: Arc<State>, choice: Choice, mut out: Span) {
+/// Tries to connect to an unreachable server until it can be reached, so that no request has to try
+/// it.
+async fn reconnect(state: Arc<State>, choice: Choice, mut delay: Span) {
     loop {
-        pause(out).await;
+        pause(delay).await;
         if !state
             .servers
             .lock()
@@ -419,7 +435,7 @@
         {
             return;
         }
-        let reached = connect(choice.address, CONNECT).await.is_ok();
+        let reached = connect(choice.address, CONNECT_TIMEOUT).await.is_ok();
         let now = state.clock.now();
         let mut servers = state.servers.lock();
         if reached {
@@ -430,26 +446,26 @@
             return;
         }
         match servers.record_fault(now, &choice.server, choice.start, ServerFault::Unreachable) {
-            Some(longer) => out = longer,
+            Some(longer) => delay = longer,
             None => return,
         }
     }
 }
 
 impl Run {
-    /// Whether the answer is a failure that another server may not have.
+    /// Whether the answer is an error that another server may not return.
     pub(crate) fn is_failure(&self) -> bool {
         self.response.status().is_server_error()
     }
 
-    /// Ends a run whose answer was read in whole: its connection may carry the next request.
+    /// Ends a run whose answer was read in full: its connection may carry the next request.
     pub(crate) fn finish(self, job: &Job) {
         let state = &job.state;
         let now = state.clock.now();
         if !self.is_failure() {
             let mut servers = state.servers.lock();
             servers.record_success(&self.choice.server, self.choice.start);
-            servers.record_completion(&job.service, now.since(self.flight.since));
+            servers.record_completion(&job.service, now.since(self.in_flight.begun));
         }
         if !self.reply.closing {
             let (address, idle) = (self.choice.address, self.reply.idle);
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a gateway share.
+//! The state that the parts of a gateway share.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -17,11 +17,11 @@
 use snipemast_routes::Table as Routes;
 use snipemast_settings::Decisions;
 
-use crate::connections::Connections;
+use crate::connections::ConnectionPool;
 use crate::metrics::Metrics;
-use crate::unknown::Unknown;
+use crate::unknown::UnknownHeaders;
 
-/// What the parts of a gateway share; each part of the state has a lock of its own.
+/// The state that the parts of a gateway share. Each part of it has its own lock.
 #[derive(Debug)]
 pub struct State {
     pub(crate) settings: Settings,
@@ -29,32 +29,32 @@
     pub(crate) clock: BootClock,
     pub(crate) journal: Journal,
     pub(crate) metrics: Metrics,
-    /// The configuration in force; none until the first one has come.
+    /// The configuration in force; none before the first one.
     routes: RwLock<Option<Arc<Routes>>>,
-    /// Wakes who waits for a configuration to come into force.
+    /// Wakes tasks that wait for a configuration to come into force.
     pub(crate) applied: Signal,
     pub(crate) registry: Mutex<Registry>,
     pub(crate) servers: Mutex<Servers>,
     pub(crate) budget: Mutex<RetryBudget>,
     pub(crate) outages: Mutex<Outages>,
     pub(crate) patience: Mutex<CallerPatience>,
-    /// Wakes requests whose server may be found to answer nothing.
+    /// Wakes requests whose server was found to be frozen.
     pub(crate) frozen: Signal,
     /// Wakes requests that wait for a service.
     pub(crate) reopened: Signal,
     pub(crate) retry_schedule: Mutex<RetrySchedule>,
     pub(crate) passes: Mutex<PassTimes>,
-    /// Wakes requests that wait for short passes.
+    /// Wakes requests that wait for short forward passes.
     pub(crate) shortened: Signal,
-    pub(crate) connections: Connections,
-    pub(crate) unknown: Unknown,
+    pub(crate) connections: ConnectionPool,
+    pub(crate) unknown: UnknownHeaders,
     pub(crate) shutdown: Mutex<Shutdown>,
-    /// Requests in hand.
+    /// The number of requests in progress.
     active: AtomicU32,
-    counter: AtomicU64,
+    request_counter: AtomicU64,
 }
 
-/// A request in hand; dropping it counts it out.
+/// A request in progress; counts it out when dropped.
 #[derive(Debug)]
 pub(crate) struct ActiveRequest(Arc<State>);
 
@@ -95,22 +95,22 @@
             retry_schedule: Mutex::default(),
             passes: Mutex::new(PassTimes::new()),
             shortened: Signal::new(),
-            connections: Connections::default(),
-            unknown: Unknown::default(),
+            connections: ConnectionPool::default(),
+            unknown: UnknownHeaders::default(),
             shutdown: Mutex::new(Shutdown::new()),
             active: AtomicU32::new(0),
-            counter: AtomicU64::new(0),
+            request_counter: AtomicU64::new(0),
             settings,
             decisions,
         })
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub(crate) fn routes(&self) -> Option<Arc<Routes>> {
         self.routes.read().clone()
     }
 
-    /// The version in force; 0 before the first.
+    /// Returns the version in force; 0 before the first one.
     pub(crate) fn version(&self) -> Version {
         self.routes
             .read()
@@ -118,10 +118,10 @@
             .map_or(Version(0), |r| r.version())
     }
 
-    /// Puts a configuration into force; false where one as new is in force already.
+    /// Puts a configuration into force. Returns whether it is newer than the current one.
     ///
-    /// Failure guarded against: a controller that lags behind tells an older version, and what a
-    /// newer one forbids is allowed again. Versions only rise within a process.
+    /// This guards against a controller that lags behind and sends an older version, which would
+    /// allow again what a newer one forbids. Versions only grow within a process.
     pub(crate) fn apply(&self, routes: Routes) -> bool {
         let mut current = self.routes.write();
         if current
@@ -136,8 +136,9 @@
         true
     }
 
-    /// A pool is out or open again: whoever waits for a place looks again.
-    pub(crate) fn note_outage(&self, pool: &Pool, event: Event, detail: &str) {
+    /// Logs that a pool is out or open again. If it is open again, waiting requests look for a
+    /// server again.
+    pub(crate) fn log_outage(&self, pool: &Pool, event: Event, detail: &str) {
         if event == Event::ServiceReopened {
             self.reopened.notify(usize::MAX);
         }
@@ -152,23 +153,24 @@
         ActiveRequest(Arc::clone(self))
     }
 
-    /// How many requests are in hand.
-    pub(crate) fn active(&self) -> u32 {
+    /// Returns the number of requests in progress.
+    pub(crate) fn active_requests(&self) -> u32 {
         self.active.load(Ordering::Relaxed)
     }
 
-    /// Whether the process was told to end.
-    pub(crate) fn is_leaving(&self) -> bool {
+    /// Whether the process is shutting down.
+    pub(crate) fn is_shutting_down(&self) -> bool {
         self.shutdown.lock().has_begun()
     }
 
-    /// Whether it may get new connections: it knows a configuration and some server.
+    /// Whether the process may get new connections: it has a configuration and is not shutting
+    /// down.
     pub(crate) fn is_ready(&self) -> bool {
-        !self.is_leaving() && self.routes.read().is_some()
+        !self.is_shutting_down() && self.routes.read().is_some()
     }
 
-    /// A number that no other request of this process has.
+    /// Returns a number that no other request of this process has.
     pub(crate) fn next_number(&self) -> u64 {
-        self.counter.fetch_add(1, Ordering::Relaxed)
+        self.request_counter.fetch_add(1, Ordering::Relaxed)
     }
 }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,4 +1,4 @@
-//! PassTimes events on, and goes on at another server where a stream breaks.
+//! Passes a stream on, and resumes it at another server if it breaks.
 
 use std::sync::Arc;
 
@@ -11,118 +11,127 @@
 use snipemast_platform::response::event_id;
 use snipemast_routes::Repeat;
 
-use crate::answer::Broken;
-use crate::handle::Tries;
+use crate::answer::IncompleteAnswer;
+use crate::handle::Attempt;
 use crate::metrics::Ended;
+use crate::request_log::AnswerTimes;
 use crate::send::{Job, Run};
-use crate::story::Pace;
 
-/// How many pieces may wait for a caller that reads slowly.
-pub(crate) const WAITING: usize = 16;
+/// How many pieces are buffered for a caller that reads slowly.
+pub(crate) const MAX_WAITING_PIECES: usize = 16;
 
-/// How long a stream may be silent before it is given up: longer than an engine's group stalls on
-/// a lost rank (1.5 s), and shorter than the 2 s after which callers give up.
-const SILENCE: Span = Span::from_millis(1_750);
+/// How long a stream may be silent before it is given up: longer than an engine's group stalls on a
+/// lost rank (1.5 s), and shorter than the 2 s after which callers give up.
+const SILENCE_TIMEOUT: Span = Span::from_millis(1_750);
 
-/// How a part of a stream ended.
-enum End {
-    /// In whole.
-    Whole,
+/// How one server's part of a stream ended.
+enum PartEnd {
+    /// The stream is complete.
+    Complete,
     /// The caller is gone.
-    Unwanted,
-    /// The server broke it off, or it went silent.
+    CallerGone,
+    /// The server broke the stream off, or fell silent.
     Broken(&'static str),
 }
 
-/// PassTimes a stream on to its caller, to the end.
-pub(crate) async fn pass(
+/// Passes a stream on to its caller until it ends.
+pub(crate) async fn pass_on(
     job: Arc<Job>,
-    mut tries: Tries,
+    mut attempt: Attempt,
     mut run: Run,
-    sender: Sender<Result<Bytes, Broken>>,
+    sender: Sender<Result<Bytes, IncompleteAnswer>>,
 ) {
     let mut events = EventSplitter::new(event_id, job.ask.last);
-    let mut pace = None;
+    let mut times = None;
     loop {
         let server = run.choice.server.clone();
-        let reason = match part(&job, &mut tries, &mut run, &mut events, &mut pace, &sender).await {
-            End::Whole => {
+        let reason = match pass_part(
+            &job,
+            &mut attempt,
+            &mut run,
+            &mut events,
+            &mut times,
+            &sender,
+        )
+        .await
+        {
+            PartEnd::Complete => {
                 run.finish(&job);
-                let pace = pace.unwrap_or_else(|| job.note_begun());
-                job.note_delivered(&server, &pace);
+                let times = times.unwrap_or_else(|| job.record_begun());
+                job.record_delivered(&server, &times);
                 return;
             }
-            End::Unwanted => {
+            PartEnd::CallerGone => {
                 let detail = format!("{server}, after event {:?}", events.last_id());
                 let journal = &job.state.journal;
                 journal.record(Event::CallerGone, &job.name, detail);
                 return;
             }
-            End::Broken(reason) => reason,
+            PartEnd::Broken(reason) => reason,
         };
-        // Dropped first: the server stops its work on what it can't deliver.
+        // Dropped first, so that the server stops work that it can't deliver.
         drop(run);
         let detail = format!("{server}: {reason}, after event {:?}", events.last_id());
-        job.note_trouble(Event::AnswerFailed, detail);
-        tries.exclude(&server);
+        job.log_problem(Event::AnswerFailed, detail);
+        attempt.exclude(&server);
         events.discard_partial();
         let resumable = job.route.repeat == Repeat::ResumableStream;
         let next = if resumable {
-            tries.again(&job, events.last_id()).await
+            attempt.resume(&job, events.last_id()).await
         } else {
             None
         };
         let Some(next) = next else {
-            job.state.metrics.end(Ended::Broken);
-            // A caller that is gone needs no word.
-            let _ = sender.send(Err(Broken)).await;
+            job.state.metrics.count_end(Ended::Broken);
+            // A caller that is gone needs no message.
+            let _ = sender.send(Err(IncompleteAnswer)).await;
             return;
         };
         let detail = format!("{} after event {:?}", next.choice.server, events.last_id());
-        job.note_trouble(Event::StreamResumed, detail);
+        job.log_problem(Event::StreamResumed, detail);
         run = next;
     }
 }
 
-/// PassTimes on what one server sends.
-async fn part(
+/// Passes on what one server sends.
+async fn pass_part(
     job: &Job,
-    tries: &mut Tries,
+    attempt: &mut Attempt,
     run: &mut Run,
     events: &mut EventSplitter,
-    pace: &mut Option<Pace>,
-    sender: &Sender<Result<Bytes, Broken>>,
-) -> End {
+    times: &mut Option<AnswerTimes>,
+    sender: &Sender<Result<Bytes, IncompleteAnswer>>,
+) -> PartEnd {
     loop {
-        let limit = SILENCE.min(job.left());
+        let limit = SILENCE_TIMEOUT.min(job.left());
         let next = run.response.body_mut().frame();
-        let next = job.unless_still(&run.choice, tries, events.last_id(), limit, next);
+        let next = job.wait_unless_frozen(&run.choice, attempt, events.last_id(), limit, next);
         let Ok(frame) = next.await else {
-            return End::Broken("silent");
+            return PartEnd::Broken("silent");
         };
         let bytes = match frame {
-            None if events.is_complete() => return End::Whole,
-            None => return End::Broken("ended inside an event"),
-            Some(Err(_)) => return End::Broken("broken off"),
+            None if events.is_complete() => return PartEnd::Complete,
+            None => return PartEnd::Broken("ended inside an event"),
+            Some(Err(_)) => return PartEnd::Broken("broken off"),
             Some(Ok(frame)) => match frame.into_data() {
                 Ok(bytes) => bytes,
                 // Trailers concern this connection only.
                 Err(_) => continue,
             },
         };
-        let Ok(whole) = events.push(&bytes) else {
-            return End::Broken("an event without end");
+        let Ok(complete) = events.push(&bytes) else {
+            return PartEnd::Broken("an event is too long");
         };
-        if !whole.is_empty() {
+        if !complete.is_empty() {
             let now = job.state.clock.now();
             job.record_piece(&run.choice, now);
-            match pace {
-                Some(pace) => job.note_pause(&run.choice, pace.piece(now)),
-                None => *pace = Some(job.note_begun()),
+            match times {
+                Some(times) => job.record_pause(&run.choice, times.record_piece(now)),
+                None => *times = Some(job.record_begun()),
             }
         }
-        if !whole.is_empty() && sender.send(Ok(whole.into())).await.is_err() {
-            return End::Unwanted;
+        if !complete.is_empty() && sender.send(Ok(complete.into())).await.is_err() {
+            return PartEnd::CallerGone;
         }
     }
 }
--- a/crates/gateway/src/unknown.rs
+++ b/crates/gateway/src/unknown.rs
@@ -1,7 +1,7 @@
-//! Headers of answers that nobody here knows.
+//! Unknown headers in servers' answers.
 //!
-//! Failure guarded against: servers begin to say what they ask for in a header of which nobody has told us. It goes
-//! through unseen, and nobody keeps to it.
+//! Servers may begin to ask for something in a header that this code does not know. Nothing would
+//! follow it, so each such header is counted and logged.
 
 use std::collections::BTreeSet;
 
@@ -15,37 +15,37 @@
 use crate::send::Job;
 
 /// The most headers that are told apart.
-const MOST: usize = 32;
+const MAX_HEADERS: usize = 32;
 
-/// What stands for the others.
+/// The name under which the other headers are counted.
 const OTHERS: &str = "others";
 
-/// The headers that were met so far.
+/// The unknown headers that were seen so far.
 #[derive(Debug, Default)]
-pub(crate) struct Unknown {
-    met: Mutex<BTreeSet<String>>,
+pub(crate) struct UnknownHeaders {
+    seen: Mutex<BTreeSet<String>>,
 }
 
-impl Unknown {
-    /// Takes note of a header; its name, or what stands for it, and whether it is met for the first time.
-    fn meet<'a>(&self, name: &'a str) -> (&'a str, bool) {
-        let mut met = self.met.lock();
-        let name = if met.len() < MOST || met.contains(name) {
+impl UnknownHeaders {
+    /// Records a header. Returns the name under which it is counted, and whether that name is new.
+    fn record<'a>(&self, name: &'a str) -> (&'a str, bool) {
+        let mut seen = self.seen.lock();
+        let name = if seen.len() < MAX_HEADERS || seen.contains(name) {
             name
         } else {
             OTHERS
         };
-        (name, met.insert(name.to_owned()))
+        (name, seen.insert(name.to_owned()))
     }
 }
 
 impl Job {
-    /// Counts the headers of an answer that nobody here knows, and logs each once.
-    pub(crate) fn note_unknown(&self, choice: &Choice, headers: &HeaderMap) {
+    /// Counts the unknown headers of an answer, and logs each name once.
+    pub(crate) fn record_unknown_headers(&self, choice: &Choice, headers: &HeaderMap) {
         let state = &self.state;
         for name in unknown(headers) {
-            let (name, first) = state.unknown.meet(name.as_str());
-            state.metrics.meet_unknown(name);
+            let (name, first) = state.unknown.record(name.as_str());
+            state.metrics.count_unknown_header(name);
             if first {
                 let detail = format_args!("answer of {} to {}", choice.server, self.name);
                 state.journal.record(Event::HeaderUnknown, name, detail);
--- a/crates/gateway/src/waiting.rs
+++ b/crates/gateway/src/waiting.rs
@@ -12,22 +12,27 @@
 use crate::metrics::Ended;
 use crate::send::Job;
 
-/// When a caller may come back after a refusal: a pass of the engine, a restart of a process.
-const BACK_FULL: Span = Span::from_millis(300);
-pub(crate) const BACK_OUT: Span = Span::from_millis(700);
+/// When a caller may come back after a refusal: after a forward pass of the engine, or after a
+/// restart of a process.
+const RETRY_AFTER_FULL: Span = Span::from_millis(300);
+pub(crate) const RETRY_AFTER_OUT: Span = Span::from_millis(700);
 
-/// Waits for a service that is out or full, where the request can still be answered after that;
-/// else the refusal.
-pub(crate) async fn wait(job: &Job, unplaced: Unplaced, queued: &mut bool) -> Option<Answer> {
-    /// How often a request that waits looks for a place.
-    const LOOK: Span = Span::from_millis(60);
+/// Waits for a service that is out or full, if the request can still be answered after that.
+/// Returns the refusal otherwise.
+pub(crate) async fn wait_for_server(
+    job: &Job,
+    unplaced: Unplaced,
+    queued: &mut bool,
+) -> Option<Answer> {
+    /// How often a waiting request looks for a slot.
+    const SLOT_CHECK_INTERVAL: Span = Span::from_millis(60);
     if [Unplaced::AllLimited, Unplaced::AllResting].contains(&unplaced) {
-        return wait_for_turn(job, unplaced, queued).await;
+        return wait_for_schedule(job, unplaced, queued).await;
     }
-    let out = unplaced == Unplaced::Out;
-    let queues = out || [Unplaced::AllFull, Unplaced::Spent].contains(&unplaced);
-    if !queues || !job.route.repeat.is_stream() {
-        return Some(refuse(job, unplaced, back(unplaced)));
+    let is_out = unplaced == Unplaced::Out;
+    let may_queue = is_out || [Unplaced::AllFull, Unplaced::Spent].contains(&unplaced);
+    if !may_queue || !job.route.repeat.is_stream() {
+        return Some(refuse(job, unplaced, retry_after(unplaced)));
     }
     let now = job.state.clock.now();
     let blocked = BlockedRequest {
@@ -35,24 +40,29 @@
         waited: now.since(job.started),
         timeout: job.route.timeout,
         answer_time: job
-            .length()
+            .stream_length()
             .map_or(DEFAULT_STREAM_TIME, |length| length.expected()),
     };
     let span = match defer(&blocked) {
         Deferral::Queue(span) => span,
         Deferral::RetryLater(span) => return Some(refuse(job, unplaced, span)),
-        Deferral::Refuse => return Some(refuse(job, unplaced, back(unplaced))),
+        Deferral::Refuse => return Some(refuse(job, unplaced, retry_after(unplaced))),
     };
-    note_queued(job, unplaced, span, queued);
+    log_queued(job, unplaced, span, queued);
     let reopened = job.state.reopened.listen();
-    let wait = if out { PROBE_INTERVAL } else { LOOK }.min(span);
+    let wait = if is_out {
+        PROBE_INTERVAL
+    } else {
+        SLOT_CHECK_INTERVAL
+    }
+    .min(span);
     futures_lite::future::or(reopened, pause(wait)).await;
     None
 }
 
-/// Waits for the turn of a request whose servers all name limits or rest, where it can still be on time after that;
-/// else the refusal.
-async fn wait_for_turn(job: &Job, unplaced: Unplaced, queued: &mut bool) -> Option<Answer> {
+/// Waits until the scheduled time of a request whose servers are all limited or resting, if the
+/// request can still be on time after that. Returns the refusal otherwise.
+async fn wait_for_schedule(job: &Job, unplaced: Unplaced, queued: &mut bool) -> Option<Answer> {
     let now = job.state.clock.now();
     let (opens_at, limit) = {
         let servers = job.state.servers.lock();
@@ -79,43 +89,43 @@
         .schedule(now, &job.service, held);
     match deferral {
         Deferral::Queue(span) => {
-            note_queued(job, unplaced, span, queued);
+            log_queued(job, unplaced, span, queued);
             pause(span).await;
             None
         }
         Deferral::RetryLater(span) => Some(refuse(job, unplaced, span)),
-        Deferral::Refuse => Some(refuse(job, unplaced, BACK_OUT)),
+        Deferral::Refuse => Some(refuse(job, unplaced, RETRY_AFTER_OUT)),
     }
 }
 
-/// Logs that a request waits, once.
-fn note_queued(job: &Job, unplaced: Unplaced, span: Span, queued: &mut bool) {
+/// Logs once that a request waits.
+fn log_queued(job: &Job, unplaced: Unplaced, span: Span, queued: &mut bool) {
     if !std::mem::replace(queued, true) {
         let detail = format!("{unplaced:?}, for {span} at most");
-        job.note_trouble(Event::RequestQueued, detail);
+        job.log_problem(Event::RequestQueued, detail);
     }
 }
 
-/// When a caller may come back.
-fn back(unplaced: Unplaced) -> Span {
+/// Returns when a caller may come back.
+fn retry_after(unplaced: Unplaced) -> Span {
     match unplaced {
-        Unplaced::AllFull | Unplaced::Spent => BACK_FULL,
-        _ => BACK_OUT,
+        Unplaced::AllFull | Unplaced::Spent => RETRY_AFTER_FULL,
+        _ => RETRY_AFTER_OUT,
     }
 }
 
 fn refuse(job: &Job, unplaced: Unplaced, after: Span) -> Answer {
     let detail = format_args!("{unplaced:?}, {} left, back after {after}", job.left());
-    job.note_trouble(Event::RequestRefused, detail);
-    job.state.metrics.end(Ended::Refused);
+    job.log_problem(Event::RequestRefused, detail);
+    job.state.metrics.count_end(Ended::Refused);
     let reason = match unplaced {
         Unplaced::AllFull => "every server is full",
-        Unplaced::Spent => "no repeat is left",
-        Unplaced::AllLimited => "every server has what it takes for now",
+        Unplaced::Spent => "no retry is left",
+        Unplaced::AllLimited => "every server is at its limit",
         Unplaced::AllResting => "every server asked for rest",
         Unplaced::AllOut => "no server can be reached",
         Unplaced::Nobody => "the service has no server",
-        Unplaced::Out => "the service is out",
+        Unplaced::Out => "the service is unavailable",
         Unplaced::TooLong => "the answer could not end in time",
     };
     refusal(reason, after)
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What all gateways together send to a server that names a limit, played without a network.
+//! Simulates what all gateways together send to a server that names a limit, without a network.
 
 use snipemast_core::hash::{below, fraction, mix};
 use snipemast_core::prelude::*;
@@ -11,7 +11,7 @@
 const LENGTH: Span = Span::from_secs(30);
 const WINDOW: Span = Span::from_secs(4);
 
-/// The most that a server may get in a window at a limit.
+/// Returns the most requests that a server may get in a window at a limit.
 fn allowed(rate: Rate) -> usize {
     (1.5 * rate.as_per_second() * WINDOW.as_secs_f64() + 5.0) as usize
 }
@@ -20,53 +20,53 @@
     ServerId::new("i-1").unwrap()
 }
 
-/// What befalls a play.
+/// What goes wrong in a simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Trouble {
+enum Failure {
     Nothing,
-    /// Answers of the leader are lost or late, one in three.
+    /// One in three answers of the leader is lost, and some others are late.
     Lossy,
-    /// The leader is gone; another one leads after up to three seconds, again and again.
+    /// The leader fails, and another one leads after up to three seconds, again and again.
     Elections,
-    /// A part of the gateways reaches no leader.
+    /// Some of the gateways reach no leader.
     Cut,
-    /// Gateways stand still for some seconds and wake with what they were granted.
+    /// Gateways freeze for some seconds and wake up with old grants.
     Freezes,
-    /// Gateways start anew, told of the limit before their first request.
+    /// Gateways restart, and learn of the limit before their first request.
     Restarts,
 }
 
-const TROUBLES: [Trouble; 6] = [
-    Trouble::Nothing,
-    Trouble::Lossy,
-    Trouble::Elections,
-    Trouble::Cut,
-    Trouble::Freezes,
-    Trouble::Restarts,
+const FAILURES: [Failure; 6] = [
+    Failure::Nothing,
+    Failure::Lossy,
+    Failure::Elections,
+    Failure::Cut,
+    Failure::Freezes,
+    Failure::Restarts,
 ];
 
-/// One play.
+/// One simulation.
 #[derive(Debug, Clone, Copy)]
-struct Play {
+struct Simulation {
     seed: u64,
     rate: Rate,
     gateways: u32,
-    trouble: Trouble,
-    /// Requests a second that would be sent there, from each gateway.
-    asks: f64,
+    failure: Failure,
+    /// The requests a second that each gateway would send to the server.
+    demand_rate: f64,
 }
 
 struct Gateway {
     allowances: Allowances,
-    /// When it polls next.
-    polls: Moment,
-    /// When its poll was sent, when its answer comes, and what that grants.
+    /// When the gateway polls next.
+    next_poll: Moment,
+    /// When its poll was sent, when the answer comes, and the grants of the answer.
     answer: Option<(Moment, Moment, Vec<Grant>)>,
-    /// Until when it stands still.
+    /// Until when the gateway is frozen.
     frozen: Moment,
 }
 
-/// A stream of numbers that look random.
+/// A generator of pseudorandom numbers.
 struct Chance(u64);
 
 impl Chance {
@@ -75,8 +75,8 @@
         mix(self.0)
     }
 
-    /// Whether something of this probability happens.
-    fn is(&mut self, probability: f64) -> bool {
+    /// Returns true with this probability.
+    fn happens(&mut self, probability: f64) -> bool {
         fraction(self.next()) < probability
     }
 
@@ -94,13 +94,13 @@
         allowances.set_limits(now, vec![(server(), rate)]);
         Self {
             allowances,
-            polls: now + chance.millis(50),
+            next_poll: now + chance.millis(50),
             answer: None,
             frozen: Moment::ZERO,
         }
     }
 
-    /// Takes an answer that has come.
+    /// Applies the leader's answer if it has come.
     fn take(&mut self, now: Moment, rate: Rate) {
         let Some((asked, at, grants)) = self.answer.take() else {
             return;
@@ -118,17 +118,17 @@
     }
 }
 
-impl Play {
-    /// When the server was sent requests.
+impl Simulation {
+    /// Returns the times at which the server was sent requests.
     fn run(self) -> Vec<Moment> {
         let Self {
             seed,
             rate,
             gateways,
-            trouble,
-            asks,
+            failure,
+            demand_rate,
         } = self;
-        let asks = asks * STEP.as_secs_f64();
+        let demand_rate = demand_rate * STEP.as_secs_f64();
         let mut chance = Chance(mix(seed));
         let begin = Moment::from_millis(100_000);
         let mut all: Vec<Gateway> = (0..gateways)
@@ -141,41 +141,41 @@
         let mut now = begin;
         while now < begin + LENGTH {
             now = now + STEP;
-            if trouble == Trouble::Elections && now >= fails {
+            if failure == Failure::Elections && now >= fails {
                 vacant = now + chance.millis(3_000);
                 fails = vacant + chance.millis(6_000);
                 term += 1;
-                // Sometimes the same host leads again, sometimes another one that knows nothing.
-                if chance.is(0.5) {
+                // Sometimes the same host leads again, and sometimes another one without its state.
+                if chance.happens(0.5) {
                     leader = Grants::default();
                 }
             }
             for (number, gateway) in all.iter_mut().enumerate() {
-                if trouble == Trouble::Freezes && chance.is(0.001) {
+                if failure == Failure::Freezes && chance.happens(0.001) {
                     gateway.frozen = now + chance.millis(5_000);
                 }
                 if now < gateway.frozen {
                     continue;
                 }
-                if trouble == Trouble::Restarts && chance.is(0.002) {
+                if failure == Failure::Restarts && chance.happens(0.002) {
                     *gateway = Gateway::new(now, rate, gateways, &mut chance);
                 }
                 gateway.take(now, rate);
-                let cut = trouble == Trouble::Cut && 3 * number < 2 * gateways as usize;
-                if now >= gateway.polls && !cut {
-                    gateway.polls = now + wait;
-                    let lost = trouble == Trouble::Lossy && chance.is(0.33);
+                let cut = failure == Failure::Cut && 3 * number < 2 * gateways as usize;
+                if now >= gateway.next_poll && !cut {
+                    gateway.next_poll = now + wait;
+                    let lost = failure == Failure::Lossy && chance.happens(0.33);
                     if now >= vacant && !lost {
                         let count = gateway.allowances.demand(now, &server());
                         let demands = [demand(rate, count)];
                         let limit = |_: &ServerId| Some((Incarnation(1), rate));
                         let grants = leader.grant(now, Term(term), &demands, limit);
-                        let late = trouble == Trouble::Lossy && chance.is(0.2);
-                        let way = chance.millis(if late { 900 } else { 5 });
-                        gateway.answer = Some((now, now + way, grants));
+                        let late = failure == Failure::Lossy && chance.happens(0.2);
+                        let delay = chance.millis(if late { 900 } else { 5 });
+                        gateway.answer = Some((now, now + delay, grants));
                     }
                 }
-                if chance.is(asks) {
+                if chance.happens(demand_rate) {
                     gateway.allowances.record_demand(now, &server());
                     if gateway.allowances.admits(now, &server()) {
                         gateway.allowances.spend(now, &server());
@@ -201,8 +201,8 @@
     }
 }
 
-/// The most that were sent in one window.
-fn most(sent: &[Moment]) -> usize {
+/// Returns the most requests that were sent in one window.
+fn max_in_window(sent: &[Moment]) -> usize {
     let within = |first: Moment| {
         let same = sent
             .iter()
@@ -215,59 +215,71 @@
 const RATES: [u64; 5] = [250, 500, 1_000, 2_500, 20_000];
 const SIZES: [u32; 4] = [3, 9, 149, 350];
 
-fn plays() -> impl Iterator<Item = Play> {
+fn simulations() -> impl Iterator<Item = Simulation> {
     let sizes = SIZES.into_iter();
     sizes.flat_map(|gateways| {
         RATES.into_iter().flat_map(move |rate| {
-            TROUBLES.into_iter().flat_map(move |trouble| {
+            FAILURES.into_iter().flat_map(move |failure| {
                 let rate = Rate::from_millis(rate);
-                (1..=2).map(move |seed| Play {
+                (1..=2).map(move |seed| Simulation {
                     seed,
                     rate,
                     gateways,
-                    trouble,
-                    // Four times what the server takes at least.
-                    asks: (4.0 * rate.as_per_second() / f64::from(gateways)).max(3.5),
+                    failure,
+                    // At least four times what the server takes.
+                    demand_rate: (4.0 * rate.as_per_second() / f64::from(gateways)).max(3.5),
                 })
             })
         })
     })
 }
 
-/// A server in need gets more than it takes, as hosts lose the leader, freeze, start anew, or are cut off, and
-/// nobody knows what the others send.
+/// A server with a limit gets more requests than it takes while hosts lose the leader, freeze,
+/// restart, or are cut off, and no gateway knows what the others send.
 #[test]
-fn limit_holds_in_troubles() {
-    for play in plays() {
-        let got = most(&play.run());
-        assert!(got <= allowed(play.rate), "{got} in 4 s: {play:?}");
+fn limit_holds_in_failures() {
+    for simulation in simulations() {
+        let got = max_in_window(&simulation.run());
+        assert!(
+            got <= allowed(simulation.rate),
+            "{got} in 4 s: {simulation:?}"
+        );
     }
 }
 
-/// A server in need stands idle although it takes something, because what it takes is granted to gateways that have no use
-/// for it.
+/// A server with a limit is idle although it takes requests, because the leader granted them to
+/// gateways that have no use for them.
 #[test]
 fn limit_is_used() {
-    for play in plays().filter(|play| play.trouble == Trouble::Nothing) {
-        let sent = play.run().len() as f64;
-        let takes = play.rate.as_per_second() * LENGTH.as_secs_f64();
-        assert!(sent >= takes / 2.0 - 1.0, "{sent} of {takes}: {play:?}");
+    for simulation in simulations().filter(|simulation| simulation.failure == Failure::Nothing) {
+        let sent = simulation.run().len() as f64;
+        let takes = simulation.rate.as_per_second() * LENGTH.as_secs_f64();
+        assert!(
+            sent >= takes / 2.0 - 1.0,
+            "{sent} of {takes}: {simulation:?}"
+        );
     }
 }
 
-/// A limit is over, and half a minute later nobody knows: each gateway has so few requests that none is sent there.
+/// A limit has ended, and half a minute later no gateway knows: each has so few requests that none
+/// is sent to the server.
 #[test]
-fn asked_with_few_requests() {
-    for play in plays().filter(|play| play.trouble == Trouble::Nothing) {
-        let asks = 20.0 / f64::from(play.gateways);
-        let sent = Play { asks, ..play }.run();
-        assert!(!sent.is_empty(), "{play:?}");
+fn sent_with_few_requests() {
+    for simulation in simulations().filter(|simulation| simulation.failure == Failure::Nothing) {
+        let demand_rate = 20.0 / f64::from(simulation.gateways);
+        let sent = Simulation {
+            demand_rate,
+            ..simulation
+        }
+        .run();
+        assert!(!sent.is_empty(), "{simulation:?}");
     }
 }
 
-/// No leader is reached for long, and a limit that is over never shows: each server is still asked now and then.
+/// No leader is reached for a long time, and the end of a limit never shows. Each server must still
+/// be sent a request now and then.
 #[test]
-fn asked_without_leader() {
+fn sent_without_leader() {
     let rate = Rate::per_second(2);
     for gateways in SIZES {
         let mut chance = Chance(7);
