--- a/crates/agent/src/rank.rs
+++ b/crates/agent/src/rank.rs
@@ -16,8 +16,8 @@
 use snipemast_groups::agree::lead::LeadTimer;
 use snipemast_groups::agree::message::SharedMap;
 use snipemast_groups::agree::{
-    EngineStatus, Lead, LeadInput, LeadOutput, Margin, Permit, RankAgent, RankInput, RankOutput,
-    Reign, Standing, Timer,
+    ActiveMap, EngineStatus, Lead, LeadInput, LeadOutput, LeadTerm, Margin, Permit, RankAgent,
+    RankInput, RankOutput, Timer,
 };
 use snipemast_wire::group::{path, GroupBody, GroupMessage, Taken};
 use snipemast_wire::serve::{malformed, message, reply};
@@ -89,9 +89,9 @@
     }
 
     /// The map that the rank committed last.
-    pub fn standing(&self) -> Option<Standing> {
+    pub fn standing(&self) -> Option<ActiveMap> {
         let machines = self.machines.lock();
-        machines.as_ref().and_then(|m| m.rank.standing().cloned())
+        machines.as_ref().and_then(|m| m.rank.active_map().cloned())
     }
 
     /// Issues no permit and sends no message from now on.
@@ -112,11 +112,11 @@
             GroupBody::Peer(message) => {
                 self.drive(Work::Rank(RankInput::Peer { from, message }));
             }
-            GroupBody::Rank(reign, message) => {
-                if self.leads(reign) {
+            GroupBody::Rank(term, message) => {
+                if self.leads(term) {
                     self.drive(Work::Lead(LeadInput::Rank {
                         from,
-                        reign,
+                        term,
                         message,
                     }));
                 }
@@ -132,9 +132,9 @@
         }
     }
 
-    /// Whether a lead of this process gathers answers for the reign.
-    fn leads(&self, reign: Reign) -> bool {
-        reign.rank == self.place.number && reign.start == self.start
+    /// Whether a lead of this process gathers answers for the term.
+    fn leads(&self, term: LeadTerm) -> bool {
+        term.rank == self.place.number && term.start == self.start
     }
 
     /// Learns where the other ranks' agents listen, and begins where that is news.
@@ -221,16 +221,16 @@
         todo: &mut VecDeque<Work>,
     ) {
         match output {
-            RankOutput::ToLead(reign, message) if self.leads(reign) => {
+            RankOutput::ToLead(term, message) if self.leads(term) => {
                 let from = self.place.number;
                 todo.push_back(Work::Lead(LeadInput::Rank {
                     from,
-                    reign,
+                    term,
                     message,
                 }));
             }
-            RankOutput::ToLead(reign, message) => {
-                machines.send(reign.rank, GroupBody::Rank(reign, message));
+            RankOutput::ToLead(term, message) => {
+                machines.send(term.rank, GroupBody::Rank(term, message));
             }
             RankOutput::ToRank(to, message) => machines.send(to, GroupBody::Peer(message)),
             // A permit that finds no room is issued again when the engine shows itself.
@@ -238,9 +238,9 @@
             RankOutput::LoadWeights(version, map) => self.load(version, map),
             RankOutput::DropWeights(_) | RankOutput::Evict(_) => {}
             RankOutput::Arm(timer) => self.arm(machines, Alarm::Rank(timer)),
-            RankOutput::Stand(reign) => {
+            RankOutput::StartLead(term) => {
                 let ranks = machines.peers.len() as u32;
-                machines.lead = Some(Lead::new(reign, ranks, self.margin));
+                machines.lead = Some(Lead::new(term, ranks, self.margin));
                 todo.push_back(Work::Lead(LeadInput::Begin));
             }
             RankOutput::Event(event, version) => {
@@ -309,10 +309,10 @@
 
     fn wait(&self, alarm: Alarm) -> Span {
         match alarm {
-            Alarm::Rank(Timer::Patience) => self.margin.patience(self.place.number),
+            Alarm::Rank(Timer::VerdictTimeout) => self.margin.verdict_timeout(self.place.number),
             Alarm::Lead(LeadTimer::Resend) => self.margin.delay.times(3),
-            Alarm::Lead(LeadTimer::LoadOver(_)) => LOAD,
-            Alarm::Lead(LeadTimer::PromiseOver(_)) => self.margin.promise(),
+            Alarm::Lead(LeadTimer::LoadTimeout(_)) => LOAD,
+            Alarm::Lead(LeadTimer::PromiseTimeout(_)) => self.margin.promise_timeout(),
         }
     }
 
--- a/crates/benches/benches/rebalance.rs
+++ b/crates/benches/benches/rebalance.rs
@@ -17,9 +17,9 @@
 use snipemast_benches::report::{BenchArgs, Figures};
 use snipemast_benches::traces::{draw, repacked, replicated, Kind, Shape, Trace};
 use snipemast_core::prelude::*;
-use snipemast_groups::estimate::{Counts, Pace, Popularity};
+use snipemast_groups::estimate::{Counts, Popularity, Smoothing};
 use snipemast_groups::map::{weight_loads, ExpertMap};
-use snipemast_groups::pace::{judge, Work};
+use snipemast_groups::pace::{rank_health, Work};
 use snipemast_groups::policy::{Phase, Policy, Situation, Weights};
 
 /// Time between two reports.
@@ -64,10 +64,10 @@
     Mover::Weighed(Weights::new(100, 900))
 }
 
-fn pace(mover: Mover) -> Pace {
+fn pace(mover: Mover) -> Smoothing {
     match mover {
-        Mover::Weighed(w) => Pace::weighed(w.skew, w.disturbance),
-        _ => Pace::default(),
+        Mover::Weighed(w) => Smoothing::from_weights(w.skew, w.disturbance),
+        _ => Smoothing::default(),
     }
 }
 
@@ -96,7 +96,7 @@
             layers,
             ..
         } = trace.shape;
-        let home = ExpertMap::dealt(layers, ranks, slots, experts);
+        let home = ExpertMap::round_robin(layers, ranks, slots, experts);
         Self {
             trace,
             mover,
@@ -135,7 +135,7 @@
         if self.rng.random_range(0..20) == 0 {
             return;
         }
-        self.popularity.take(&counts);
+        self.popularity.record(&counts);
         let raw: Vec<Vec<f64>> = counts.layers.iter().map(|l| shares_of(l)).collect();
         let next = match self.mover {
             Mover::Static => return,
@@ -147,7 +147,7 @@
     }
 
     fn weighed(&self, weights: Weights, interval: usize) -> ExpertMap {
-        let health = judge(&self.works);
+        let health = rank_health(&self.works);
         let situation = Situation {
             map: &self.map,
             shares: self.popularity.shares(),
@@ -157,7 +157,7 @@
             age: INTERVAL,
         };
         let decision = Policy::new(weights).decide(&situation);
-        self.map.after(&decision.moves)
+        self.map.with_moves(&decision.moves)
     }
 
     fn switch(&mut self, next: ExpertMap, interval: usize) {
@@ -289,7 +289,7 @@
 /// is dealt out, where there is most to do. The least is what other processes disturb least.
 fn decision_ms(shape: Shape, rounds: usize) -> (f64, f64) {
     let trace = Trace::new(Kind::Steady, shape, 1, 5);
-    let map = ExpertMap::dealt(shape.layers, shape.ranks, shape.slots, shape.experts);
+    let map = ExpertMap::round_robin(shape.layers, shape.ranks, shape.slots, shape.experts);
     let situation = Situation {
         map: &map,
         shares: &trace.shares[0],
@@ -312,7 +312,7 @@
 
 /// Steps held in ordinary running: many seeds, a switch in each, no fault.
 fn held_steps(seeds: u64) -> u64 {
-    let held = (0..seeds).map(|seed| match common::sim::judge(8, seed, &[]) {
+    let held = (0..seeds).map(|seed| match common::sim::run_checked(8, seed, &[]) {
         Ok(sim) => sim.world.held,
         Err(fault) => panic!("ordinary running fails: {fault:?}"),
     });
--- a/crates/benches/src/traces.rs
+++ b/crates/benches/src/traces.rs
@@ -261,7 +261,7 @@
         let part = |e: usize| shares[e] / f64::from(replicas[e].max(1));
         let loads = layer.rank_loads(shares);
         let mut open: Vec<u16> = (0..layer.ranks())
-            .filter(|r| layer.on(*r).contains(&EMPTY))
+            .filter(|r| layer.rank_slots(*r).contains(&EMPTY))
             .collect();
         open.sort_by(|a, b| loads[usize::from(*a)].total_cmp(&loads[usize::from(*b)]));
         let Some(&rank) = open.first() else {
@@ -271,7 +271,7 @@
         let Some(expert) = free.max_by(|a, b| part(*a).total_cmp(&part(*b))) else {
             return layer;
         };
-        let slot = layer.on(rank).iter().position(|e| *e == EMPTY);
+        let slot = layer.rank_slots(rank).iter().position(|e| *e == EMPTY);
         layer.set(rank, slot.expect("the rank has room") as u16, expert as u16);
     }
 }
--- a/crates/fakes/src/group.rs
+++ b/crates/fakes/src/group.rs
@@ -10,7 +10,7 @@
 
 use snipemast_core::prelude::*;
 use snipemast_groups::agree::message::SharedMap;
-use snipemast_groups::agree::{EngineStatus, Permit, Standing};
+use snipemast_groups::agree::{ActiveMap, EngineStatus, Permit};
 use snipemast_servers::protocol;
 use snipemast_wire::group::path;
 use snipemast_wire::serve::{malformed, message, reply};
@@ -38,7 +38,7 @@
     next: Step,
     facts: BTreeMap<Step, MapVersion>,
     maps: BTreeMap<MapVersion, SharedMap>,
-    shown: Option<Standing>,
+    shown: Option<ActiveMap>,
 }
 
 /// The engines of all ranks of a group.
@@ -123,7 +123,7 @@
             incarnation: seat.incarnation,
             step: seat.next,
             end,
-            shown: seat.shown.clone(),
+            last_map: seat.shown.clone(),
         }
     }
 
@@ -203,7 +203,7 @@
         self.facts.remove(&self.next);
         self.next = self.next.next();
         let map = self.maps.get(&version).cloned().unwrap_or_default();
-        self.shown = Some(Standing {
+        self.shown = Some(ActiveMap {
             incarnation: self.incarnation,
             version,
             map,
--- a/crates/groups/src/agree.rs
+++ b/crates/groups/src/agree.rs
@@ -21,7 +21,7 @@
 pub use lead::{Lead, LeadInput, LeadOutput, Proposal, Rejection};
 pub use margin::Margin;
 pub use message::{
-    Attempt, Decided, LeadMessage, Origin, PeerMessage, Permit, RankMessage, Refusal, Reign,
-    Report, Standing, Verdict,
+    ActiveMap, Attempt, Decided, LeadMessage, LeadTerm, Origin, PeerMessage, Permit, RankMessage,
+    Refusal, Report, Verdict,
 };
 pub use rank::{EngineStatus, RankAgent, RankInput, RankOutput, Timer};
--- a/crates/groups/src/agree/evidence.rs
+++ b/crates/groups/src/agree/evidence.rs
@@ -3,7 +3,7 @@
 use snipemast_core::data;
 use snipemast_core::prelude::*;
 
-use super::message::{Attempt, Decided, SharedMap, Standing, Verdict};
+use super::message::{ActiveMap, Attempt, Decided, SharedMap, Verdict};
 
 data! {
     /// A promise that waits for its verdict.
@@ -21,7 +21,7 @@
         /// Whether its agent remembers; an agent that restarted shows what its engine holds.
         pub remembers: bool,
         /// The last map that it committed, or that its engine stepped with.
-        pub standing: Option<Standing>,
+        pub standing: Option<ActiveMap>,
         /// What it promised and has no verdict for.
         pub open: Option<Open>,
         /// The last verdict that it took.
--- a/crates/groups/src/agree/lead.rs
+++ b/crates/groups/src/agree/lead.rs
@@ -8,7 +8,8 @@
 use super::evidence::Evidence;
 use super::margin::Margin;
 use super::message::{
-    Attempt, Decided, LeadMessage, Origin, RankMessage, Refusal, Reign, Report, SharedMap, Verdict,
+    Attempt, Decided, LeadMessage, LeadTerm, Origin, RankMessage, Refusal, Report, SharedMap,
+    Verdict,
 };
 
 /// How often a map is tried again with a later switch before it is given up.
@@ -51,9 +52,11 @@
         /// Tell again whoever has not answered.
         Resend,
         /// Give up loading the weights of a version.
-        LoadOver(MapVersion),
+        #[serde(rename = "LoadOver")]
+        LoadTimeout(MapVersion),
         /// Give up waiting for promises for a version.
-        PromiseOver(MapVersion),
+        #[serde(rename = "PromiseOver")]
+        PromiseTimeout(MapVersion),
     }
 }
 
@@ -68,8 +71,8 @@
     Rank {
         /// The rank.
         from: u32,
-        /// The reign that it answers.
-        reign: Reign,
+        /// The term that it answers.
+        term: LeadTerm,
         /// Its message.
         message: RankMessage,
     },
@@ -88,8 +91,8 @@
     Committed(MapVersion),
     /// A proposal came to nothing.
     Rejected(Rejection),
-    /// A later reign is known: this lead has ended.
-    Outranked(Reign),
+    /// A later term is known: this lead has ended.
+    Outranked(LeadTerm),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -111,7 +114,7 @@
     },
     /// Nothing is under way.
     Idle,
-    /// A later reign leads.
+    /// A later term leads.
     Ended,
 }
 
@@ -127,7 +130,7 @@
 /// The machine of a group's lead.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Lead {
-    reign: Reign,
+    term: LeadTerm,
     ranks: usize,
     margin: Margin,
     fence: Fence,
@@ -142,10 +145,10 @@
 
 impl Lead {
     /// A lead of a group of this many ranks; it asks every rank before it does anything else.
-    pub fn new(reign: Reign, ranks: u32, margin: Margin) -> Self {
+    pub fn new(term: LeadTerm, ranks: u32, margin: Margin) -> Self {
         let ranks = ranks as usize;
         Self {
-            reign,
+            term,
             ranks,
             margin,
             fence: Fence::new(0),
@@ -174,22 +177,22 @@
         match input {
             LeadInput::Begin => self.tell_missing(&mut out),
             LeadInput::Propose(proposal) => self.propose(proposal, &mut out),
-            // Failure guarded against: an answer to an earlier reign of this lead counts for this
+            // Failure guarded against: an answer to an earlier term of this lead counts for this
             // one, although its rank has restarted in between and knows nothing of it.
-            LeadInput::Rank { reign, .. } if reign != self.reign => {}
+            LeadInput::Rank { term, .. } if term != self.term => {}
             LeadInput::Rank { from, message, .. } => self.rank_says(from, message, &mut out),
             LeadInput::Fired(LeadTimer::Resend) => self.tell_missing(&mut out),
-            LeadInput::Fired(LeadTimer::LoadOver(version)) => self.load_over(version, &mut out),
-            LeadInput::Fired(LeadTimer::PromiseOver(version)) => {
+            LeadInput::Fired(LeadTimer::LoadTimeout(version)) => self.load_over(version, &mut out),
+            LeadInput::Fired(LeadTimer::PromiseTimeout(version)) => {
                 self.promise_over(version, &mut out);
             }
         }
         out
     }
 
-    /// The reign of this lead.
-    pub fn reign(&self) -> Reign {
-        self.reign
+    /// The term of this lead.
+    pub fn term(&self) -> LeadTerm {
+        self.term
     }
 
     /// The version in force, where the group has one.
@@ -202,7 +205,7 @@
         self.phase == Phase::Idle
     }
 
-    /// Whether a later reign has ended this lead.
+    /// Whether a later term has ended this lead.
     pub fn is_ended(&self) -> bool {
         self.phase == Phase::Ended
     }
@@ -278,7 +281,7 @@
         let loaded = vec![false; self.ranks];
         self.phase = Phase::Loading { plan, loaded };
         self.tell_missing(out);
-        out.push(LeadOutput::Arm(LeadTimer::LoadOver(version)));
+        out.push(LeadOutput::Arm(LeadTimer::LoadTimeout(version)));
     }
 
     fn rank_says(&mut self, from: u32, message: RankMessage, out: &mut Vec<LeadOutput>) {
@@ -315,7 +318,7 @@
     fn recover(&mut self, evidence: &[Evidence], out: &mut Vec<LeadOutput>) {
         let started = |e: &Evidence| {
             let joined = e.standing.as_ref().map(|s| s.incarnation);
-            e.remembers && joined == Some(self.reign.incarnation)
+            e.remembers && joined == Some(self.term.incarnation)
         };
         if evidence.iter().all(started) {
             self.resolve(evidence, out);
@@ -367,8 +370,8 @@
 
     /// Opens another incarnation of the group and asks every rank anew.
     fn reform(&mut self, out: &mut Vec<LeadOutput>) {
-        let Reign { rank, start, .. } = self.reign;
-        self.reign = self.reign.reformed(rank, start);
+        let LeadTerm { rank, start, .. } = self.term;
+        self.term = self.term.next_incarnation(rank, start);
         self.formed = false;
         self.phase = Phase::Asking {
             reports: vec![None; self.ranks],
@@ -407,7 +410,7 @@
         };
         let version = plan.version;
         let attempt = Attempt {
-            reign: self.reign,
+            term: self.term,
             version,
             switch,
         };
@@ -418,7 +421,7 @@
             promised,
         };
         self.tell_missing(out);
-        out.push(LeadOutput::Arm(LeadTimer::PromiseOver(version)));
+        out.push(LeadOutput::Arm(LeadTimer::PromiseTimeout(version)));
     }
 
     fn promised(&mut self, from: usize, attempt: Attempt, out: &mut Vec<LeadOutput>) {
@@ -477,12 +480,12 @@
 
     fn refused(&mut self, refusal: Refusal, out: &mut Vec<LeadOutput>) {
         match refusal {
-            Refusal::Outranked(reign) if reign > self.reign => {
+            Refusal::Outranked(term) if term > self.term => {
                 self.phase = Phase::Ended;
-                out.push(LeadOutput::Outranked(reign));
+                out.push(LeadOutput::Outranked(term));
             }
             // The agent started anew and forgot what it promised to whom.
-            Refusal::Unasked(reign) if reign == self.reign => self.reform(out),
+            Refusal::Unasked(term) if term == self.term => self.reform(out),
             Refusal::Stale(fence) if fence > self.fence => {
                 self.fence = fence;
                 self.give_up_load(Rejection::Stale(fence), out);
@@ -555,19 +558,19 @@
 
     /// Tells whoever has not answered yet, and will do so again.
     fn tell_missing(&self, out: &mut Vec<LeadOutput>) {
-        let reign = self.reign;
+        let term = self.term;
         let (answered, message) = match &self.phase {
             Phase::Asking { reports } => {
                 let answered = reports.iter().map(Option::is_some).collect();
-                (answered, LeadMessage::Ask { reign })
+                (answered, LeadMessage::Ask { term })
             }
-            Phase::Loading { plan, loaded } => (loaded.clone(), plan.load(reign)),
+            Phase::Loading { plan, loaded } => (loaded.clone(), plan.load(term)),
             Phase::Promising {
                 attempt, promised, ..
             } => (promised.clone(), LeadMessage::Prepare { attempt: *attempt }),
             Phase::Settling { decided, settled } => {
                 let decided = *decided;
-                (settled.clone(), LeadMessage::Decide { reign, decided })
+                (settled.clone(), LeadMessage::Decide { term, decided })
             }
             Phase::Idle | Phase::Ended => return,
         };
@@ -578,9 +581,9 @@
 }
 
 impl Plan {
-    fn load(&self, reign: Reign) -> LeadMessage {
+    fn load(&self, term: LeadTerm) -> LeadMessage {
         LeadMessage::Load {
-            reign,
+            term,
             origin: self.origin,
             version: self.version,
             map: self.map.clone(),
--- a/crates/groups/src/agree/margin.rs
+++ b/crates/groups/src/agree/margin.rs
@@ -39,14 +39,14 @@
     }
 
     /// How long a lead waits for promises: after that the abort still arrives before the switch.
-    pub fn promise(&self) -> Span {
+    pub fn promise_timeout(&self) -> Span {
         self.delay.times(2)
     }
 
     /// How long a rank waits for a verdict before it asks, and again before it stands for lead.
     ///
     /// Ranks wait differently long, so that they do not outrank each other again and again.
-    pub fn patience(&self, rank: u32) -> Span {
+    pub fn verdict_timeout(&self, rank: u32) -> Span {
         let first = self.delay.times(8).as_micros();
         let stagger = self.delay.times(4).as_micros() * u64::from(rank % 16);
         Span::from_micros(first + stagger)
@@ -57,6 +57,6 @@
     /// aside, and decision.
     pub fn longest_hold(&self) -> Span {
         let rounds = self.delay.times(8).as_micros();
-        Span::from_micros(self.patience(0).as_micros() * 2 + rounds)
+        Span::from_micros(self.verdict_timeout(0).as_micros() * 2 + rounds)
     }
 }
--- a/crates/groups/src/agree/message.rs
+++ b/crates/groups/src/agree/message.rs
@@ -17,7 +17,7 @@
     ///
     /// Rank and start make two leads' claims differ even where both chose the same ballot.
     #[derive(Copy, Hash, PartialOrd, Ord)]
-    pub struct Reign {
+    pub struct LeadTerm {
         /// The start of the group that it leads.
         pub incarnation: GroupIncarnation,
         /// The ballot within that incarnation.
@@ -31,8 +31,9 @@
     /// One attempt to bring a map into force.
     #[derive(Copy, Hash, PartialOrd, Ord)]
     pub struct Attempt {
-        /// The reign that opened it.
-        pub reign: Reign,
+        /// The term that opened it.
+        #[serde(rename = "reign")]
+        pub term: LeadTerm,
         /// The version that the map would get.
         pub version: MapVersion,
         /// The first step that would use it.
@@ -59,7 +60,7 @@
 
     /// A map in force on a group.
     #[derive(Hash)]
-    pub struct Standing {
+    pub struct ActiveMap {
         /// The incarnation of the group.
         pub incarnation: GroupIncarnation,
         /// The version of the map.
@@ -93,15 +94,17 @@
     /// From the lead to a rank.
     #[derive(Hash)]
     pub enum LeadMessage {
-        /// Obey this reign, and report.
+        /// Obey this term, and report.
         Ask {
-            /// The reign.
-            reign: Reign,
+            /// The term.
+            #[serde(rename = "reign")]
+            term: LeadTerm,
         },
         /// Load the weights that a map needs, ahead of any switch.
         Load {
-            /// The reign.
-            reign: Reign,
+            /// The term.
+            #[serde(rename = "reign")]
+            term: LeadTerm,
             /// Where the map comes from.
             origin: Origin,
             /// The version that the map would get.
@@ -116,8 +119,9 @@
         },
         /// Take the verdict.
         Decide {
-            /// The reign that decides, which may be later than the one that opened the attempt.
-            reign: Reign,
+            /// The term that decides, which may be later than the one that opened the attempt.
+            #[serde(rename = "reign")]
+            term: LeadTerm,
             /// The attempt and its verdict.
             decided: Decided,
         },
@@ -155,8 +159,9 @@
     /// What a rank knows when a lead asks.
     #[derive(Hash)]
     pub struct Report {
-        /// The last reign that it obeys.
-        pub reign: Reign,
+        /// The last term that it obeys.
+        #[serde(rename = "reign")]
+        pub term: LeadTerm,
         /// The step after the last that its engine may ever have been permitted.
         pub permitted: Step,
         /// The highest version that it has heard of.
@@ -168,10 +173,10 @@
     /// Why a rank refuses a message of a lead.
     #[derive(Copy, Hash)]
     pub enum Refusal {
-        /// A later reign is known.
-        Outranked(Reign),
-        /// The message belongs to a reign that never asked this agent.
-        Unasked(Reign),
+        /// A later term is known.
+        Outranked(LeadTerm),
+        /// The message belongs to a term that never asked this agent.
+        Unasked(LeadTerm),
         /// A later fencing number is known.
         Stale(Fence),
         /// The agent started lately and does not know the fencing number yet.
@@ -194,10 +199,10 @@
     }
 }
 
-impl Reign {
-    /// The first reign of the incarnation after this one, by another claimant.
+impl LeadTerm {
+    /// The first term of the incarnation after this one, by another claimant.
     #[must_use]
-    pub fn reformed(self, rank: u32, start: Incarnation) -> Self {
+    pub fn next_incarnation(self, rank: u32, start: Incarnation) -> Self {
         Self {
             incarnation: self.incarnation.next(),
             ballot: Ballot::new(1),
@@ -208,7 +213,7 @@
 
     /// The next ballot within the incarnation, by another claimant.
     #[must_use]
-    pub fn succeeded(self, rank: u32, start: Incarnation) -> Self {
+    pub fn next_ballot(self, rank: u32, start: Incarnation) -> Self {
         Self {
             ballot: self.ballot.next(),
             rank,
@@ -218,7 +223,7 @@
     }
 }
 
-impl Default for Reign {
+impl Default for LeadTerm {
     fn default() -> Self {
         Self {
             incarnation: GroupIncarnation::new(0),
@@ -229,7 +234,7 @@
     }
 }
 
-impl fmt::Display for Reign {
+impl fmt::Display for LeadTerm {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             incarnation,
@@ -250,8 +255,8 @@
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Outranked(reign) => write!(f, "reign {reign} is later"),
-            Self::Unasked(reign) => write!(f, "reign {reign} never asked"),
+            Self::Outranked(term) => write!(f, "reign {term} is later"),
+            Self::Unasked(term) => write!(f, "reign {term} never asked"),
             Self::Stale(fence) => write!(f, "fencing number {fence} is later"),
             Self::Unfenced => f.write_str("the fencing number is not known yet"),
             Self::Unloaded(version) => write!(f, "weights of map {version} can't be loaded"),
--- a/crates/groups/src/agree/rank.rs
+++ b/crates/groups/src/agree/rank.rs
@@ -5,8 +5,8 @@
 
 use super::evidence::{Evidence, Open};
 use super::message::{
-    Attempt, Decided, LeadMessage, Origin, PeerMessage, Permit, RankMessage, Refusal, Reign,
-    Report, SharedMap, Standing, Verdict,
+    ActiveMap, Attempt, Decided, LeadMessage, LeadTerm, Origin, PeerMessage, Permit, RankMessage,
+    Refusal, Report, SharedMap, Verdict,
 };
 
 data! {
@@ -20,14 +20,16 @@
         /// The step after the last that it has a permit for without a gap.
         pub end: Step,
         /// The map of the last step that it entered.
-        pub shown: Option<Standing>,
+        #[serde(rename = "shown")]
+        pub last_map: Option<ActiveMap>,
     }
 
     /// A timer of a rank.
     #[derive(Copy, Hash, PartialOrd, Ord)]
     pub enum Timer {
         /// No verdict has come for long.
-        Patience,
+        #[serde(rename = "Patience")]
+        VerdictTimeout,
     }
 }
 
@@ -65,8 +67,8 @@
 /// What a rank's machine wants done.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum RankOutput {
-    /// Answer the lead of a reign.
-    ToLead(Reign, RankMessage),
+    /// Answer the lead of a term.
+    ToLead(LeadTerm, RankMessage),
     /// Tell another rank.
     ToRank(u32, PeerMessage),
     /// Pass a permit to the engine.
@@ -79,8 +81,8 @@
     Evict(MapVersion),
     /// Start a timer, in place of one of the same kind that runs.
     Arm(Timer),
-    /// Start a lead with this reign.
-    Stand(Reign),
+    /// Start a lead with this term.
+    StartLead(LeadTerm),
     /// Something for the time line.
     Event(Event, MapVersion),
 }
@@ -89,7 +91,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Segment {
     from: Step,
-    standing: Standing,
+    standing: ActiveMap,
 }
 
 /// Weights that are being loaded or are loaded.
@@ -108,7 +110,7 @@
     start: Incarnation,
     window: u64,
     fence: Option<Fence>,
-    reign: Reign,
+    term: LeadTerm,
     segments: Vec<Segment>,
     open: Option<Open>,
     forming: Option<Open>,
@@ -131,7 +133,7 @@
             start,
             window,
             fence: None,
-            reign: Reign::default(),
+            term: LeadTerm::default(),
             segments: Vec::new(),
             open: None,
             forming: None,
@@ -157,7 +159,7 @@
     pub fn handle(&mut self, input: RankInput) -> Vec<RankOutput> {
         let mut out = Vec::new();
         match input {
-            RankInput::Begin => out.push(RankOutput::Arm(Timer::Patience)),
+            RankInput::Begin => out.push(RankOutput::Arm(Timer::VerdictTimeout)),
             RankInput::Appointed => self.stand(&mut out),
             RankInput::Lead(message) => self.lead_says(message, &mut out),
             RankInput::Peer { from, message } => self.peer_says(from, message, &mut out),
@@ -166,18 +168,18 @@
             RankInput::Loaded(version) => self.loaded(version, &mut out),
             RankInput::LoadFailed(version) => self.load_failed(version, &mut out),
             RankInput::FenceLearnt(fence) => self.fence = self.fence.max(Some(fence)),
-            RankInput::Fired(Timer::Patience) => self.impatient(&mut out),
+            RankInput::Fired(Timer::VerdictTimeout) => self.impatient(&mut out),
         }
         out
     }
 
-    /// The last reign that this rank obeys.
-    pub fn reign(&self) -> Reign {
-        self.reign
+    /// The last term that this rank obeys.
+    pub fn term(&self) -> LeadTerm {
+        self.term
     }
 
     /// The map that was committed last.
-    pub fn standing(&self) -> Option<&Standing> {
+    pub fn active_map(&self) -> Option<&ActiveMap> {
         self.segments.last().map(|s| &s.standing)
     }
 
@@ -194,24 +196,24 @@
 
     /// Whether permits are issued: the group's incarnation that this rank obeys has started.
     pub fn is_stepping(&self) -> bool {
-        let joined = self.standing().map(|s| s.incarnation);
-        !self.lost && joined == Some(self.reign.incarnation)
+        let joined = self.active_map().map(|s| s.incarnation);
+        !self.lost && joined == Some(self.term.incarnation)
     }
 
     fn lead_says(&mut self, message: LeadMessage, out: &mut Vec<RankOutput>) {
-        let reign = message.reign();
+        let term = message.term();
         if let Err(refusal) = self.admit(&message) {
-            out.push(RankOutput::ToLead(reign, RankMessage::Refused { refusal }));
+            out.push(RankOutput::ToLead(term, RankMessage::Refused { refusal }));
             return;
         }
         match message {
-            LeadMessage::Ask { reign } => self.report(reign, out),
+            LeadMessage::Ask { term } => self.report(term, out),
             LeadMessage::Load { version, map, .. } => self.load(version, map, out),
             LeadMessage::Prepare { attempt } => self.prepare(attempt, out),
-            LeadMessage::Decide { reign, decided } => {
+            LeadMessage::Decide { term, decided } => {
                 self.settle(decided, out);
                 let attempt = decided.attempt;
-                out.push(RankOutput::ToLead(reign, RankMessage::Settled { attempt }));
+                out.push(RankOutput::ToLead(term, RankMessage::Settled { attempt }));
             }
         }
     }
@@ -219,21 +221,21 @@
     /// Whether a lead's message is to be obeyed.
     ///
     /// Failures guarded against: a lead that was cut off comes back and decides what a later
-    /// lead has decided otherwise (ranks step with two maps), so lower reigns are refused; an
-    /// agent that forgot its promises is led on as if it kept them, so only a reign that has
+    /// lead has decided otherwise (ranks step with two maps), so lower terms are refused; an
+    /// agent that forgot its promises is led on as if it kept them, so only a term that has
     /// asked it may order anything; a control host comes back with an old number and undoes
     /// later orders, so lower fencing numbers are refused before any engine sees them, also
     /// where the engine would not check.
     fn admit(&mut self, message: &LeadMessage) -> Result<(), Refusal> {
-        let reign = message.reign();
-        if reign < self.reign {
-            return Err(Refusal::Outranked(self.reign));
+        let term = message.term();
+        if term < self.term {
+            return Err(Refusal::Outranked(self.term));
         }
         if matches!(message, LeadMessage::Ask { .. }) {
             return Ok(());
         }
-        if reign > self.reign {
-            return Err(Refusal::Unasked(reign));
+        if term > self.term {
+            return Err(Refusal::Unasked(term));
         }
         if let LeadMessage::Load {
             origin: Origin::Control(fence),
@@ -256,32 +258,35 @@
         }
     }
 
-    /// Obeys a reign from now on, and reports. A later incarnation stops all permits.
-    fn report(&mut self, reign: Reign, out: &mut Vec<RankOutput>) {
+    /// Obeys a term from now on, and reports. A later incarnation stops all permits.
+    fn report(&mut self, term: LeadTerm, out: &mut Vec<RankOutput>) {
         // The bound of an agent that forgot comes from its engine, so it can't speak before it
         // has heard of it.
         let Some(engine) = &self.engine else { return };
-        if reign > self.reign {
-            self.reign = reign;
+        if term > self.term {
+            self.term = term;
             self.asked = false;
         }
         let evidence = Evidence {
             remembers: !self.segments.is_empty(),
-            standing: self.standing().cloned().or_else(|| engine.shown.clone()),
+            standing: self
+                .active_map()
+                .cloned()
+                .or_else(|| engine.last_map.clone()),
             open: self.open.clone(),
             last: self.last,
         };
         let shown = evidence.standing.as_ref().map(|s| s.version);
         let report = Report {
-            reign,
+            term,
             permitted: self.furthest(engine.step),
             heard: self.heard.max(shown.unwrap_or_default()),
             evidence,
         };
         let report = RankMessage::Report(Box::new(report));
-        out.push(RankOutput::ToLead(reign, report));
+        out.push(RankOutput::ToLead(term, report));
         if self.is_waiting() {
-            out.push(RankOutput::Arm(Timer::Patience));
+            out.push(RankOutput::Arm(Timer::VerdictTimeout));
         }
     }
 
@@ -321,8 +326,8 @@
     /// aborted, or in force before the group was formed anew.
     fn has_weights(&self, map: &SharedMap) -> bool {
         let loaded = self.loading.iter().any(|l| l.ready && l.map == *map);
-        let standing = self.standing().is_some_and(|s| s.map == *map);
-        let shown = self.engine.as_ref().and_then(|e| e.shown.as_ref());
+        let standing = self.active_map().is_some_and(|s| s.map == *map);
+        let shown = self.engine.as_ref().and_then(|e| e.last_map.as_ref());
         loaded || (!self.lost && (standing || shown.is_some_and(|s| s.map == *map)))
     }
 
@@ -336,7 +341,7 @@
 
     fn ready(&self, version: MapVersion) -> RankOutput {
         let permitted = self.permitted.max(self.bound);
-        RankOutput::ToLead(self.reign, RankMessage::Loaded { version, permitted })
+        RankOutput::ToLead(self.term, RankMessage::Loaded { version, permitted })
     }
 
     fn load_failed(&mut self, version: MapVersion, out: &mut Vec<RankOutput>) {
@@ -344,7 +349,7 @@
             self.loading = None;
             let refusal = Refusal::Unloaded(version);
             out.push(RankOutput::ToLead(
-                self.reign,
+                self.term,
                 RankMessage::Refused { refusal },
             ));
         }
@@ -361,9 +366,9 @@
         };
         if matches!(answer, RankMessage::Promised { .. }) {
             out.push(RankOutput::Event(Event::MapPromised, attempt.version));
-            out.push(RankOutput::Arm(Timer::Patience));
+            out.push(RankOutput::Arm(Timer::VerdictTimeout));
         }
-        out.push(RankOutput::ToLead(attempt.reign, answer));
+        out.push(RankOutput::ToLead(attempt.term, answer));
     }
 
     fn promise(&mut self, attempt: Attempt) -> Result<(), Refusal> {
@@ -396,7 +401,7 @@
     /// kept until then: should this start fail too, the next lead needs it.
     fn promise_start(&mut self, open: Open) -> Result<(), Refusal> {
         let step = self.engine.as_ref().map_or(Step::new(0), |e| e.step);
-        let own = open.attempt.reign == self.reign;
+        let own = open.attempt.term == self.term;
         if !own || open.attempt.switch < self.furthest(step) {
             return Err(Refusal::Late(open.attempt));
         }
@@ -426,8 +431,8 @@
 
     fn switch(&mut self, open: Open, out: &mut Vec<RankOutput>) {
         let Open { attempt, map } = open;
-        let standing = Standing {
-            incarnation: self.reign.incarnation,
+        let standing = ActiveMap {
+            incarnation: self.term.incarnation,
             version: attempt.version,
             map,
         };
@@ -460,7 +465,7 @@
         let Some(engine) = self.engine.as_ref().filter(|_| self.is_stepping()) else {
             return;
         };
-        let incarnation = self.reign.incarnation;
+        let incarnation = self.term.incarnation;
         let joined = engine.incarnation == incarnation;
         let first = self.segments[0].from;
         let (step, known) = if joined {
@@ -540,7 +545,7 @@
             PeerMessage::Answer(decided) => {
                 // Failure guarded against: a rank that has reported to the lead of a later
                 // incarnation takes a verdict after all, which that lead's choice ignores.
-                let same = decided.attempt.reign.incarnation == self.reign.incarnation;
+                let same = decided.attempt.term.incarnation == self.term.incarnation;
                 if same && self.pending() == Some(decided.attempt) {
                     self.settle(decided, out);
                 }
@@ -559,20 +564,20 @@
             let others = (0..self.ranks).filter(|r| *r != self.number);
             out.extend(others.map(|r| RankOutput::ToRank(r, PeerMessage::Query(attempt))));
             self.asked = true;
-            out.push(RankOutput::Arm(Timer::Patience));
+            out.push(RankOutput::Arm(Timer::VerdictTimeout));
         } else {
             self.stand(out);
         }
     }
 
     fn stand(&mut self, out: &mut Vec<RankOutput>) {
-        let reign = if self.is_stepping() {
-            self.reign.succeeded(self.number, self.start)
+        let term = if self.is_stepping() {
+            self.term.next_ballot(self.number, self.start)
         } else {
-            self.reign.reformed(self.number, self.start)
+            self.term.next_incarnation(self.number, self.start)
         };
-        out.push(RankOutput::Stand(reign));
-        out.push(RankOutput::Arm(Timer::Patience));
+        out.push(RankOutput::StartLead(term));
+        out.push(RankOutput::Arm(Timer::VerdictTimeout));
     }
 
     fn is_settled(&self, attempt: Attempt) -> bool {
@@ -580,17 +585,17 @@
     }
 
     fn is_decided(&self, version: MapVersion) -> bool {
-        let last = self.last.filter(|d| d.attempt.reign == self.reign);
+        let last = self.last.filter(|d| d.attempt.term == self.term);
         last.is_some_and(|d| version <= d.attempt.version)
     }
 }
 
 impl LeadMessage {
-    /// The reign that sends it.
-    pub fn reign(&self) -> Reign {
+    /// The term that sends it.
+    pub fn term(&self) -> LeadTerm {
         match self {
-            Self::Ask { reign } | Self::Load { reign, .. } | Self::Decide { reign, .. } => *reign,
-            Self::Prepare { attempt } => attempt.reign,
+            Self::Ask { term } | Self::Load { term, .. } | Self::Decide { term, .. } => *term,
+            Self::Prepare { attempt } => attempt.term,
         }
     }
 }
--- a/crates/groups/src/delivery.rs
+++ b/crates/groups/src/delivery.rs
@@ -4,7 +4,7 @@
 //! host sends to all of them wait for its link and for its processor; passed on by some of the ranks, none
 //! sends more than the square root of them.
 
-use crate::order::Send;
+use crate::order::RankOrder;
 
 /// With more orders than this, those that all ranks get alike are passed on by some of them. A map of 72 ranks
 /// and 12 sets takes 3 kB: from one host with 8 Mbit/s it was 0.3 s until all had it.
@@ -14,13 +14,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Delivery {
     /// One order, to its rank.
-    Direct(Send),
+    Direct(RankOrder),
     /// Orders that are alike, to one of their ranks, which passes them on to the others.
     Relayed {
         /// The rank that passes them on.
         through: usize,
         /// The orders.
-        sends: Vec<Send>,
+        orders: Vec<RankOrder>,
     },
 }
 
@@ -35,7 +35,7 @@
 /// How some orders are to leave.
 ///
 /// Another rank passes them on for each `turn`, so that one that does not answer is in the way once.
-pub fn deliveries(sends: Vec<Send>, turn: u64) -> Vec<Delivery> {
+pub fn plan_deliveries(sends: Vec<RankOrder>, turn: u64) -> Vec<Delivery> {
     let alike = sends.windows(2).all(|pair| pair[0].order == pair[1].order);
     if sends.len() <= DIRECT || !alike {
         return sends.into_iter().map(Delivery::Direct).collect();
@@ -43,7 +43,7 @@
     let size = sends.len().isqrt();
     let parts = sends.chunks(size).map(|part| Delivery::Relayed {
         through: part[turn as usize % part.len()].rank,
-        sends: part.to_vec(),
+        orders: part.to_vec(),
     });
     parts.collect()
 }
--- a/crates/groups/src/demand.rs
+++ b/crates/groups/src/demand.rs
@@ -29,9 +29,10 @@
 
 data! {
     /// What a rank tells of its counts.
-    pub struct Counted {
+    pub struct CountReport {
         /// The place in the rank's counting that this leads up to.
-        pub place: u64,
+        #[serde(rename = "place")]
+        pub cursor: u64,
         /// How often each expert was chosen since the place that was asked from, all layers one after
         /// another; nothing where the rank does not know that place.
         pub chosen: Option<Vec<u64>>,
@@ -55,13 +56,13 @@
     }
 
     /// The rank has started again, and counts anew.
-    pub fn forget(&mut self) {
+    pub fn reset(&mut self) {
         self.told.clear();
         self.place = self.place.wrapping_add(1);
     }
 
     /// Tells what was chosen since a place, out of all that was counted since the rank started.
-    pub fn tell(&mut self, since: u64, counts: Vec<u64>) -> Counted {
+    pub fn report(&mut self, since: u64, counts: Vec<u64>) -> CountReport {
         let known = since == self.place && self.told.len() == counts.len();
         let chosen = known.then(|| {
             let both = counts.iter().zip(&self.told);
@@ -70,8 +71,8 @@
         });
         self.told = counts;
         self.place = self.place.wrapping_add(1);
-        Counted {
-            place: self.place,
+        CountReport {
+            cursor: self.place,
             chosen,
         }
     }
@@ -107,7 +108,7 @@
     ///
     /// Load answered: a group that forms after an outage begins with map 0, whose fullest rank has some times
     /// the mean, and all that waited comes at once. Counting a demand first leaves it there for longer.
-    pub fn recall(&mut self, before: &Self) {
+    pub fn carry_over(&mut self, before: &Self) {
         if before.sums.len() == self.sums.len() {
             self.sums.clone_from(&before.sums);
         }
@@ -117,18 +118,18 @@
     ///
     /// One rank out of each block is sampled, not always the same one of its block: ranks that follow
     /// one another may lie in availability zones by turns.
-    pub fn place(&self, rank: usize) -> Option<u64> {
+    pub fn sample_cursor(&self, rank: usize) -> Option<u64> {
         let block = self.places.len().div_ceil(SAMPLE).max(1);
         let sampled = rank % block == (rank / block) % block;
         sampled.then(|| self.places.get(rank).copied()).flatten()
     }
 
     /// Adds what a rank told at this look.
-    pub fn add(&mut self, rank: usize, counted: &Counted) {
+    pub fn add(&mut self, rank: usize, counted: &CountReport) {
         let Some(place) = self.places.get_mut(rank) else {
             return;
         };
-        *place = counted.place;
+        *place = counted.cursor;
         let layers = self.fresh.len().max(1);
         let Some(chosen) = &counted.chosen else {
             return;
@@ -150,7 +151,7 @@
     /// Failure guarded against: a map is made for a mixture of the demand before a shift and after it,
     /// fits neither, and keeps the right one waiting for a whole switch. What was before a shift
     /// is forgotten at once, and a look within which it came is not planned for.
-    pub fn settle(&mut self, now: Moment) -> bool {
+    pub fn finish_poll(&mut self, now: Moment) -> bool {
         let since = self.last.replace(now).map(|last| last.until(now));
         let total: u64 = self.fresh.iter().flatten().sum();
         let moved = self.moved();
--- a/crates/groups/src/draft.rs
+++ b/crates/groups/src/draft.rs
@@ -20,7 +20,8 @@
     #[derive(Copy)]
     pub enum Base {
         /// The one that a group begins with: the experts of each layer dealt out in turn.
-        Dealt {
+        #[serde(rename = "Dealt")]
+        RoundRobin {
             /// How many layers.
             layers: u16,
             /// How many ranks.
@@ -31,7 +32,8 @@
             experts: u16,
         },
         /// One that was told before, in the same incarnation of the group.
-        Told(MapVersion),
+        #[serde(rename = "Told")]
+        Known(MapVersion),
     }
 
     /// A slot that holds another expert: how many slots lie between it and the one before, and the expert.
@@ -122,16 +124,16 @@
 
     fn base(&self, epoch: GroupIncarnation, base: &Base) -> Option<ExpertMap> {
         match *base {
-            Base::Dealt {
+            Base::RoundRobin {
                 layers,
                 ranks,
                 slots,
                 experts,
             } => {
                 let fits = u32::from(experts) <= u32::from(ranks) * u32::from(slots);
-                fits.then(|| ExpertMap::dealt(usize::from(layers), ranks, slots, experts))
+                fits.then(|| ExpertMap::round_robin(usize::from(layers), ranks, slots, experts))
             }
-            Base::Told(version) => {
+            Base::Known(version) => {
                 let mut told = self.0.iter().rev();
                 let known = told.find(|(e, v, _)| (*e, *v) == (epoch, version));
                 known.map(|(_, _, map)| ExpertMap::clone(map))
--- a/crates/groups/src/estimate.rs
+++ b/crates/groups/src/estimate.rs
@@ -15,7 +15,7 @@
 data! {
     /// How the averages follow the reports.
     #[derive(Copy)]
-    pub struct Pace {
+    pub struct Smoothing {
         /// The time constant of the fast average.
         pub fast: Span,
         /// The time constant of the slow average.
@@ -67,7 +67,7 @@
     }
 }
 
-impl Default for Pace {
+impl Default for Smoothing {
     fn default() -> Self {
         Self {
             fast: Span::from_secs(15),
@@ -77,10 +77,10 @@
     }
 }
 
-impl Pace {
+impl Smoothing {
     /// The pace that suits a group's two weights: the more disturbance weighs, the longer a
     /// difference must last before it is followed.
-    pub fn weighed(skew: u32, disturbance: u32) -> Self {
+    pub fn from_weights(skew: u32, disturbance: u32) -> Self {
         let part = f64::from(disturbance) / f64::from((skew + disturbance).max(1));
         let span = |longest: f64| Span::from_micros((longest * part * 1e6) as u64 + 1_000_000);
         Self {
@@ -103,7 +103,7 @@
 /// The popularity of every expert of a group.
 #[derive(Debug, Clone)]
 pub struct Popularity {
-    pace: Pace,
+    pace: Smoothing,
     last: Option<Moment>,
     tracks: Vec<Vec<Track>>,
     shares: Vec<Vec<f64>>,
@@ -112,7 +112,7 @@
 
 impl Popularity {
     /// Nothing is known yet.
-    pub fn new(pace: Pace) -> Self {
+    pub fn new(pace: Smoothing) -> Self {
         Self {
             pace,
             last: None,
@@ -123,7 +123,7 @@
     }
 
     /// Takes a report; one that others overtook is dropped and counted.
-    pub fn take(&mut self, counts: &Counts) {
+    pub fn record(&mut self, counts: &Counts) {
         match self.last {
             Some(last) if counts.at <= last => {
                 self.late += 1;
--- a/crates/groups/src/even.rs
+++ b/crates/groups/src/even.rs
@@ -27,7 +27,7 @@
     }
 
     /// A proposed map.
-    pub struct Evened {
+    pub struct Rebalanced {
         /// The map.
         pub map: ExpertMap,
         /// How many experts are copied.
@@ -40,12 +40,12 @@
 /// A map that evens out the ranks for a demand, by set and expert, where one is worth it.
 ///
 /// A rank that is slow takes its factor in `paces` longer for the same load, and keeps little.
-pub fn even(
+pub fn rebalance(
     map: &ExpertMap,
     demand: &[Vec<f64>],
     paces: &[f64],
     thresholds: &Thresholds,
-) -> Option<Evened> {
+) -> Option<Rebalanced> {
     let sets = demand.len().max(1) as f64;
     let length = |load: f64| 1.0 - thresholds.share + thresholds.share * load;
     let shorter = |from: f64, to: f64| 1.0 - length(to) / length(from);
@@ -62,7 +62,7 @@
         after += last / sets;
         copies += copied;
     }
-    (copies > 0 && shorter(before, after) >= thresholds.step).then_some(Evened {
+    (copies > 0 && shorter(before, after) >= thresholds.step).then_some(Rebalanced {
         map: next,
         copies,
         fullest: (before, after),
--- a/crates/groups/src/executor.rs
+++ b/crates/groups/src/executor.rs
@@ -54,13 +54,13 @@
 
 /// What to do next for an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Next {
+pub enum Action {
     /// It is settled.
     Settled(Outcome),
     /// Give the engine this order.
     Give(EngineOrder),
     /// Have the engine prepare, under this number, a map in which the rank holds what it holds already.
-    Keep(MapVersion),
+    PrepareHeld(MapVersion),
 }
 
 /// The place of an order among all orders of all leads.
@@ -136,7 +136,7 @@
     }
 
     /// An executor on a rank of another host.
-    pub fn from_afar() -> Self {
+    pub fn remote() -> Self {
         Self {
             afar: true,
             ..Self::new()
@@ -192,12 +192,12 @@
     /// makes no steps, and a go of the predecessor that got no answer lets it begin the very step that
     /// it is held at again, while ranks are armed. Where maps were switched already, the first hold lies past
     /// every step that the predecessor can have held.
-    pub fn saw(&mut self, start: Incarnation, state: &RankState) {
+    pub fn observe(&mut self, start: Incarnation, state: &RankState) {
         let told = (start, state.epoch);
         match self.known.replace(told) {
             Some(before) if before == told => return,
             Some(_) => (self.arm_pending, self.held) = (false, Step(0)),
-            None if state.highest() == MapVersion(0) => {}
+            None if state.highest_map() == MapVersion(0) => {}
             None => self.held = Step(state.step.get() + MOST),
         }
         (self.pledged, self.gone, self.found) = (Step(0), Step(0), state.held);
@@ -205,7 +205,7 @@
 
     /// The process beside the rank told which start this is, its state, and up to which step it may be let go by
     /// an order that is still on its way.
-    pub fn told(&mut self, start: Incarnation, state: &RankState, floor: Step) {
+    pub fn observe_remote(&mut self, start: Incarnation, state: &RankState, floor: Step) {
         let told = (start, state.epoch);
         if self.known.replace(told) != Some(told) {
             self.held = Step(0);
@@ -234,7 +234,7 @@
     /// Failure guarded against: an arming is held up on its way from the lead, the lead gives up and
     /// has the rank disarmed, and the arming arrives after that: one rank takes the new map over
     /// alone. Orders are numbered, and an earlier one is refused after a later one.
-    pub fn take(&mut self, seq: OrderSeq, order: Order, epoch: GroupIncarnation) -> Option<Task> {
+    pub fn accept(&mut self, seq: OrderSeq, order: Order, epoch: GroupIncarnation) -> Option<Task> {
         if seq <= self.seq {
             return None;
         }
@@ -261,9 +261,9 @@
     }
 
     /// What to do next for an order, after what the rank told.
-    pub fn next(&self, task: &mut Task, state: &RankState) -> Next {
+    pub fn next_action(&self, task: &mut Task, state: &RankState) -> Action {
         if state.epoch != task.epoch {
-            return Next::Settled(match task.order {
+            return Action::Settled(match task.order {
                 // A group that formed again is armed for nothing and held nowhere.
                 Order::Disarm { .. } | Order::Go { .. } => Outcome::Done,
                 _ => Outcome::Refused,
@@ -273,11 +273,11 @@
             Order::Disarm { unused } => return self.disarm(*unused, task.tries, state),
             Order::Hold { ahead } => return task.hold(*ahead, self.held, state),
             // Noted when it was taken up.
-            Order::Pledge { .. } => return Next::Settled(Outcome::Done),
-            Order::Settle { step } => return Next::Settled(self.settle(*step)),
+            Order::Pledge { .. } => return Action::Settled(Outcome::Done),
+            Order::Settle { step } => return Action::Settled(self.settle(*step)),
             Order::Prepare { version, .. } => {
                 let Some(map) = &task.map else {
-                    return Next::Settled(Outcome::Untold);
+                    return Action::Settled(Outcome::Untold);
                 };
                 let order = EngineOrder::Prepare(*version, Arc::clone(map));
                 (state.prepared == Some(*version), order)
@@ -290,39 +290,39 @@
         };
         // What has begun needs no second order: a copy takes its time.
         if task.accepted || holds {
-            return Next::Settled(Outcome::Done);
+            return Action::Settled(Outcome::Done);
         }
         if task.refused > 0 {
-            return Next::Settled(refused(task));
+            return Action::Settled(refused(task));
         }
         if task.tries >= TRIES {
-            return Next::Settled(Outcome::Unsure);
+            return Action::Settled(Outcome::Unsure);
         }
-        Next::Give(order)
+        Action::Give(order)
     }
 
     /// Disarms, and prepares what the rank holds under a new number where an arming may be on its way: that
     /// copies nothing, and the arming is refused because its map is not the prepared one any more.
-    fn disarm(&self, unused: MapVersion, tries: u32, state: &RankState) -> Next {
+    fn disarm(&self, unused: MapVersion, tries: u32, state: &RankState) -> Action {
         // Failure guarded against: the lead is back, has the group go on and arms the next map, and a takeover that
         // nobody told of it takes that arming back on the one rank: one pass on two maps. Whatever has a number
         // beyond those of the takeover is a later lead's.
-        if self.afar && state.highest().get() > unused.get() + OWN {
-            return Next::Settled(Outcome::Overtaken);
+        if self.afar && state.highest_map().get() > unused.get() + OWN {
+            return Action::Settled(Outcome::Overtaken);
         }
         // An old report tells of nothing that was prepared since.
         let may_be = state.prepared.is_some() || self.afar;
         let next = match state.armed {
-            Some(version) => Next::Give(EngineOrder::Disarm(version)),
+            Some(version) => Action::Give(EngineOrder::Disarm(version)),
             None if self.arm_pending && may_be => {
-                let highest = state.highest().max(self.highest);
-                Next::Keep(unused.max(highest.next()))
+                let highest = state.highest_map().max(self.highest);
+                Action::PrepareHeld(unused.max(highest.next()))
             }
             // Nothing is prepared: whatever arming may come is refused.
-            None => return Next::Settled(Outcome::Done),
+            None => return Action::Settled(Outcome::Done),
         };
         if tries >= TRIES {
-            return Next::Settled(Outcome::Unsure);
+            return Action::Settled(Outcome::Unsure);
         }
         next
     }
@@ -374,25 +374,25 @@
     ///
     /// A step that has begun before the order arrived is given up for a later one. After a try
     /// without an answer the step stays: the group must not be held at two of them, one unknown.
-    fn hold(&mut self, ahead: u64, held: Step, state: &RankState) -> Next {
+    fn hold(&mut self, ahead: u64, held: Step, state: &RankState) -> Action {
         if let Some(step) = self.step.filter(|s| state.held == Some(*s)) {
-            return Next::Settled(Outcome::Held(step));
+            return Action::Settled(Outcome::Held(step));
         }
         // Accepted, and let go since: nobody else gives orders, so it was outdated.
         if state.held.is_some() || self.accepted {
-            return Next::Settled(Outcome::Refused);
+            return Action::Settled(Outcome::Refused);
         }
         if self.tries >= TRIES {
-            return Next::Settled(refused(self));
+            return Action::Settled(refused(self));
         }
         let kept = self.step.filter(|_| self.unanswered);
         if kept.is_some() && self.refused > 0 {
-            return Next::Settled(Outcome::Unsure);
+            return Action::Settled(Outcome::Unsure);
         }
         let fresh = Step(state.step.get() + ahead).max(held.next());
         let step = kept.unwrap_or(fresh);
         self.step = Some(step);
-        Next::Give(EngineOrder::Hold(step))
+        Action::Give(EngineOrder::Hold(step))
     }
 }
 
--- a/crates/groups/src/map.rs
+++ b/crates/groups/src/map.rs
@@ -72,7 +72,7 @@
     /// # Panics
     ///
     /// Where the experts don't fit into the slots.
-    pub fn dealt(ranks: u16, slots: u16, experts: u16) -> Self {
+    pub fn round_robin(ranks: u16, slots: u16, experts: u16) -> Self {
         let mut layer = Self::new(ranks, slots);
         assert!(usize::from(experts) <= layer.held.len());
         for expert in 0..experts {
@@ -86,7 +86,7 @@
     /// # Panics
     ///
     /// Where the one rank is the only one and does not hold every expert.
-    pub fn around(rank: u16, held: &[u16], ranks: u16, experts: u16) -> Self {
+    pub fn from_rank(rank: u16, held: &[u16], ranks: u16, experts: u16) -> Self {
         let others: Vec<u16> = (0..ranks).filter(|r| *r != rank).collect();
         let rest: Vec<u16> = (0..experts).filter(|e| !held.contains(e)).collect();
         assert!(rest.is_empty() || !others.is_empty());
@@ -124,14 +124,14 @@
     }
 
     /// All slots of one rank.
-    pub fn on(&self, rank: u16) -> &[u16] {
+    pub fn rank_slots(&self, rank: u16) -> &[u16] {
         let start = self.index(rank, 0);
         &self.held[start..start + usize::from(self.slots)]
     }
 
     /// Whether a rank holds an expert.
     pub fn holds(&self, rank: u16, expert: u16) -> bool {
-        self.on(rank).contains(&expert)
+        self.rank_slots(rank).contains(&expert)
     }
 
     /// How many replicas each expert has.
@@ -152,7 +152,7 @@
     pub fn rank_loads_with(&self, loads: &[f64], replicas: &[u16]) -> Vec<f64> {
         (0..self.ranks)
             .map(|rank| {
-                let held = self.on(rank).iter().filter(|e| **e != EMPTY);
+                let held = self.rank_slots(rank).iter().filter(|e| **e != EMPTY);
                 held.map(|&e| loads[usize::from(e)] / f64::from(replicas[usize::from(e)]))
                     .sum()
             })
@@ -189,9 +189,9 @@
 
 impl ExpertMap {
     /// A map with the experts of each layer dealt out in turn.
-    pub fn dealt(layers: usize, ranks: u16, slots: u16, experts: u16) -> Self {
+    pub fn round_robin(layers: usize, ranks: u16, slots: u16, experts: u16) -> Self {
         Self {
-            layers: vec![Layer::dealt(ranks, slots, experts); layers],
+            layers: vec![Layer::round_robin(ranks, slots, experts); layers],
         }
     }
 
@@ -200,11 +200,11 @@
     /// # Panics
     ///
     /// Where the one rank is the only one and does not hold every expert.
-    pub fn around(rank: u16, held: &[Vec<u16>], ranks: u16, experts: u16) -> Self {
+    pub fn from_rank(rank: u16, held: &[Vec<u16>], ranks: u16, experts: u16) -> Self {
         let layers = held.iter();
         Self {
             layers: layers
-                .map(|held| Layer::around(rank, held, ranks, experts))
+                .map(|held| Layer::from_rank(rank, held, ranks, experts))
                 .collect(),
         }
     }
@@ -223,7 +223,7 @@
         let same = |(a, b): (&Layer, &Layer)| {
             (0..a.ranks).all(|rank| {
                 let sorted = |layer: &Layer| {
-                    let mut held = layer.on(rank).to_vec();
+                    let mut held = layer.rank_slots(rank).to_vec();
                     held.sort_unstable();
                     held
                 };
@@ -253,7 +253,7 @@
 
     /// The map after these moves.
     #[must_use]
-    pub fn after(&self, moves: &[Move]) -> Self {
+    pub fn with_moves(&self, moves: &[Move]) -> Self {
         let mut next = self.clone();
         for m in moves {
             next.layers[usize::from(m.layer)].set(m.rank, m.slot, m.loads);
--- a/crates/groups/src/order.rs
+++ b/crates/groups/src/order.rs
@@ -120,7 +120,7 @@
 
 /// An order for a rank; its outcome is told with the same phase.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Send {
+pub struct RankOrder {
     /// The rank; the lead's own is 0.
     pub rank: usize,
     /// Which phase of the work it belongs to.
@@ -133,7 +133,7 @@
 
 impl RankState {
     /// The highest map number among what is in force, prepared and armed.
-    pub fn highest(&self) -> MapVersion {
+    pub fn highest_map(&self) -> MapVersion {
         let other = self.prepared.max(self.armed);
         self.map.max(other.unwrap_or_default())
     }
--- a/crates/groups/src/pace.rs
+++ b/crates/groups/src/pace.rs
@@ -47,7 +47,7 @@
 }
 
 /// Judges every rank against the median time a token.
-pub fn judge(works: &[Work]) -> Vec<Health> {
+pub fn rank_health(works: &[Work]) -> Vec<Health> {
     let mut times: Vec<f64> = works.iter().map(time_a_token).collect();
     let each = times.clone();
     times.sort_by(f64::total_cmp);
--- a/crates/groups/src/pack.rs
+++ b/crates/groups/src/pack.rs
@@ -108,7 +108,7 @@
         let ranks = usize::from(old.ranks());
         let mut homes = Vec::new();
         for rank in 0..old.ranks() {
-            for &expert in old.on(rank).iter().filter(|e| **e != EMPTY) {
+            for &expert in old.rank_slots(rank).iter().filter(|e| **e != EMPTY) {
                 let at = usize::from(expert);
                 if homes.len() <= at {
                     homes.resize(at + 1, Vec::new());
--- a/crates/groups/src/planner.rs
+++ b/crates/groups/src/planner.rs
@@ -9,8 +9,8 @@
 
 use crate::agree::message::SharedMap;
 use crate::agree::Proposal;
-use crate::estimate::{Counts, Pace, Popularity};
-use crate::pace::{judge, Work};
+use crate::estimate::{Counts, Popularity, Smoothing};
+use crate::pace::{rank_health, Work};
 use crate::policy::{Decision, Phase, Policy, Reason, Situation};
 
 /// How many decisions are remembered for the status.
@@ -85,7 +85,7 @@
 impl Planner {
     /// A planner that has seen nothing.
     pub fn new(policy: Policy) -> Self {
-        let pace = Pace::weighed(policy.weights.skew, policy.weights.disturbance);
+        let pace = Smoothing::from_weights(policy.weights.skew, policy.weights.disturbance);
         Self {
             policy,
             popularity: Popularity::new(pace),
@@ -100,7 +100,7 @@
     /// Takes an input and says what is to be done.
     pub fn handle(&mut self, now: Moment, input: PlannerInput) -> Vec<PlannerOutput> {
         match input {
-            PlannerInput::Counts(counts) => self.popularity.take(&counts),
+            PlannerInput::Counts(counts) => self.popularity.record(&counts),
             PlannerInput::Works(works) => self.works = works,
             PlannerInput::Phase(phase) => self.phase = phase,
             PlannerInput::InForce(version, map) => self.comes_into_force(now, version, map),
@@ -126,7 +126,7 @@
         let Some((base, map)) = self.current.clone() else {
             return Vec::new();
         };
-        let health = judge(&self.works);
+        let health = rank_health(&self.works);
         let decision = self.policy.decide(&Situation {
             map: &map,
             shares: self.popularity.shares(),
@@ -143,7 +143,7 @@
         if decision.moves.is_empty() {
             return vec![event];
         }
-        let map = Arc::new(map.after(&decision.moves));
+        let map = Arc::new(map.with_moves(&decision.moves));
         vec![event, PlannerOutput::Propose(Proposal { fence, base, map })]
     }
 
--- a/crates/groups/src/search.rs
+++ b/crates/groups/src/search.rs
@@ -164,7 +164,7 @@
     }
 
     fn weigh_load(&mut self, rank: u16) {
-        let held = self.layer.on(rank).iter().filter(|e| **e != EMPTY);
+        let held = self.layer.rank_slots(rank).iter().filter(|e| **e != EMPTY);
         let load: f64 = held.map(|expert| self.part(*expert, 0)).sum();
         self.loads[usize::from(rank)] = load * self.paces[usize::from(rank)];
     }
@@ -377,7 +377,7 @@
         for rank in &ranks {
             self.weigh_load(*rank);
         }
-        let held = ranks.iter().flat_map(|rank| self.layer.on(*rank));
+        let held = ranks.iter().flat_map(|rank| self.layer.rank_slots(*rank));
         let mut held: Vec<u16> = held.chain(experts).copied().collect();
         held.retain(|e| *e != EMPTY);
         held.sort_unstable();
@@ -392,7 +392,7 @@
 fn holders(layer: &Layer, experts: usize) -> Vec<Vec<u16>> {
     let mut holders = vec![Vec::new(); experts];
     for rank in 0..layer.ranks() {
-        for &expert in layer.on(rank).iter().filter(|e| **e != EMPTY) {
+        for &expert in layer.rank_slots(rank).iter().filter(|e| **e != EMPTY) {
             holders[usize::from(expert)].push(rank);
         }
     }
--- a/crates/groups/src/stall.rs
+++ b/crates/groups/src/stall.rs
@@ -13,12 +13,12 @@
 /// Failure guarded against: a rank is lost, and all others wait for it until the engine gives up, more than a second
 /// later. What callers send there meanwhile has used up its time when it is refused.
 #[derive(Debug, Clone)]
-pub struct Stall {
+pub struct StallDetector {
     step: Step,
     since: Moment,
 }
 
-impl Stall {
+impl StallDetector {
     /// Nothing was seen yet.
     pub fn new(now: Moment) -> Self {
         Self {
@@ -28,7 +28,7 @@
     }
 
     /// The rank was seen, and whether it has work; true where its group goes on.
-    pub fn goes_on(&mut self, now: Moment, state: &RankState, working: bool) -> bool {
+    pub fn observe_progress(&mut self, now: Moment, state: &RankState, working: bool) -> bool {
         // A group that is held goes on when its lead or a takeover lets it go.
         let waits = working && state.held != Some(state.step.next());
         if state.step != self.step || !waits {
--- a/crates/groups/src/switch.rs
+++ b/crates/groups/src/switch.rs
@@ -28,8 +28,8 @@
 use crate::delivery::DIRECT;
 use crate::draft::Draft;
 use crate::map::ExpertMap;
-pub use crate::order::{Order, Outcome, Phase, RankState, Send};
-use crate::takeover::DEPUTY;
+pub use crate::order::{Order, Outcome, Phase, RankOrder, RankState};
+use crate::takeover::DEPUTY_RANK;
 
 use self::stage::{holds, Hold, Stage, OWN};
 
@@ -38,7 +38,7 @@
 
 /// How long the process beside a rank waits for a copy to be complete before it says that it has only begun: some
 /// times what usual ones take, 0.1 to 0.4 s.
-pub const COPIED: Span = Span::from_millis(1_200);
+pub const COPY_TIMEOUT: Span = Span::from_millis(1_200);
 
 /// How long ranks may take to be armed while the group is held: some round trips. Beyond it the
 /// group keeps its old map rather than wait.
@@ -50,7 +50,7 @@
 
 /// What became of a switch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum SwitchResult {
     /// The new map is in force.
     Switched(MapVersion),
     /// The old map stays.
@@ -68,7 +68,7 @@
     ahead: Ahead,
     /// Since when the ranks of the switch that is let go on were being armed.
     arming: Option<Moment>,
-    ended: Option<Ended>,
+    ended: Option<SwitchResult>,
 }
 
 impl Switch {
@@ -110,12 +110,12 @@
     }
 
     /// What became of the last switch, once.
-    pub fn take_ended(&mut self) -> Option<Ended> {
+    pub fn take_result(&mut self) -> Option<SwitchResult> {
         self.ended.take()
     }
 
     /// The group was seen in a step.
-    pub fn saw(&mut self, now: Moment, step: Step) {
+    pub fn observe_step(&mut self, now: Moment, step: Step) {
         self.ahead.saw(now, step);
     }
 
@@ -128,7 +128,7 @@
         version: MapVersion,
         draft: Draft,
         map: Arc<ExpertMap>,
-    ) -> Vec<Send> {
+    ) -> Vec<RankOrder> {
         (self.epoch, self.version) = (epoch, version);
         let until = now + PREPARE;
         self.enter(Stage::Preparing {
@@ -136,7 +136,7 @@
             map,
             unread: 0,
             open: (0..self.ranks).collect(),
-            told: now + COPIED,
+            told: now + COPY_TIMEOUT,
         });
         self.to_all(|| Order::Prepare {
             version,
@@ -150,21 +150,21 @@
     /// be carried out much later. After a go every rank is armed and none may be disarmed; before it orders to
     /// disarm may be on their way, and the group must not go on until that is so of every rank. The process
     /// beside the holder knows which, and takes no more orders of the other lead.
-    pub fn recover(&mut self, states: &[RankState]) -> Vec<Send> {
+    pub fn recover(&mut self, states: &[RankState]) -> Vec<RankOrder> {
         let own = states[OWN];
         let holds = holds(states);
         let Some((rank, step)) = holds.first().copied() else {
             return Vec::new();
         };
         self.epoch = own.epoch;
-        let seen = states.iter().map(RankState::highest);
+        let seen = states.iter().map(RankState::highest_map);
         self.version = seen.max().unwrap_or_default();
         let alike = own.armed.is_some() && states.iter().all(|s| s.armed == own.armed);
         self.enter(Stage::Asking { holds, alike });
         vec![self.to(rank, Order::Settle { step })]
     }
 
-    fn told(&mut self, holds: Vec<Hold>, alike: bool, outcome: Outcome) -> Vec<Send> {
+    fn told(&mut self, holds: Vec<Hold>, alike: bool, outcome: Outcome) -> Vec<RankOrder> {
         let Some((rank, step)) = holds.first().copied() else {
             return Vec::new();
         };
@@ -182,13 +182,19 @@
     }
 
     /// Takes what became of an order.
-    pub fn take(&mut self, now: Moment, rank: usize, phase: Phase, outcome: Outcome) -> Vec<Send> {
+    pub fn handle_outcome(
+        &mut self,
+        now: Moment,
+        rank: usize,
+        phase: Phase,
+        outcome: Outcome,
+    ) -> Vec<RankOrder> {
         if phase != self.phase {
             return Vec::new();
         }
         // Whoever took over settles it: what this lead believes of the ranks is outdated.
         if outcome == Outcome::Overtaken && !self.is_idle() {
-            return self.end(Ended::Kept("another process took over"));
+            return self.end(SwitchResult::Kept("another process took over"));
         }
         match self.stage.clone() {
             Stage::Idle | Stage::Settling { .. } => Vec::new(),
@@ -202,7 +208,7 @@
                 vec![self.whole(map, rank)]
             }
             // Nothing was armed or held: what is copied already does no harm.
-            Stage::Preparing { .. } => self.end(Ended::Kept("a rank did not prepare")),
+            Stage::Preparing { .. } => self.end(SwitchResult::Kept("a rank did not prepare")),
             Stage::Holding => self.held(now, outcome),
             Stage::Arming { step, since, open } => match outcome {
                 Outcome::Done => self.armed(step, since, open, rank),
@@ -236,16 +242,16 @@
     }
 
     /// Takes what all ranks say of themselves.
-    pub fn observe(&mut self, now: Moment, states: &[RankState]) -> Vec<Send> {
+    pub fn observe(&mut self, now: Moment, states: &[RankState]) -> Vec<RankOrder> {
         if let Some(own) = states.first() {
-            self.saw(now, own.step);
+            self.observe_step(now, own.step);
         }
         if self.is_idle() || states.len() != self.ranks {
             return Vec::new();
         }
         // A group that forms again has forgotten everything: map 0, nothing prepared or held.
         if states.iter().any(|s| s.epoch > self.epoch) {
-            return self.end(Ended::Kept("the group formed again"));
+            return self.end(SwitchResult::Kept("the group formed again"));
         }
         match self.stage.clone() {
             Stage::Preparing { until, .. } => {
@@ -254,7 +260,7 @@
                     return self.hold();
                 }
                 if now >= until {
-                    return self.end(Ended::Kept("copying took too long"));
+                    return self.end(SwitchResult::Kept("copying took too long"));
                 }
                 Vec::new()
             }
@@ -267,11 +273,11 @@
                     return self.release(holds, Some(step));
                 }
                 if states.iter().all(|s| s.map == self.version) {
-                    return self.end(Ended::Switched(self.version));
+                    return self.end(SwitchResult::Switched(self.version));
                 }
                 let past = states.iter().all(|s| s.step > Step(step.get() + PAST));
                 if past {
-                    return self.end(Ended::Kept("the step passed"));
+                    return self.end(SwitchResult::Kept("the step passed"));
                 }
                 Vec::new()
             }
@@ -280,10 +286,10 @@
     }
 
     /// Looks at the time.
-    pub fn tick(&mut self, now: Moment) -> Vec<Send> {
+    pub fn tick(&mut self, now: Moment) -> Vec<RankOrder> {
         match self.stage {
             Stage::Preparing { until, .. } if now >= until => {
-                self.end(Ended::Kept("copying took too long"))
+                self.end(SwitchResult::Kept("copying took too long"))
             }
             Stage::Arming { step, since, .. } if now >= since + ARM => {
                 self.abort(vec![(self.holder(), step)])
@@ -295,25 +301,25 @@
     /// Failure guarded against: the processes beside all ranks have started anew and none can read a draft; whole
     /// maps to each of them take seconds to leave the lead's host. A lead that takes the group up anew tells
     /// them to all by relays.
-    fn tell_whole(&mut self, map: Arc<ExpertMap>, rank: usize) -> Vec<Send> {
+    fn tell_whole(&mut self, map: Arc<ExpertMap>, rank: usize) -> Vec<RankOrder> {
         if let Stage::Preparing { unread, .. } = &mut self.stage {
             *unread += 1;
             if *unread > DIRECT {
-                return self.end(Ended::Kept("many ranks can't read the map"));
+                return self.end(SwitchResult::Kept("many ranks can't read the map"));
             }
         }
         vec![self.whole(map, rank)]
     }
 
     /// Has one rank prepare the map, told whole.
-    fn whole(&self, map: Arc<ExpertMap>, rank: usize) -> Send {
+    fn whole(&self, map: Arc<ExpertMap>, rank: usize) -> RankOrder {
         let (version, draft) = (self.version, Draft::Whole(map));
         self.to(rank, Order::Prepare { version, draft })
     }
 
     /// Load answered: looks at 192 ranks take 0.2 s each, and found the last copy as much later. Ranks that tell
     /// by themselves need none.
-    fn copied(&mut self, rank: usize) -> Vec<Send> {
+    fn copied(&mut self, rank: usize) -> Vec<RankOrder> {
         let Stage::Preparing { open, .. } = &mut self.stage else {
             return Vec::new();
         };
@@ -324,7 +330,7 @@
         Vec::new()
     }
 
-    fn hold(&mut self) -> Vec<Send> {
+    fn hold(&mut self) -> Vec<RankOrder> {
         let ahead = self.ahead.steps();
         self.enter(Stage::Holding);
         vec![self.to(self.holder(), Order::Hold { ahead })]
@@ -333,10 +339,10 @@
     /// The rank that holds the group: not on the lead's host, so that the process beside it can let the group
     /// go on where that host stands still.
     fn holder(&self) -> usize {
-        DEPUTY.min(self.ranks - 1)
+        DEPUTY_RANK.min(self.ranks - 1)
     }
 
-    fn held(&mut self, now: Moment, outcome: Outcome) -> Vec<Send> {
+    fn held(&mut self, now: Moment, outcome: Outcome) -> Vec<RankOrder> {
         match outcome {
             Outcome::Held(step) => {
                 let open = (1..self.ranks).collect();
@@ -351,11 +357,11 @@
                 sends
             }
             Outcome::Done | Outcome::Prepared | Outcome::Refused => {
-                self.end(Ended::Kept("the group can't be held"))
+                self.end(SwitchResult::Kept("the group can't be held"))
             }
             // Where it arrives late, its step has begun, or the next look finds the group held.
             Outcome::Unsure | Outcome::Untold | Outcome::Overtaken => {
-                self.end(Ended::Kept("the hold got no answer"))
+                self.end(SwitchResult::Kept("the hold got no answer"))
             }
         }
     }
@@ -366,7 +372,7 @@
         since: Moment,
         mut open: BTreeSet<usize>,
         rank: usize,
-    ) -> Vec<Send> {
+    ) -> Vec<RankOrder> {
         open.remove(&rank);
         if open.is_empty() {
             return self.pledge(step, since);
@@ -378,14 +384,14 @@
     /// Failure guarded against: the process beside the holder takes the lead for gone, disarms the other
     /// ranks and lets the group go on, while the lead, which only slept, arms its own rank: one pass on
     /// two maps. The lead arms it only once that process has promised to leave the switch alone.
-    fn pledge(&mut self, step: Step, since: Moment) -> Vec<Send> {
+    fn pledge(&mut self, step: Step, since: Moment) -> Vec<RankOrder> {
         self.enter(Stage::Pledging { step, since });
         vec![self.to(self.holder(), Order::Pledge { step })]
     }
 
     /// Failure guarded against: some ranks are armed and others are not, and the group goes on: one
     /// pass on two maps. It stays held until each rank is surely not armed.
-    fn abort(&mut self, holds: Vec<Hold>) -> Vec<Send> {
+    fn abort(&mut self, holds: Vec<Hold>) -> Vec<RankOrder> {
         let open = (0..self.ranks).collect();
         self.enter(Stage::Aborting { holds, open });
         self.to_all(|| self.disarm())
@@ -397,7 +403,7 @@
         mut open: BTreeSet<usize>,
         rank: usize,
         outcome: Outcome,
-    ) -> Vec<Send> {
+    ) -> Vec<RankOrder> {
         if outcome != Outcome::Done {
             return vec![self.to(rank, self.disarm())];
         }
@@ -410,12 +416,12 @@
     }
 
     /// Lets the group go on at each rank that holds it, one after another.
-    fn release(&mut self, holds: Vec<Hold>, armed: Option<Step>) -> Vec<Send> {
+    fn release(&mut self, holds: Vec<Hold>, armed: Option<Step>) -> Vec<RankOrder> {
         self.enter(Stage::Releasing { holds, armed });
         self.let_go()
     }
 
-    fn let_go(&mut self) -> Vec<Send> {
+    fn let_go(&mut self) -> Vec<RankOrder> {
         let Stage::Releasing { holds, armed } = &self.stage else {
             return Vec::new();
         };
@@ -427,7 +433,7 @@
                 self.enter(Stage::Settling { step });
                 Vec::new()
             }
-            None => self.end(Ended::Kept("not every rank was armed in time")),
+            None => self.end(SwitchResult::Kept("not every rank was armed in time")),
         }
     }
 
@@ -437,7 +443,7 @@
         mut holds: Vec<Hold>,
         armed: Option<Step>,
         outcome: Outcome,
-    ) -> Vec<Send> {
+    ) -> Vec<RankOrder> {
         // Nobody else lets the group go on: without a sure answer it is ordered again.
         if outcome == Outcome::Done {
             holds.pop();
@@ -460,14 +466,14 @@
         self.stage = stage;
     }
 
-    fn end(&mut self, ended: Ended) -> Vec<Send> {
+    fn end(&mut self, ended: SwitchResult) -> Vec<RankOrder> {
         self.enter(Stage::Idle);
         self.ended = Some(ended);
         Vec::new()
     }
 
-    fn to(&self, rank: usize, order: Order) -> Send {
-        Send {
+    fn to(&self, rank: usize, order: Order) -> RankOrder {
+        RankOrder {
             rank,
             phase: self.phase,
             epoch: self.epoch,
@@ -475,7 +481,7 @@
         }
     }
 
-    fn to_all(&self, order: impl Fn() -> Order) -> Vec<Send> {
+    fn to_all(&self, order: impl Fn() -> Order) -> Vec<RankOrder> {
         (0..self.ranks).map(|rank| self.to(rank, order())).collect()
     }
 }
--- a/crates/groups/src/takeover.rs
+++ b/crates/groups/src/takeover.rs
@@ -23,13 +23,13 @@
 
 use snipemast_core::prelude::*;
 
-use crate::order::{Order, Outcome, Phase, RankState, Send};
+use crate::order::{Order, Outcome, Phase, RankOrder, RankState};
 
 /// The lead's rank.
-pub const LEAD: usize = 0;
+pub const LEAD_RANK: usize = 0;
 
 /// The rank that holds the group, and whose process takes over.
-pub const DEPUTY: usize = 1;
+pub const DEPUTY_RANK: usize = 1;
 
 /// How long the group must stand still before its lead is asked whether it is there: an uneven pass takes up to
 /// this long.
@@ -43,7 +43,7 @@
 const PATIENCE: Span = Span::from_millis(3_200);
 
 /// The ballot of a lead above another one: odd, so that a takeover that begins at the same time has another one.
-pub fn lead_above(other: Ballot) -> Ballot {
+pub fn next_lead_ballot(other: Ballot) -> Ballot {
     let above = other.next();
     match is_takeover(above) {
         true => above.next(),
@@ -52,7 +52,7 @@
 }
 
 /// The ballot of a takeover above another one.
-pub fn takeover_above(other: Ballot) -> Ballot {
+pub fn next_takeover_ballot(other: Ballot) -> Ballot {
     let above = other.next();
     match is_takeover(above) {
         true => above,
@@ -67,19 +67,19 @@
 
 /// Whether a lead leaves a group to the takeover that is at work on it, given the highest ballot that ranks tell of,
 /// whether one is held, and since when that is seen.
-pub fn leaves_to_takeover(highest: Ballot, held: bool, seen: Span) -> bool {
+pub fn yields_to_takeover(highest: Ballot, held: bool, seen: Span) -> bool {
     held && highest != Ballot(0) && is_takeover(highest) && seen < FINISH
 }
 
 /// Tells whether a group that is held stands still.
 #[derive(Debug, Clone)]
-pub struct Stillness {
+pub struct StandstillDetector {
     step: Step,
     since: Moment,
     patience: Span,
 }
 
-impl Stillness {
+impl StandstillDetector {
     /// Nothing was seen yet.
     pub fn new(now: Moment) -> Self {
         Self {
@@ -90,7 +90,7 @@
     }
 
     /// The rank that holds the group was seen, and whether it has work; true where it has stood still for long.
-    pub fn saw(&mut self, now: Moment, state: &RankState, working: bool) -> bool {
+    pub fn observe(&mut self, now: Moment, state: &RankState, working: bool) -> bool {
         let held = state.held == Some(state.step.next());
         if state.step != self.step {
             self.patience = SILENT;
@@ -102,7 +102,7 @@
     }
 
     /// A takeover was tried.
-    pub fn tried(&mut self, now: Moment) {
+    pub fn back_off(&mut self, now: Moment) {
         self.since = now;
         self.patience = self.patience.times(2).min(PATIENCE);
     }
@@ -140,12 +140,12 @@
         own: &RankState,
         step: Step,
         pledged: bool,
-    ) -> (Self, Vec<Send>) {
-        let first = if pledged { LEAD } else { DEPUTY };
+    ) -> (Self, Vec<RankOrder>) {
+        let first = if pledged { LEAD_RANK } else { DEPUTY_RANK };
         let open: BTreeSet<usize> = (first..ranks).collect();
         let takeover = Self {
             step,
-            unused: own.highest().next(),
+            unused: own.highest_map().next(),
             epoch: own.epoch,
             phase: Phase::first(lead),
             stage: Stage::Disarming { open },
@@ -161,7 +161,12 @@
     }
 
     /// Takes what became of an order.
-    pub fn take(&mut self, rank: usize, phase: Phase, outcome: Outcome) -> Vec<Send> {
+    pub fn handle_outcome(
+        &mut self,
+        rank: usize,
+        phase: Phase,
+        outcome: Outcome,
+    ) -> Vec<RankOrder> {
         if phase != self.phase {
             return Vec::new();
         }
@@ -178,7 +183,7 @@
         }
     }
 
-    fn disarmed(&mut self, mut open: BTreeSet<usize>, rank: usize, done: bool) -> Vec<Send> {
+    fn disarmed(&mut self, mut open: BTreeSet<usize>, rank: usize, done: bool) -> Vec<RankOrder> {
         if !done {
             return vec![self.disarm(rank)];
         }
@@ -190,23 +195,23 @@
         Vec::new()
     }
 
-    fn release(&mut self) -> Vec<Send> {
+    fn release(&mut self) -> Vec<RankOrder> {
         self.enter(Stage::Releasing);
         vec![self.go()]
     }
 
-    fn disarm(&self, rank: usize) -> Send {
+    fn disarm(&self, rank: usize) -> RankOrder {
         let unused = self.unused;
         self.to(rank, Order::Disarm { unused })
     }
 
-    fn go(&self) -> Send {
+    fn go(&self) -> RankOrder {
         let step = self.step;
-        self.to(DEPUTY, Order::Go { step })
+        self.to(DEPUTY_RANK, Order::Go { step })
     }
 
-    fn to(&self, rank: usize, order: Order) -> Send {
-        Send {
+    fn to(&self, rank: usize, order: Order) -> RankOrder {
+        RankOrder {
             rank,
             phase: self.phase,
             epoch: self.epoch,
@@ -214,7 +219,7 @@
         }
     }
 
-    fn enter(&mut self, stage: Stage) -> Vec<Send> {
+    fn enter(&mut self, stage: Stage) -> Vec<RankOrder> {
         self.phase = self.phase.next();
         self.stage = stage;
         Vec::new()
--- a/crates/groups/tests/agreement.rs
+++ b/crates/groups/tests/agreement.rs
@@ -88,7 +88,7 @@
     world.settle();
     run(&mut world, 100);
     // The version of the refused attempt is never used again.
-    let standing = world.agents[2].standing().expect("rank 2 stands");
+    let standing = world.agents[2].active_map().expect("rank 2 stands");
     assert_eq!(
         (standing.version, &standing.map),
         (MapVersion::new(3), &map(2))
@@ -124,7 +124,7 @@
 
 fn abort(world: &mut World, attempt: Attempt) {
     use snipemast_groups::agree::lead::{LeadInput, LeadTimer};
-    let over = LeadTimer::PromiseOver(attempt.version);
+    let over = LeadTimer::PromiseTimeout(attempt.version);
     world.lead(0, LeadInput::Fired(over));
 }
 
@@ -154,7 +154,7 @@
     let refused = RankMessage::Refused {
         refusal: Refusal::Late(near),
     };
-    assert_eq!(out, [RankOutput::ToLead(near.reign, refused)]);
+    assert_eq!(out, [RankOutput::ToLead(near.term, refused)]);
 }
 
 #[test]
@@ -170,7 +170,7 @@
     assert_eq!(world.rejected, 2);
     world.settle();
     run(&mut world, 100);
-    let standing = world.agents[1].standing().expect("the group stands");
+    let standing = world.agents[1].active_map().expect("the group stands");
     assert_eq!(standing.map, map(4));
 }
 
@@ -209,7 +209,7 @@
     world.rank(0, RankInput::Appointed);
     world.settle();
     run(&mut world, 20);
-    let standing = world.agents[2].standing().expect("rank 2 stands again");
+    let standing = world.agents[2].active_map().expect("rank 2 stands again");
     assert_eq!(standing.version, MapVersion::new(301));
     assert_eq!(world.group.last().unwrap().1, MapVersion::new(301));
     assert_eq!(world.group.torn(), None);
@@ -235,7 +235,7 @@
     let verdicts: Vec<MapVersion> = world
         .agents
         .iter()
-        .map(|a| a.standing().expect("all stand").version)
+        .map(|a| a.active_map().expect("all stand").version)
         .collect();
     assert_eq!(verdicts, [MapVersion::new(2); 3]);
     run(&mut world, 100);
@@ -258,8 +258,8 @@
         }
     }
     let attempt = world.agents[2].pending().expect("rank 2 waits");
-    let reign = attempt.reign.reformed(0, Incarnation::new(1));
-    world.rank(2, RankInput::Lead(LeadMessage::Ask { reign }));
+    let term = attempt.term.next_incarnation(0, Incarnation::new(1));
+    world.rank(2, RankInput::Lead(LeadMessage::Ask { term }));
     let decided = Decided {
         attempt,
         verdict: Verdict::Commit,
@@ -360,26 +360,26 @@
         matches!(p, Packet::ToRank(2, LeadMessage::Decide { .. }))
     });
     let open = world.agents[2].pending().expect("rank 2 waits");
-    let reign = open.reign.succeeded(1, Incarnation::new(1));
+    let term = open.term.next_ballot(1, Incarnation::new(1));
     let version = MapVersion::new(9);
     let origin = Origin::Control(Fence::new(1));
     let map = map(2);
-    world.rank(2, RankInput::Lead(LeadMessage::Ask { reign }));
+    world.rank(2, RankInput::Lead(LeadMessage::Ask { term }));
     let load = LeadMessage::Load {
-        reign,
+        term,
         origin,
         version,
         map,
     };
     world.rank(2, RankInput::Lead(load));
     let attempt = Attempt {
-        reign,
+        term,
         version,
         switch: Step::new(900),
     };
     let out = world.agents[2].handle(RankInput::Lead(LeadMessage::Prepare { attempt }));
     let refusal = Refusal::Busy(open);
-    let refused = RankOutput::ToLead(reign, RankMessage::Refused { refusal });
+    let refused = RankOutput::ToLead(term, RankMessage::Refused { refusal });
     assert_eq!(out, [refused]);
 }
 
@@ -389,27 +389,29 @@
     // and its permits may still be under way. The next start must lie past them.
     let mut world = World::new(3, Margin::default());
     world.form();
-    let reign = world.agents[2].reign().reformed(1, Incarnation::new(1));
+    let term = world.agents[2]
+        .term()
+        .next_incarnation(1, Incarnation::new(1));
     let origin = Origin::Recovery;
     let (version, map) = (MapVersion::new(1), map(1));
     let switch = Step::new(500);
     let attempt = Attempt {
-        reign,
+        term,
         version,
         switch,
     };
     let load = LeadMessage::Load {
-        reign,
+        term,
         origin,
         version,
         map,
     };
-    world.rank(2, RankInput::Lead(LeadMessage::Ask { reign }));
+    world.rank(2, RankInput::Lead(LeadMessage::Ask { term }));
     world.rank(2, RankInput::Lead(load));
     world.rank(2, RankInput::Lead(LeadMessage::Prepare { attempt }));
     assert_eq!(world.agents[2].pending(), Some(attempt));
-    let next = reign.reformed(0, Incarnation::new(1));
-    let out = world.agents[2].handle(RankInput::Lead(LeadMessage::Ask { reign: next }));
+    let next = term.next_incarnation(0, Incarnation::new(1));
+    let out = world.agents[2].handle(RankInput::Lead(LeadMessage::Ask { term: next }));
     let permitted = out.iter().find_map(|o| match o {
         RankOutput::ToLead(_, RankMessage::Report(report)) => Some(report.permitted),
         _ => None,
--- a/crates/groups/tests/common/mod.rs
+++ b/crates/groups/tests/common/mod.rs
@@ -17,8 +17,8 @@
 use snipemast_groups::agree::lead::LeadTimer;
 use snipemast_groups::agree::message::SharedMap;
 use snipemast_groups::agree::{
-    EngineStatus, Lead, LeadInput, LeadMessage, LeadOutput, Margin, PeerMessage, Permit, Proposal,
-    RankAgent, RankInput, RankMessage, RankOutput, Reign, Timer,
+    EngineStatus, Lead, LeadInput, LeadMessage, LeadOutput, LeadTerm, Margin, PeerMessage, Permit,
+    Proposal, RankAgent, RankInput, RankMessage, RankOutput, Timer,
 };
 use snipemast_groups::map::{ExpertMap, Layer};
 
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Packet {
     ToRank(u32, LeadMessage),
-    ToLead(u32, Reign, RankMessage),
+    ToLead(u32, LeadTerm, RankMessage),
     Peer(u32, u32, PeerMessage),
     Permit(u32, Permit),
     Status(u32, EngineStatus),
@@ -126,7 +126,7 @@
         self.settle();
         self.armed.clear();
         assert_eq!(
-            self.agents[0].standing().map(|s| s.version),
+            self.agents[0].active_map().map(|s| s.version),
             Some(MapVersion::new(1))
         );
     }
@@ -138,18 +138,15 @@
     pub fn deliver(&mut self, packet: Packet) {
         match packet {
             Packet::ToRank(to, message) => self.rank(to, RankInput::Lead(message)),
-            Packet::ToLead(from, reign, message) => {
-                let listens = |l: &Lead| l.reign().start == reign.start;
-                if self.leads[reign.rank as usize]
-                    .as_ref()
-                    .is_some_and(listens)
-                {
+            Packet::ToLead(from, term, message) => {
+                let listens = |l: &Lead| l.term().start == term.start;
+                if self.leads[term.rank as usize].as_ref().is_some_and(listens) {
                     let input = LeadInput::Rank {
                         from,
-                        reign,
+                        term,
                         message,
                     };
-                    self.lead(reign.rank, input);
+                    self.lead(term.rank, input);
                 }
             }
             Packet::Peer(from, to, message) => self.rank(to, RankInput::Peer { from, message }),
@@ -223,8 +220,8 @@
 
     fn rank_wants(&mut self, rank: u32, output: RankOutput) {
         match output {
-            RankOutput::ToLead(reign, message) => {
-                self.sent.push(Packet::ToLead(rank, reign, message));
+            RankOutput::ToLead(term, message) => {
+                self.sent.push(Packet::ToLead(rank, term, message));
             }
             RankOutput::ToRank(to, message) => self.sent.push(Packet::Peer(rank, to, message)),
             RankOutput::Permit(permit) => self.sent.push(Packet::Permit(rank, permit)),
@@ -234,9 +231,9 @@
             RankOutput::Arm(timer) => {
                 self.armed.insert((rank, Alarm::Rank(timer)));
             }
-            RankOutput::Stand(reign) => {
+            RankOutput::StartLead(term) => {
                 self.leads[rank as usize] =
-                    Some(Lead::new(reign, self.ranks, self.margin).with_tries(self.tries));
+                    Some(Lead::new(term, self.ranks, self.margin).with_tries(self.tries));
                 self.lead(rank, LeadInput::Begin);
             }
             RankOutput::Event(Event::GroupHeld, _) => self.held += 1,
--- a/crates/groups/tests/common/sim.rs
+++ b/crates/groups/tests/common/sim.rs
@@ -143,8 +143,8 @@
     /// Proposes a map to whoever leads, as the control role does; appoints a lead where none is.
     pub fn propose_anew(&mut self, fence: u64, number: u16) {
         let leads = self.world.leads.iter().flatten();
-        let best = leads.filter(|l| l.is_idle()).max_by_key(|l| l.reign());
-        match best.map(|l| (l.reign().rank, l.version().unwrap_or_default())) {
+        let best = leads.filter(|l| l.is_idle()).max_by_key(|l| l.term());
+        match best.map(|l| (l.term().rank, l.version().unwrap_or_default())) {
             Some((rank, base)) => self
                 .world
                 .propose(rank, proposal(fence, base.get(), number)),
@@ -308,9 +308,9 @@
 /// The two hosts that a message travels between, where it leaves its host.
 fn ends(packet: &Packet) -> Option<(u32, u32)> {
     match packet {
-        Packet::ToLead(from, reign, _) => Some((*from, reign.rank)),
+        Packet::ToLead(from, term, _) => Some((*from, term.rank)),
         Packet::Peer(from, to, _) => Some((*from, *to)),
-        Packet::ToRank(to, message) => Some((message.reign().rank, *to)),
+        Packet::ToRank(to, message) => Some((message.term().rank, *to)),
         Packet::Permit(..) | Packet::Status(..) | Packet::Load(..) => None,
     }
 }
@@ -318,10 +318,10 @@
 fn wait(rank: u32, alarm: Alarm) -> u64 {
     let margin = margin();
     let span = match alarm {
-        Alarm::Rank(_) => margin.patience(rank),
+        Alarm::Rank(_) => margin.verdict_timeout(rank),
         Alarm::Lead(LeadTimer::Resend) => margin.delay.times(3),
-        Alarm::Lead(LeadTimer::LoadOver(_)) => Span::from_millis(150),
-        Alarm::Lead(LeadTimer::PromiseOver(_)) => margin.promise(),
+        Alarm::Lead(LeadTimer::LoadTimeout(_)) => Span::from_millis(150),
+        Alarm::Lead(LeadTimer::PromiseTimeout(_)) => margin.promise_timeout(),
     };
     span.as_micros()
 }
@@ -343,7 +343,7 @@
 }
 
 /// Runs the strikes out, lets everything talk again and looks what became of the group.
-pub fn judge(ranks: u32, seed: u64, strikes: &[Strike]) -> Result<Sim, Verdict> {
+pub fn run_checked(ranks: u32, seed: u64, strikes: &[Strike]) -> Result<Sim, Verdict> {
     let mut sim = Sim::new(ranks, seed, strikes);
     sim.run_until(500_000);
     check_maps(&sim)?;
@@ -357,12 +357,12 @@
         sim.propose_anew(10 + number, 20);
         sim.run_until(sim.now + 100_000);
         check_maps(&sim)?;
-        let shown = sim.world.agents[0].standing().map(|s| s.map.clone());
+        let shown = sim.world.agents[0].active_map().map(|s| s.map.clone());
         if shown == Some(super::map(20)) {
             return Ok(sim);
         }
     }
-    let version = sim.world.agents[0].standing().map(|s| s.version);
+    let version = sim.world.agents[0].active_map().map(|s| s.version);
     Err(Verdict::Deaf { version })
 }
 
@@ -371,7 +371,7 @@
     if let Some(torn) = group.torn() {
         return Err(Verdict::Torn(format!("{torn:?}")));
     }
-    let standing = sim.world.agents.iter().filter_map(|a| a.standing());
+    let standing = sim.world.agents.iter().filter_map(|a| a.active_map());
     let now = standing.map(|s| s.version).max();
     let stepped = group.highest();
     if group.last().map(|l| l.1) != Some(stepped) || now < Some(stepped) {
--- a/crates/groups/tests/delivery.rs
+++ b/crates/groups/tests/delivery.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 
 use snipemast_core::prelude::*;
-use snipemast_groups::delivery::{deliveries, Delivery};
+use snipemast_groups::delivery::{plan_deliveries, Delivery};
 use snipemast_groups::draft::{Base, Draft};
 use snipemast_groups::map::ExpertMap;
-use snipemast_groups::order::{Order, Send};
+use snipemast_groups::order::{Order, RankOrder};
 use snipemast_groups::switch::Switch;
 
 /// What the narrowest links carry in a tenth of a second, in bytes: an order that holds a group up may take no longer
@@ -24,7 +24,7 @@
 }
 
 /// One order to each of so many ranks.
-fn to_all(ranks: usize, order: &Order) -> Vec<Send> {
+fn to_all(ranks: usize, order: &Order) -> Vec<RankOrder> {
     let mut switch = Switch::new(ranks, Ballot(1));
     let now = Moment::from_millis(0);
     let map = Arc::new(ExpertMap::default());
@@ -32,7 +32,7 @@
     let sends = switch.begin(now, GroupIncarnation(1), MapVersion(1), draft, map);
     let sends = sends.into_iter();
     sends
-        .map(|send| Send {
+        .map(|send| RankOrder {
             order: order.clone(),
             ..send
         })
@@ -62,12 +62,12 @@
 
 /// What one host sends so that so many ranks get an order, in bytes.
 fn sent(ranks: usize, order: &Order) -> usize {
-    let deliveries = deliveries(to_all(ranks, order), 0).into_iter();
+    let deliveries = plan_deliveries(to_all(ranks, order), 0).into_iter();
     let sizes = deliveries.map(|delivery| match delivery {
         Delivery::Direct(send) => CALL + bytes(&send.order),
-        Delivery::Relayed { sends, .. } => {
-            assert!(sends.len() <= ranks.isqrt());
-            CALL + bytes(order) + ADDRESS * sends.len()
+        Delivery::Relayed { orders, .. } => {
+            assert!(orders.len() <= ranks.isqrt());
+            CALL + bytes(order) + ADDRESS * orders.len()
         }
     });
     sizes.sum()
@@ -79,13 +79,13 @@
 #[test]
 fn maps_short() {
     for (ranks, sets, slots, experts) in [(72, 12, 3, 144), (192, 10, 3, 384)] {
-        let base = Base::Dealt {
+        let base = Base::RoundRobin {
             layers: sets,
             ranks,
             slots,
             experts,
         };
-        let old = ExpertMap::dealt(usize::from(sets), ranks, slots, experts);
+        let old = ExpertMap::round_robin(usize::from(sets), ranks, slots, experts);
         let mut new = old.clone();
         for copy in 0..2 * ranks {
             let (layer, rank) = (copy % sets, copy * 7 % ranks);
@@ -106,12 +106,12 @@
     };
     for (ranks, turn) in [(1, 0), (18, 3), (19, 5), (192, 7), (355, 11)] {
         let mut ranked = Vec::new();
-        for delivery in deliveries(to_all(ranks, &order), turn) {
+        for delivery in plan_deliveries(to_all(ranks, &order), turn) {
             match delivery {
                 Delivery::Direct(send) => ranked.push(send.rank),
-                Delivery::Relayed { through, sends } => {
-                    assert!(sends.iter().any(|s| s.rank == through));
-                    ranked.extend(sends.iter().map(|s| s.rank));
+                Delivery::Relayed { through, orders } => {
+                    assert!(orders.iter().any(|s| s.rank == through));
+                    ranked.extend(orders.iter().map(|s| s.rank));
                 }
             }
         }
@@ -124,16 +124,16 @@
 #[test]
 fn kept_map_whole() {
     for (rank, ranks, slots, experts) in [(0, 16, 5, 64), (191, 192, 3, 384), (3, 4, 2, 8)] {
-        let dealt = ExpertMap::dealt(3, ranks, slots, experts);
+        let dealt = ExpertMap::round_robin(3, ranks, slots, experts);
         let held: Vec<Vec<u16>> = dealt
             .layers
             .iter()
             .map(|layer| {
-                let held = layer.on(rank).iter();
+                let held = layer.rank_slots(rank).iter();
                 held.copied().filter(|e| *e < experts).collect()
             })
             .collect();
-        let kept = ExpertMap::around(rank, &held, ranks, experts);
+        let kept = ExpertMap::from_rank(rank, &held, ranks, experts);
         assert!(kept.is_whole(usize::from(experts)));
         for (layer, held) in kept.layers.iter().zip(&held) {
             assert!(held.iter().all(|e| layer.holds(rank, *e)));
--- a/crates/groups/tests/demand.rs
+++ b/crates/groups/tests/demand.rs
@@ -15,9 +15,9 @@
 fn differences_counted() {
     let (mut demand, mut tally) = (Demand::new(LAYERS, 1), Tally::new(70));
     for (at, by) in [(0, 100), (200, 110), (400, 120)] {
-        let place = demand.place(0).unwrap_or_default();
-        demand.add(0, &tally.tell(place, counts(by)));
-        demand.settle(Moment::from_millis(at));
+        let place = demand.sample_cursor(0).unwrap_or_default();
+        demand.add(0, &tally.report(place, counts(by)));
+        demand.finish_poll(Moment::from_millis(at));
     }
     // 10 choices of the first expert, and 0.6 of the 10 before.
     let first = demand.sums()[0][0];
@@ -32,15 +32,15 @@
 fn restart_counts_nothing() {
     let (mut demand, mut tally) = (Demand::new(LAYERS, 1), Tally::new(70));
     for by in [100, 110] {
-        let place = demand.place(0).unwrap_or_default();
-        demand.add(0, &tally.tell(place, counts(by)));
-        demand.settle(Moment::from_millis(by));
+        let place = demand.sample_cursor(0).unwrap_or_default();
+        demand.add(0, &tally.report(place, counts(by)));
+        demand.finish_poll(Moment::from_millis(by));
     }
     let before = demand.total();
     let mut tally = Tally::new(9_000);
-    let place = demand.place(0).unwrap_or_default();
-    demand.add(0, &tally.tell(place, counts(5_000)));
-    demand.settle(Moment::from_millis(110));
+    let place = demand.sample_cursor(0).unwrap_or_default();
+    demand.add(0, &tally.report(place, counts(5_000)));
+    demand.finish_poll(Moment::from_millis(110));
     assert_eq!(demand.total(), before);
 }
 
@@ -55,9 +55,9 @@
         for (count, chosen) in counts.iter_mut().zip(chosen) {
             *count += chosen;
         }
-        let place = demand.place(0).unwrap_or_default();
-        demand.add(0, &tally.tell(place, counts.clone()));
-        let steady = demand.settle(Moment::from_millis(at));
+        let place = demand.sample_cursor(0).unwrap_or_default();
+        demand.add(0, &tally.report(place, counts.clone()));
+        let steady = demand.finish_poll(Moment::from_millis(at));
         let total = demand.total();
         let shares = demand.sums()[0].iter().map(|s| s / total);
         (steady, shares.collect::<Vec<f64>>())
@@ -78,11 +78,18 @@
 #[test]
 fn sample_spread() {
     let large = Demand::new(LAYERS, 72);
-    let asked: Vec<usize> = (0..72).filter(|r| large.place(*r).is_some()).collect();
+    let asked: Vec<usize> = (0..72)
+        .filter(|r| large.sample_cursor(*r).is_some())
+        .collect();
     assert_eq!(asked.len(), 18);
     let zones = (0..4).map(|z| asked.iter().filter(|r| *r % 4 == z).count());
     assert!(zones.clone().all(|n| n >= 4), "{asked:?}");
     assert!(asked.contains(&0));
     let small = Demand::new(LAYERS, 16);
-    assert_eq!((0..16).filter(|r| small.place(*r).is_some()).count(), 16);
+    assert_eq!(
+        (0..16)
+            .filter(|r| small.sample_cursor(*r).is_some())
+            .count(),
+        16
+    );
 }
--- a/crates/groups/tests/draft.rs
+++ b/crates/groups/tests/draft.rs
@@ -7,13 +7,13 @@
 use snipemast_control::Chance;
 use snipemast_core::prelude::*;
 use snipemast_groups::draft::{Base, Draft, Told};
-use snipemast_groups::executor::{Executor, Next, OrderSeq};
+use snipemast_groups::executor::{Action, Executor, OrderSeq};
 use snipemast_groups::map::ExpertMap;
 use snipemast_groups::order::{Order, Outcome, RankState};
 use snipemast_groups::switch::Switch;
 
 const EPOCH: GroupIncarnation = GroupIncarnation(1);
-const DEALT: Base = Base::Dealt {
+const DEALT: Base = Base::RoundRobin {
     layers: 3,
     ranks: 8,
     slots: 3,
@@ -21,7 +21,7 @@
 };
 
 fn dealt() -> ExpertMap {
-    ExpertMap::dealt(3, 8, 3, 16)
+    ExpertMap::round_robin(3, 8, 3, 16)
 }
 
 /// A map with some slots that hold other experts.
@@ -44,7 +44,7 @@
             let map = changed(&from, &mut chance);
             let draft = Draft::new(base, &from, &map);
             let read = told.read(EPOCH, version, &draft);
-            (base, from) = (Base::Told(version), Arc::clone(&map));
+            (base, from) = (Base::Known(version), Arc::clone(&map));
             read == Some(map)
         })
     }
@@ -62,7 +62,7 @@
         .read(EPOCH, version, &Draft::Whole(Arc::clone(&first)))
         .is_some());
     let second = changed(&first, &mut chance);
-    let draft = Draft::new(Base::Told(version), &first, &second);
+    let draft = Draft::new(Base::Known(version), &first, &second);
     assert!(told
         .clone()
         .read(GroupIncarnation(2), MapVersion(2), &draft)
@@ -79,7 +79,7 @@
 fn unread_map_told_whole() {
     let (from, epoch) = (Arc::new(dealt()), EPOCH);
     let map = changed(&from, &mut Chance::new(5));
-    let draft = Draft::new(Base::Told(MapVersion(7)), &from, &map);
+    let draft = Draft::new(Base::Known(MapVersion(7)), &from, &map);
     let mut switch = Switch::new(2, Ballot(1));
     let now = Moment::from_millis(0);
     let sends = switch.begin(now, epoch, MapVersion(8), draft, Arc::clone(&map));
@@ -94,12 +94,14 @@
     };
     let (mut executor, lead) = (Executor::new(), Ballot(1));
     let first = OrderSeq { lead, number: 1 };
-    let mut task = executor.take(first, sends[1].order.clone(), epoch).unwrap();
+    let mut task = executor
+        .accept(first, sends[1].order.clone(), epoch)
+        .unwrap();
     assert_eq!(
-        executor.next(&mut task, &state),
-        Next::Settled(Outcome::Untold)
+        executor.next_action(&mut task, &state),
+        Action::Settled(Outcome::Untold)
     );
-    let again = switch.take(now, 1, sends[1].phase, Outcome::Untold);
+    let again = switch.handle_outcome(now, 1, sends[1].phase, Outcome::Untold);
     let [again] = again.as_slice() else {
         panic!("{again:?}");
     };
@@ -114,6 +116,9 @@
     );
     assert_eq!(again.rank, 1);
     let second = OrderSeq { lead, number: 2 };
-    let mut task = executor.take(second, again.order.clone(), epoch).unwrap();
-    assert!(matches!(executor.next(&mut task, &state), Next::Give(_)));
+    let mut task = executor.accept(second, again.order.clone(), epoch).unwrap();
+    assert!(matches!(
+        executor.next_action(&mut task, &state),
+        Action::Give(_)
+    ));
 }
--- a/crates/groups/tests/even.rs
+++ b/crates/groups/tests/even.rs
@@ -3,7 +3,7 @@
 use quickcheck::quickcheck;
 
 use snipemast_control::Chance;
-use snipemast_groups::even::{even, Thresholds};
+use snipemast_groups::even::{rebalance, Thresholds};
 use snipemast_groups::map::{ExpertMap, Layer};
 use snipemast_groups::search::search_paced;
 
@@ -19,7 +19,7 @@
 };
 
 fn first() -> ExpertMap {
-    ExpertMap::dealt(1, RANKS, PLACES, EXPERTS)
+    ExpertMap::round_robin(1, RANKS, PLACES, EXPERTS)
 }
 
 /// One expert takes a fifth of the load, the others share the rest.
@@ -45,7 +45,7 @@
 fn hot_expert_copied() {
     let demand = hot(7);
     let paces = [1.0; RANKS as usize];
-    let evened = even(&first(), &demand, &paces, &THRESHOLDS).expect("a better map");
+    let evened = rebalance(&first(), &demand, &paces, &THRESHOLDS).expect("a better map");
     let fullest = loads(&evened.map, &demand, &paces)
         .into_iter()
         .fold(0.0, f64::max);
@@ -59,7 +59,7 @@
 #[test]
 fn even_map_stays() {
     let demand = vec![vec![1.0 / 64.0; usize::from(EXPERTS)]];
-    assert!(even(&first(), &demand, &[], &THRESHOLDS).is_none());
+    assert!(rebalance(&first(), &demand, &[], &THRESHOLDS).is_none());
 }
 
 /// A user sees every stream stutter for as long as one server is slow: each pass waits for its experts.
@@ -71,7 +71,7 @@
     paces[3] = 5.0;
     let mut map = first();
     for _ in 0..4 {
-        if let Some(evened) = even(&map, &demand, &paces, &THRESHOLDS) {
+        if let Some(evened) = rebalance(&map, &demand, &paces, &THRESHOLDS) {
             map = evened.map;
         }
     }
@@ -89,11 +89,11 @@
         let total: f64 = (0..usize::from(EXPERTS)).map(weight).sum();
         let demand = vec![(0..usize::from(EXPERTS)).map(|e| weight(e) / total).collect()];
         let old = first();
-        let Some(evened) = even(&old, &demand, &[], &THRESHOLDS) else {
+        let Some(evened) = rebalance(&old, &demand, &[], &THRESHOLDS) else {
             return true;
         };
         let allowed = (0..RANKS).all(|rank| {
-            let held = evened.map.layers[0].on(rank).iter();
+            let held = evened.map.layers[0].rank_slots(rank).iter();
             let new = held.filter(|e| **e != u16::MAX && !old.layers[0].holds(rank, **e));
             new.count() <= THRESHOLDS.spare
         });
@@ -106,7 +106,7 @@
     fn weights_stay_exact(seed: u64) -> bool {
         let mut chance = Chance::new(seed);
         let (ranks, experts) = (24, 40);
-        let mut layer = Layer::dealt(ranks, 3, experts);
+        let mut layer = Layer::round_robin(ranks, 3, experts);
         let shares: Vec<f64> = (0..experts).map(|_| 1.0 + chance.below(300) as f64).collect();
         let paces: Vec<f64> = (0..ranks).map(|_| 1.0 + chance.below(2) as f64).collect();
         let path = search_paced(0, &layer, &shares, &paces, 30);
--- a/crates/groups/tests/explore.rs
+++ b/crates/groups/tests/explore.rs
@@ -14,7 +14,7 @@
 use common::{proposal, Alarm, Packet, World};
 use snipemast_core::prelude::*;
 use snipemast_groups::agree::lead::LeadTimer;
-use snipemast_groups::agree::{Margin, RankMessage, Reign};
+use snipemast_groups::agree::{LeadTerm, Margin, RankMessage};
 
 /// What may still happen besides the delivery of messages.
 #[derive(Debug, Clone, Copy, Hash)]
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Forgets messages that can have no effect any more: answers to a reign that nobody holds,
-    /// and, once no agent can forget its reign, orders of a reign that nobody holds to ranks that
+    /// Forgets messages that can have no effect any more: answers to a term that nobody holds,
+    /// and, once no agent can forget its term, orders of a term that nobody holds to ranks that
     /// obey a later one.
     fn drop_dead(&mut self) {
         let World {
@@ -110,13 +110,13 @@
             sent,
             ..
         } = &mut self.world;
-        let held = |reign: Reign| leads.iter().flatten().any(|l| l.reign() == reign);
+        let held = |term: LeadTerm| leads.iter().flatten().any(|l| l.term() == term);
         let forgets = self.budget.agents > 0;
         sent.retain(|packet| match packet {
-            Packet::ToLead(_, reign, _) => held(*reign),
+            Packet::ToLead(_, term, _) => held(*term),
             Packet::ToRank(to, message) => {
-                let reign = message.reign();
-                forgets || held(reign) || agents[*to as usize].reign() <= reign
+                let term = message.term();
+                forgets || held(term) || agents[*to as usize].term() <= term
             }
             _ => true,
         });
@@ -140,7 +140,7 @@
         let mut links = HashSet::new();
         for (n, packet) in self.world.sent.iter().enumerate() {
             let first = links.insert(link(packet)) || !self.budget.ordered;
-            let alone = ack_to(packet).is_none_or(|reign| led.insert(reign.rank));
+            let alone = ack_to(packet).is_none_or(|term| led.insert(term.rank));
             if first && alone {
                 self.with_message(n, &mut next);
             }
@@ -254,7 +254,7 @@
         if end < start + 10 {
             return Err(format!("held at step {end} from {start}"));
         }
-        let standing = self.world.agents.iter().filter_map(|a| a.standing());
+        let standing = self.world.agents.iter().filter_map(|a| a.active_map());
         let now = standing.map(|s| s.version).min();
         if now != Some(self.world.group.highest()) {
             return Err(format!("{now:?} stands in the end"));
@@ -302,10 +302,10 @@
 
 /// The lead that a message goes to, where it only adds to what that lead has gathered. The order
 /// of such messages shows nowhere before the last of them has come, so one order stands for all.
-fn ack_to(packet: &Packet) -> Option<&Reign> {
+fn ack_to(packet: &Packet) -> Option<&LeadTerm> {
     match packet {
         Packet::ToLead(_, _, RankMessage::Refused { .. }) => None,
-        Packet::ToLead(_, reign, _) => Some(reign),
+        Packet::ToLead(_, term, _) => Some(term),
         _ => None,
     }
 }
@@ -313,8 +313,8 @@
 /// The hosts that a message travels between.
 fn link(packet: &Packet) -> (u32, u32) {
     match packet {
-        Packet::ToRank(to, message) => (message.reign().rank, *to),
-        Packet::ToLead(from, reign, _) => (*from, reign.rank),
+        Packet::ToRank(to, message) => (message.term().rank, *to),
+        Packet::ToLead(from, term, _) => (*from, term.rank),
         Packet::Peer(from, to, _) => (*from, *to),
         Packet::Permit(rank, _) | Packet::Status(rank, _) | Packet::Load(rank, ..) => {
             (*rank, *rank)
--- a/crates/groups/tests/matrix.rs
+++ b/crates/groups/tests/matrix.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-use common::sim::{judge, Fault, Sim, Strike, Verdict};
+use common::sim::{run_checked, Fault, Sim, Strike, Verdict};
 
 /// Messages between agents in a run without faults: load, loaded, prepare, promise, decide,
 /// settled, for three ranks.
@@ -25,7 +25,7 @@
             scope.spawn(|| loop {
                 let n = next.fetch_add(1, Ordering::Relaxed);
                 let Some(strikes) = cells.get(n) else { return };
-                if let Err(verdict) = judge(3, n as u64, strikes) {
+                if let Err(verdict) = run_checked(3, n as u64, strikes) {
                     failed.lock().unwrap().push((strikes.clone(), verdict));
                 }
             });
@@ -43,7 +43,7 @@
 
 #[test]
 fn no_fault() {
-    let sim = judge(3, 1, &[]).expect("a group without faults does well");
+    let sim = run_checked(3, 1, &[]).expect("a group without faults does well");
     assert_eq!(sim.world.held, 0);
 }
 
@@ -58,7 +58,7 @@
             .world
             .agents
             .iter()
-            .map(|a| a.standing().map(|s| s.version.get()));
+            .map(|a| a.active_map().map(|s| s.version.get()));
         assert!(versions.into_iter().all(|v| v == Some(2)));
         assert_eq!((sim.world.held, sim.world.rejected), (0, 0));
     }
--- a/crates/groups/tests/ordered/mod.rs
+++ b/crates/groups/tests/ordered/mod.rs
@@ -10,13 +10,14 @@
 
 use snipemast_control::Chance;
 use snipemast_core::prelude::*;
-use snipemast_groups::delivery::{deliveries, Delivery};
+use snipemast_groups::delivery::{plan_deliveries, Delivery};
 use snipemast_groups::draft::Draft;
-use snipemast_groups::executor::{Answer, EngineOrder, Executor, Next, OrderSeq, Task};
+use snipemast_groups::executor::{Action, Answer, EngineOrder, Executor, OrderSeq, Task};
 use snipemast_groups::map::ExpertMap;
-use snipemast_groups::switch::{Ended, Order, Outcome, Phase, RankState, Send, Switch};
+use snipemast_groups::switch::{Order, Outcome, Phase, RankOrder, RankState, Switch, SwitchResult};
 use snipemast_groups::takeover::{
-    lead_above, leaves_to_takeover, takeover_above, Stillness, Takeover, DEPUTY, LEAD,
+    next_lead_ballot, next_takeover_ballot, yields_to_takeover, StandstillDetector, Takeover,
+    DEPUTY_RANK, LEAD_RANK,
 };
 
 pub(crate) use engine::Engine;
@@ -113,15 +114,15 @@
     /// it also holds the second, and the deputy beside the second.
     pub(crate) fn process(&self) -> Option<usize> {
         match self {
-            Self::Look | Self::Seen(_) | Self::Told(_, From::Lead(_), _) => Some(LEAD),
-            Self::Watch | Self::Told(_, From::Deputy(_), _) => Some(DEPUTY),
+            Self::Look | Self::Seen(_) | Self::Told(_, From::Lead(_), _) => Some(LEAD_RANK),
+            Self::Watch | Self::Told(_, From::Deputy(_), _) => Some(DEPUTY_RANK),
             Self::Relay(rank, ..)
             | Self::Arrive(rank, _)
             | Self::Copying(rank, ..)
             | Self::Work(rank)
             | Self::Answered(rank, ..) => match *rank {
-                AFAR => Some(LEAD),
-                FIRST => Some(DEPUTY),
+                AFAR => Some(LEAD_RANK),
+                FIRST => Some(DEPUTY_RANK),
                 rank => Some(rank),
             },
             Self::Pass
@@ -137,8 +138,8 @@
 /// The engine that a process orders.
 pub(crate) fn engine(process: usize) -> usize {
     match process {
-        AFAR => DEPUTY,
-        FIRST => LEAD,
+        AFAR => DEPUTY_RANK,
+        FIRST => LEAD_RANK,
         rank => rank,
     }
 }
@@ -189,7 +190,7 @@
     /// The last lead whose process was killed.
     pub(crate) ended: u64,
     pub(crate) takeover: Option<Takeover>,
-    pub(crate) stillness: Stillness,
+    pub(crate) stillness: StandstillDetector,
     /// Since when the lead that is back leaves the group to a takeover.
     pub(crate) waits: Option<u64>,
     /// The deputy's ballot, and how many orders it gave.
@@ -241,7 +242,7 @@
             frozen: vec![0; ranks],
             ended: 0,
             takeover: None,
-            stillness: Stillness::new(Moment::from_millis(0)),
+            stillness: StandstillDetector::new(Moment::from_millis(0)),
             waits: None,
             deputy: (0, 0),
             takeovers: 0,
@@ -257,7 +258,7 @@
         };
         for process in &mut world.processes {
             let state = Engine::default().state(0);
-            process.executor.saw(Incarnation(1), &state);
+            process.executor.observe(Incarnation(1), &state);
         }
         world.after(PASS, Event::Pass);
         world.after(LOOK, Event::Look);
@@ -294,7 +295,7 @@
     }
 
     pub(crate) fn happen(&mut self, event: Event) {
-        let first = self.engines[LEAD].state(self.step);
+        let first = self.engines[LEAD_RANK].state(self.step);
         self.old_report(first);
         match event {
             Event::Pass => self.pass(),
@@ -304,7 +305,7 @@
             }
             Event::Seen(states) => self.look(&states),
             // A lead's orders to the process that it is itself end with it.
-            Event::Arrive(LEAD | AFAR, given) if given.seq.lead <= Ballot(self.ended) => {}
+            Event::Arrive(LEAD_RANK | AFAR, given) if given.seq.lead <= Ballot(self.ended) => {}
             Event::Relay(through, to, given) => {
                 for rank in to {
                     let delay = self.leave(through, bytes(&given.order));
@@ -334,27 +335,29 @@
             }
             Event::Told(rank, From::Lead(phase), outcome) => {
                 let rank = engine(rank);
-                let sends = self.switch.take(self.moment(), rank, phase, outcome);
+                let sends = self
+                    .switch
+                    .handle_outcome(self.moment(), rank, phase, outcome);
                 self.send(sends);
                 self.settle();
             }
             Event::Told(rank, From::Deputy(phase), outcome) => {
                 let rank = engine(rank);
                 let takeover = self.takeover.as_mut();
-                let sends = takeover.map(|t| t.take(rank, phase, outcome));
+                let sends = takeover.map(|t| t.handle_outcome(rank, phase, outcome));
                 self.order(sends.unwrap_or_default());
                 if self.takeover.as_ref().is_some_and(Takeover::is_over) {
-                    self.stillness.tried(self.moment());
+                    self.stillness.back_off(self.moment());
                     self.takeover = None;
                 }
             }
             Event::Restart => {
-                (self.frozen[LEAD], self.stands) = (0, 0);
+                (self.frozen[LEAD_RANK], self.stands) = (0, 0);
                 self.kill_lead();
                 self.adopt();
             }
             Event::Kill(away) => {
-                self.frozen[LEAD] = self.now + away;
+                self.frozen[LEAD_RANK] = self.now + away;
                 self.kill_lead();
                 // The new process knows of no group.
                 self.switch = Switch::new(self.ranks, Ballot(0));
@@ -364,7 +367,7 @@
             Event::Adopt => self.adopt(),
             Event::Freeze(rank, until) => {
                 self.frozen[rank] = until;
-                if rank == LEAD {
+                if rank == LEAD_RANK {
                     self.stands = until;
                 }
             }
@@ -384,8 +387,8 @@
     /// What the lead's process knew is gone, and what it sent to itself.
     fn kill_lead(&mut self) {
         self.ended = self.lead;
-        (self.processes[LEAD], self.afar) = (Process::default(), Process::default());
-        self.sent[LEAD] = 0;
+        (self.processes[LEAD_RANK], self.afar) = (Process::default(), Process::default());
+        self.sent[LEAD_RANK] = 0;
     }
 
     /// The highest ballot that ranks tell of.
@@ -398,7 +401,7 @@
     fn leaves(&mut self) -> bool {
         let (highest, held, now) = (self.highest(), self.is_held(), self.now);
         let since = *self.waits.get_or_insert(now);
-        let leaves = leaves_to_takeover(highest, held, Span::from_millis(now - since));
+        let leaves = yields_to_takeover(highest, held, Span::from_millis(now - since));
         if !leaves {
             self.waits = None;
         }
@@ -408,13 +411,13 @@
     /// The lead takes the group up with a ballot above all that ranks tell of.
     pub(crate) fn adopt(&mut self) {
         let highest = self.highest().max(Ballot(self.lead));
-        self.lead = lead_above(highest).get();
+        self.lead = next_lead_ballot(highest).get();
         self.switch = Switch::new(self.ranks, Ballot(self.lead));
         self.number = 0;
         self.version += 1_000_000;
         let states = self.states();
         for (process, state) in self.processes.iter_mut().zip(&states) {
-            process.executor.saw(Incarnation(1), state);
+            process.executor.observe(Incarnation(1), state);
         }
         let sends = self.switch.recover(&states);
         self.send(sends);
@@ -422,21 +425,21 @@
 
     /// The deputy takes over where its group stands still and the lead is silent.
     pub(crate) fn watch(&mut self) {
-        let state = self.states()[DEPUTY];
+        let state = self.states()[DEPUTY_RANK];
         let often = state.held.is_some();
         self.after(if often { WATCH_HELD } else { LOOK }, Event::Watch);
         if self.takeover.is_some() {
             return;
         }
-        let still = self.stillness.saw(self.moment(), &state, true);
-        let silent = self.frozen[LEAD] > self.now || self.backlog(LEAD) > ANSWER;
+        let still = self.stillness.observe(self.moment(), &state, true);
+        let silent = self.frozen[LEAD_RANK] > self.now || self.backlog(LEAD_RANK) > ANSWER;
         let Some(step) = state.held.filter(|_| still && silent) else {
             return;
         };
-        let own = self.processes[DEPUTY].executor.lead();
-        let ballot = takeover_above(own.max(Ballot(self.deputy.0)));
+        let own = self.processes[DEPUTY_RANK].executor.lead();
+        let ballot = next_takeover_ballot(own.max(Ballot(self.deputy.0)));
         let reaches = self.stands <= self.now;
-        let executor = &mut self.processes[DEPUTY].executor;
+        let executor = &mut self.processes[DEPUTY_RANK].executor;
         let pledged = executor.is_pledged(&state);
         if !executor.overtake(ballot, &state, reaches) {
             return;
@@ -444,7 +447,7 @@
         self.deputy = (ballot.get(), 0);
         self.takeovers += 1;
         self.first = Process {
-            executor: Executor::from_afar(),
+            executor: Executor::remote(),
             ..Process::default()
         };
         let (takeover, sends) = Takeover::begin(self.ranks, ballot, &state, step, pledged);
@@ -453,10 +456,10 @@
     }
 
     /// Sends the deputy's orders on their way.
-    pub(crate) fn order(&mut self, sends: Vec<Send>) {
-        let (here, others): (Vec<Send>, Vec<Send>) =
-            sends.into_iter().partition(|s| s.rank == LEAD);
-        let mut all = deliveries(others, self.deputy.1);
+    pub(crate) fn order(&mut self, sends: Vec<RankOrder>) {
+        let (here, others): (Vec<RankOrder>, Vec<RankOrder>) =
+            sends.into_iter().partition(|s| s.rank == LEAD_RANK);
+        let mut all = plan_deliveries(others, self.deputy.1);
         all.extend(here.into_iter().map(Delivery::Direct));
         for delivery in all {
             self.deputy.1 += 1;
@@ -464,7 +467,7 @@
                 lead: Ballot(self.deputy.0),
                 number: self.deputy.1,
             };
-            self.deliver(DEPUTY, delivery, seq, From::Deputy, self.reach);
+            self.deliver(DEPUTY_RANK, delivery, seq, From::Deputy, self.reach);
         }
     }
 
@@ -486,7 +489,7 @@
                 };
                 let to = match (&given.order, host, send.rank) {
                     (Order::Hold { .. }, ..) => AFAR,
-                    (_, DEPUTY, LEAD) => FIRST,
+                    (_, DEPUTY_RANK, LEAD_RANK) => FIRST,
                     (.., rank) => rank,
                 };
                 let near = to == host || to == AFAR || to == FIRST;
@@ -494,12 +497,12 @@
                 let delay = self.leave(host, bytes(&given.order));
                 self.give_to(to, given, delay, longest);
             }
-            Delivery::Relayed { through, sends } => {
-                let to: Vec<usize> = sends.iter().map(|s| s.rank).collect();
+            Delivery::Relayed { through, orders } => {
+                let to: Vec<usize> = orders.iter().map(|s| s.rank).collect();
                 let given = Given {
                     seq,
-                    from: from(sends[0].phase),
-                    order: sends[0].order.clone(),
+                    from: from(orders[0].phase),
+                    order: orders[0].order.clone(),
                 };
                 let size = bytes(&given.order) + ADDRESS_BYTES * to.len() as u64;
                 let delay = self.leave(host, size) + 1 + self.chance.below(self.reach);
@@ -542,13 +545,13 @@
         self.step = next;
         self.longest = self.longest.max(self.now - self.began);
         self.began = self.now;
-        let before = self.engines[LEAD].map;
+        let before = self.engines[LEAD_RANK].map;
         for engine in &mut self.engines {
             if let Some((version, _)) = engine.armed.filter(|(_, at)| *at <= next) {
                 (engine.map, engine.armed, engine.prepared) = (version, None, None);
             }
         }
-        self.maps += u32::from(self.engines[LEAD].map != before);
+        self.maps += u32::from(self.engines[LEAD_RANK].map != before);
         self.mixed |= self.engines.iter().any(|e| e.map != self.engines[0].map);
     }
 
@@ -581,28 +584,28 @@
     }
 
     pub(crate) fn settle(&mut self) {
-        match self.switch.take_ended() {
-            Some(Ended::Switched(_)) => self.switched += 1,
-            Some(Ended::Kept("another process took over")) => self.after(0, Event::Adopt),
+        match self.switch.take_result() {
+            Some(SwitchResult::Switched(_)) => self.switched += 1,
+            Some(SwitchResult::Kept("another process took over")) => self.after(0, Event::Adopt),
             _ => {}
         }
     }
 
     /// Sends orders on their way; some are held up, and the lead stops waiting for them.
-    pub(crate) fn send(&mut self, sends: Vec<Send>) {
+    pub(crate) fn send(&mut self, sends: Vec<RankOrder>) {
         /// The longest way of one order alone, in ms: what makes them slow is how many there are.
         const ALONE: u64 = 20;
         let longest = match sends.len() {
             1 => self.reach.min(ALONE),
             _ => self.reach,
         };
-        for delivery in deliveries(sends, self.number) {
+        for delivery in plan_deliveries(sends, self.number) {
             self.number += 1;
             let seq = OrderSeq {
                 lead: Ballot(self.lead),
                 number: self.number,
             };
-            self.deliver(LEAD, delivery, seq, From::Lead, longest);
+            self.deliver(LEAD_RANK, delivery, seq, From::Lead, longest);
         }
     }
 
@@ -638,15 +641,19 @@
             state = self.old_report(state);
         }
         if rank == AFAR {
-            let floor = self.processes[DEPUTY].executor.floor();
-            self.afar.executor.told(Incarnation(1), &state, floor);
+            let floor = self.processes[DEPUTY_RANK].executor.floor();
+            self.afar
+                .executor
+                .observe_remote(Incarnation(1), &state, floor);
         }
         let process = self.process(rank);
         if process.task.is_none() {
             let Some(given) = process.queue.pop_front() else {
                 return;
             };
-            let taken = process.executor.take(given.seq, given.order.clone(), EPOCH);
+            let taken = process
+                .executor
+                .accept(given.seq, given.order.clone(), EPOCH);
             match taken {
                 Some(task) => process.task = Some((given, task)),
                 None => {
@@ -663,16 +670,18 @@
             Order::Prepare { version, .. } => Some(version.get()),
             _ => None,
         };
-        match process.executor.next(task, &state) {
-            Next::Settled(outcome) => {
+        match process.executor.next_action(task, &state) {
+            Action::Settled(outcome) => {
                 process.task = None;
                 if let Some(version) = copied.filter(|_| outcome == Outcome::Done) {
                     self.after(COPY + 5, Event::Copying(rank, from, version));
                 }
                 self.report(rank, from, outcome);
             }
-            Next::Give(order) => self.give(rank, &order),
-            Next::Keep(version) => self.give(rank, &EngineOrder::Prepare(version, Arc::default())),
+            Action::Give(order) => self.give(rank, &order),
+            Action::PrepareHeld(version) => {
+                self.give(rank, &EngineOrder::Prepare(version, Arc::default()))
+            }
         }
     }
 
--- a/crates/groups/tests/planner.rs
+++ b/crates/groups/tests/planner.rs
@@ -14,7 +14,7 @@
 
 fn planner() -> Planner {
     let mut planner = Planner::new(Policy::new(Weights::new(900, 100)));
-    let map = Arc::new(ExpertMap::dealt(1, 4, 3, 8));
+    let map = Arc::new(ExpertMap::round_robin(1, 4, 3, 8));
     planner.handle(at(0), PlannerInput::InForce(MapVersion::new(3), map));
     planner
 }
--- a/crates/groups/tests/policy.rs
+++ b/crates/groups/tests/policy.rs
@@ -1,9 +1,9 @@
 //! The policy: what it moves, and why it moves nothing.
 
 use snipemast_core::prelude::*;
-use snipemast_groups::estimate::{Counts, Pace, Popularity};
+use snipemast_groups::estimate::{Counts, Popularity, Smoothing};
 use snipemast_groups::map::{weight_loads, ExpertMap};
-use snipemast_groups::pace::{judge, Health, Work};
+use snipemast_groups::pace::{rank_health, Health, Work};
 use snipemast_groups::policy::{Decision, Phase, Policy, Reason, Situation, Weights};
 
 const SKEW: Weights = Weights {
@@ -41,12 +41,12 @@
 
 fn settled(weights: Weights) -> (ExpertMap, usize) {
     let shares = vec![zipf(64)];
-    let mut map = ExpertMap::dealt(1, 16, 5, 64);
+    let mut map = ExpertMap::round_robin(1, 16, 5, 64);
     let mut loads = 0;
     for _ in 0..20 {
         let decision = Policy::new(weights).decide(&situation(&map, &shares));
         loads += weight_loads(&map, &decision.moves);
-        map = map.after(&decision.moves);
+        map = map.with_moves(&decision.moves);
     }
     (map, loads)
 }
@@ -64,14 +64,14 @@
 #[test]
 fn moves_say_evictions() {
     let shares = vec![zipf(64)];
-    let map = ExpertMap::dealt(1, 16, 5, 64);
+    let map = ExpertMap::round_robin(1, 16, 5, 64);
     let decision = Policy::new(SKEW).decide(&situation(&map, &shares));
     assert!(!decision.moves.is_empty());
     // Applied in order, each move finds what it says that it evicts.
     let mut now = map.clone();
     for m in &decision.moves {
         assert_eq!(now.layers[0].at(m.rank, m.slot), m.evicts);
-        now = now.after(&[*m]);
+        now = now.with_moves(&[*m]);
     }
 }
 
@@ -88,7 +88,7 @@
 #[test]
 fn unsettled_groups_stay() {
     let shares = vec![zipf(64)];
-    let map = ExpertMap::dealt(1, 16, 5, 64);
+    let map = ExpertMap::round_robin(1, 16, 5, 64);
     for phase in [
         Phase::Forming,
         Phase::CutOff,
@@ -111,7 +111,7 @@
 #[test]
 fn old_reports_decline() {
     let shares = vec![zipf(64)];
-    let map = ExpertMap::dealt(1, 16, 5, 64);
+    let map = ExpertMap::round_robin(1, 16, 5, 64);
     let situation = Situation {
         age: Span::from_secs(300),
         ..situation(&map, &shares)
@@ -123,7 +123,7 @@
 #[test]
 fn switches_cool() {
     let shares = vec![zipf(64)];
-    let map = ExpertMap::dealt(1, 16, 5, 64);
+    let map = ExpertMap::round_robin(1, 16, 5, 64);
     let situation = Situation {
         since: Span::from_secs(4),
         ..situation(&map, &shares)
@@ -141,17 +141,17 @@
         tokens: 1_000,
         busy: Span::from_millis(busy),
     };
-    let health = judge(&[work(5), work(5), work(15), work(5)]);
+    let health = rank_health(&[work(5), work(5), work(15), work(5)]);
     assert_eq!(health[2], Health::Slow(300));
     let hot = Work {
         tokens: 3_000,
         busy: Span::from_millis(15),
     };
-    assert!(judge(&[work(5), hot, work(5)])
+    assert!(rank_health(&[work(5), hot, work(5)])
         .iter()
         .all(|h| *h == Health::Sound));
     let shares = vec![zipf(64)];
-    let map = ExpertMap::dealt(1, 16, 5, 64);
+    let map = ExpertMap::round_robin(1, 16, 5, 64);
     let situation = Situation {
         health: &health,
         ..situation(&map, &shares)
@@ -176,9 +176,9 @@
 }
 
 fn share_after(hot: impl Fn(u64) -> u32) -> f64 {
-    let mut popularity = Popularity::new(Pace::default());
+    let mut popularity = Popularity::new(Smoothing::default());
     for n in 1..30 {
-        popularity.take(&counts(n * 10, hot(n)));
+        popularity.record(&counts(n * 10, hot(n)));
     }
     popularity.shares()[0][3]
 }
@@ -194,9 +194,9 @@
 
 #[test]
 fn late_reports_drop() {
-    let mut popularity = Popularity::new(Pace::default());
-    popularity.take(&counts(20, 1_000));
-    popularity.take(&counts(10, 9_000));
+    let mut popularity = Popularity::new(Smoothing::default());
+    popularity.record(&counts(20, 1_000));
+    popularity.record(&counts(10, 9_000));
     assert_eq!(popularity.late(), 1);
     assert!((popularity.shares()[0][3] - 1.0 / 16.0).abs() < 1e-9);
 }
--- a/crates/groups/tests/random.rs
+++ b/crates/groups/tests/random.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::sim::{judge, Fault, Strike};
+use common::sim::{run_checked, Fault, Strike};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 #[derive(Debug, Clone)]
@@ -40,7 +40,7 @@
 }
 
 fn endures(ordeal: Ordeal) -> bool {
-    match judge(ordeal.ranks, ordeal.seed, &ordeal.strikes) {
+    match run_checked(ordeal.ranks, ordeal.seed, &ordeal.strikes) {
         Ok(_) => true,
         Err(fault) => {
             println!("{fault:?}");
--- a/crates/groups/tests/stall.rs
+++ b/crates/groups/tests/stall.rs
@@ -1,7 +1,7 @@
 //! Whether a rank's group goes on.
 
 use snipemast_core::prelude::*;
-use snipemast_groups::stall::Stall;
+use snipemast_groups::stall::StallDetector;
 use snipemast_groups::switch::RankState;
 
 fn at(millis: u64) -> Moment {
@@ -25,12 +25,12 @@
 /// group makes no passes, and one that is held is let go by others.
 #[test]
 fn stalled_group_told() {
-    let mut stall = Stall::new(at(0));
-    assert!(stall.goes_on(at(100), &state(7, true, None), true));
-    assert!(stall.goes_on(at(400), &state(7, true, None), true));
-    assert!(!stall.goes_on(at(600), &state(7, true, None), true));
-    assert!(stall.goes_on(at(700), &state(8, true, None), true));
-    assert!(stall.goes_on(at(1_500), &state(8, true, None), false));
-    assert!(stall.goes_on(at(2_500), &state(8, true, Some(9)), true));
-    assert!(!stall.goes_on(at(2_600), &state(9, false, None), false));
+    let mut stall = StallDetector::new(at(0));
+    assert!(stall.observe_progress(at(100), &state(7, true, None), true));
+    assert!(stall.observe_progress(at(400), &state(7, true, None), true));
+    assert!(!stall.observe_progress(at(600), &state(7, true, None), true));
+    assert!(stall.observe_progress(at(700), &state(8, true, None), true));
+    assert!(stall.observe_progress(at(1_500), &state(8, true, None), false));
+    assert!(stall.observe_progress(at(2_500), &state(8, true, Some(9)), true));
+    assert!(!stall.observe_progress(at(2_600), &state(9, false, None), false));
 }
--- a/crates/groups/tests/switch.rs
+++ b/crates/groups/tests/switch.rs
@@ -9,8 +9,8 @@
 use ordered::{Engine, Event, World, EPOCH, PASS};
 use snipemast_core::prelude::*;
 use snipemast_groups::draft::Draft;
-use snipemast_groups::executor::{EngineOrder, Executor, Next, OrderSeq};
-use snipemast_groups::switch::{Order, Outcome, Send, Switch};
+use snipemast_groups::executor::{Action, EngineOrder, Executor, OrderSeq};
+use snipemast_groups::switch::{Order, Outcome, RankOrder, Switch};
 
 /// A user sees wrong words in an answer: one pass ran on two maps. An engine answers nothing to some
 /// orders and carries them out seconds later; the lead gives a switch up and lets the group go on
@@ -136,8 +136,8 @@
         number,
     };
     let go = || Order::Go { step: Step(1) };
-    assert!(executor.take(seq(2), go(), EPOCH).is_some());
-    assert!(executor.take(seq(1), go(), EPOCH).is_none());
+    assert!(executor.accept(seq(2), go(), EPOCH).is_some());
+    assert!(executor.accept(seq(1), go(), EPOCH).is_none());
 }
 
 /// A user sees every answer come late: a rank crashed and started again, its group counts steps from 0, and
@@ -146,21 +146,21 @@
 fn restart_forgets_holds() {
     let mut executor = Executor::new();
     let state = Engine::default().state(0);
-    executor.saw(Incarnation(5), &state);
+    executor.observe(Incarnation(5), &state);
     executor.before_send(&EngineOrder::Hold(Step(9_000)));
-    executor.saw(Incarnation(5), &state);
+    executor.observe(Incarnation(5), &state);
     assert_eq!(hold(&mut executor, 1), EngineOrder::Hold(Step(9_001)));
-    executor.saw(Incarnation(6), &state);
+    executor.observe(Incarnation(6), &state);
     assert_eq!(hold(&mut executor, 2), EngineOrder::Hold(Step(2)));
 }
 
 /// What a rank at step 0 is given for a hold 2 steps ahead.
 fn hold(executor: &mut Executor, number: u64) -> EngineOrder {
     let lead = Ballot(1);
-    let taken = executor.take(OrderSeq { lead, number }, Order::Hold { ahead: 2 }, EPOCH);
+    let taken = executor.accept(OrderSeq { lead, number }, Order::Hold { ahead: 2 }, EPOCH);
     let mut task = taken.expect("it is the latest");
-    match executor.next(&mut task, &Engine::default().state(0)) {
-        Next::Give(order) => order,
+    match executor.next_action(&mut task, &Engine::default().state(0)) {
+        Action::Give(order) => order,
         other => panic!("{other:?}"),
     }
 }
@@ -181,9 +181,9 @@
     };
     let ((mut switch, own), (_, earlier)) = (begin(2), begin(1));
     let now = Moment::from_millis(5);
-    switch.take(now, 0, earlier, Outcome::Refused);
+    switch.handle_outcome(now, 0, earlier, Outcome::Refused);
     assert!(!switch.is_idle());
-    switch.take(now, 0, own, Outcome::Refused);
+    switch.handle_outcome(now, 0, own, Outcome::Refused);
     assert!(switch.is_idle());
 }
 
@@ -196,12 +196,14 @@
     let sends = switch.begin(now, EPOCH, MapVersion(1), whole(), Arc::default());
     let phase = sends[0].phase;
     for rank in [0, 2] {
-        assert!(switch.take(now, rank, phase, Outcome::Prepared).is_empty());
+        assert!(switch
+            .handle_outcome(now, rank, phase, Outcome::Prepared)
+            .is_empty());
     }
-    let again = switch.take(now, 1, phase, Outcome::Unsure);
+    let again = switch.handle_outcome(now, 1, phase, Outcome::Unsure);
     assert_eq!((again.len(), again[0].rank), (1, 1));
     assert!(matches!(again[0].order, Order::Prepare { .. }));
-    let next = switch.take(now, 1, phase, Outcome::Prepared);
+    let next = switch.handle_outcome(now, 1, phase, Outcome::Prepared);
     assert!(matches!(next[0].order, Order::Hold { .. }));
 }
 
@@ -214,15 +216,15 @@
     let sends = switch.begin(at(0), EPOCH, MapVersion(1), whole(), Arc::default());
     let mut holds = Vec::new();
     for send in sends {
-        holds = switch.take(at(10), send.rank, send.phase, Outcome::Prepared);
+        holds = switch.handle_outcome(at(10), send.rank, send.phase, Outcome::Prepared);
     }
     let held = Outcome::Held(Step(9));
-    let arms = switch.take(at(20), 1, holds[0].phase, held);
+    let arms = switch.handle_outcome(at(20), 1, holds[0].phase, held);
     assert_eq!(arms.len(), 2);
-    let again = switch.take(at(300), 2, arms[0].phase, Outcome::Unsure);
+    let again = switch.handle_outcome(at(300), 2, arms[0].phase, Outcome::Unsure);
     assert_eq!(again, [arms[1].clone()]);
     assert!(switch.tick(at(600)).is_empty());
     let aborts = switch.tick(at(800));
-    let disarms = |s: &Send| matches!(s.order, Order::Disarm { .. });
+    let disarms = |s: &RankOrder| matches!(s.order, Order::Disarm { .. });
     assert!(aborts.len() == 3 && aborts.iter().all(disarms));
 }
--- a/crates/groups/tests/takeover.rs
+++ b/crates/groups/tests/takeover.rs
@@ -9,7 +9,7 @@
 use ordered::{Event, World, LOOK};
 use snipemast_control::Chance;
 use snipemast_groups::map::ExpertMap;
-use snipemast_groups::takeover::{DEPUTY, LEAD};
+use snipemast_groups::takeover::{DEPUTY_RANK, LEAD_RANK};
 
 quickcheck! {
     /// A user sees every stream stand still for seconds: the lead's host freezes, and wakes up where it was,
@@ -31,7 +31,11 @@
     let mut chance = Chance::new(seed ^ 0x5eed);
     for second in 0..20 {
         let at = second * 3_000 + chance.below(3_000);
-        let rank = if chance.below(3) == 0 { DEPUTY } else { LEAD };
+        let rank = if chance.below(3) == 0 {
+            DEPUTY_RANK
+        } else {
+            LEAD_RANK
+        };
         let until = at + 300 + chance.below(4_000);
         world.after(at, Event::Freeze(rank, until));
         if chance.below(6) == 0 {
@@ -52,7 +56,11 @@
         let at = second * 2_000 + chance.below(2_000);
         world.after(at, Event::Kill(50 + chance.below(1_200)));
         if chance.below(4) == 0 {
-            let rank = if chance.below(2) == 0 { DEPUTY } else { LEAD };
+            let rank = if chance.below(2) == 0 {
+                DEPUTY_RANK
+            } else {
+                LEAD_RANK
+            };
             let frozen = at + chance.below(1_500);
             let until = frozen + 100 + chance.below(2_000);
             world.after(frozen, Event::Freeze(rank, until));
@@ -140,7 +148,7 @@
         world.after(LOOK / 2, Event::Watch);
         (world.reach, world.eager) = (60, true);
         let at = number * 6_000 + seed * 7;
-        world.after(at, Event::Freeze(LEAD, at + 4_000));
+        world.after(at, Event::Freeze(LEAD_RANK, at + 4_000));
         world.run(at);
         let pledged = world.switch.is_pledged();
         world.longest = 0;
@@ -179,7 +187,7 @@
 /// A group of 192 ranks behind links of 6 Mbit/s, whose map takes 17 kB.
 fn large(seed: u64) -> World {
     let mut world = World::with_ranks(seed, u64::MAX, 192);
-    world.map = Arc::new(ExpertMap::dealt(10, 192, 3, 384));
+    world.map = Arc::new(ExpertMap::round_robin(10, 192, 3, 384));
     (world.link, world.lag, world.reach) = (750, 150, 30);
     world.after(LOOK / 2, Event::Watch);
     world
--- a/crates/sidecar/src/calls.rs
+++ b/crates/sidecar/src/calls.rs
@@ -8,9 +8,9 @@
 use smol::Task;
 
 use snipemast_core::prelude::*;
-use snipemast_groups::delivery::{deliveries, Delivery};
-use snipemast_groups::switch::{Order, Outcome, Phase, Send};
-use snipemast_groups::takeover::{lead_above, LEAD};
+use snipemast_groups::delivery::{plan_deliveries, Delivery};
+use snipemast_groups::switch::{Order, Outcome, Phase, RankOrder};
+use snipemast_groups::takeover::{next_lead_ballot, LEAD_RANK};
 use snipemast_net::exec::{pause, spawn};
 
 use crate::engine::Engine;
@@ -88,17 +88,17 @@
     }
 
     /// The rank that an order is for, where it is ordered from here.
-    fn ordered_here(&self, send: &Send) -> Option<Arc<Rank>> {
+    fn ordered_here(&self, send: &RankOrder) -> Option<Arc<Rank>> {
         match send.order {
             Order::Hold { .. } => self.holder.clone(),
-            _ if send.rank == LEAD => self.first.clone(),
+            _ if send.rank == LEAD_RANK => self.first.clone(),
             _ => None,
         }
     }
 
     /// Gives orders as a lead above another one from now on.
     pub(crate) fn lead_above(&mut self, other: Ballot) -> Ballot {
-        self.lead = lead_above(other.max(self.lead));
+        self.lead = next_lead_ballot(other.max(self.lead));
         self.lead
     }
 
@@ -156,24 +156,24 @@
     }
 
     /// Sends orders; what becomes of each is told by [`outcome`](Self::outcome).
-    pub(crate) fn execute(&mut self, sends: Vec<Send>, addresses: &[SocketAddr]) {
+    pub(crate) fn execute(&mut self, sends: Vec<RankOrder>, addresses: &[SocketAddr]) {
         self.orders.retain(|t| !t.is_finished());
-        let (here, others): (Vec<Send>, Vec<Send>) = sends
+        let (here, others): (Vec<RankOrder>, Vec<RankOrder>) = sends
             .into_iter()
             .partition(|send| self.ordered_here(send).is_some());
-        let mut all = deliveries(others, self.number);
+        let mut all = plan_deliveries(others, self.number);
         all.extend(here.into_iter().map(Delivery::Direct));
         for delivery in all {
             // One number will do for orders alike: each rank compares only with those that it got itself.
             self.number += 1;
             match delivery {
                 Delivery::Direct(send) => self.send(send, addresses),
-                Delivery::Relayed { through, sends } => self.relay(through, sends, addresses),
+                Delivery::Relayed { through, orders } => self.relay(through, orders, addresses),
             }
         }
     }
 
-    fn send(&mut self, send: Send, addresses: &[SocketAddr]) {
+    fn send(&mut self, send: RankOrder, addresses: &[SocketAddr]) {
         let client = self.clients.get(addresses[send.rank]);
         let (rank, phase) = (send.rank, send.phase);
         let here = self.ordered_here(&send);
@@ -196,7 +196,7 @@
     }
 
     /// Lets a rank pass an order on to some.
-    fn relay(&mut self, through: usize, sends: Vec<Send>, addresses: &[SocketAddr]) {
+    fn relay(&mut self, through: usize, sends: Vec<RankOrder>, addresses: &[SocketAddr]) {
         let Some(first) = sends.first().cloned() else {
             return;
         };
@@ -219,7 +219,7 @@
         }));
     }
 
-    fn order(&self, send: Send) -> Execute {
+    fn order(&self, send: RankOrder) -> Execute {
         Execute {
             lead: self.lead,
             number: self.number,
--- a/crates/sidecar/src/deputy.rs
+++ b/crates/sidecar/src/deputy.rs
@@ -5,7 +5,7 @@
 
 use snipemast_core::prelude::*;
 use snipemast_groups::switch::RankState;
-use snipemast_groups::takeover::{takeover_above, Stillness, Takeover, LEAD};
+use snipemast_groups::takeover::{next_takeover_ballot, StandstillDetector, Takeover, LEAD_RANK};
 use snipemast_net::exec::pause;
 use snipemast_net::BootClock;
 
@@ -34,7 +34,7 @@
     rank: Arc<Rank>,
     clients: Arc<Clients>,
     calls: Calls,
-    stillness: Stillness,
+    stillness: StandstillDetector,
     group: Option<Known>,
 }
 
@@ -48,7 +48,7 @@
 impl Deputy {
     pub(crate) fn new(reader: Arc<Reader>, rank: Arc<Rank>, journal: Journal) -> Self {
         let clock = BootClock::new();
-        let stillness = Stillness::new(clock.now());
+        let stillness = StandstillDetector::new(clock.now());
         Self {
             reader,
             journal,
@@ -70,7 +70,7 @@
                 continue;
             };
             held = state.held.is_some();
-            let still = self.stillness.saw(self.clock.now(), &state, working);
+            let still = self.stillness.observe(self.clock.now(), &state, working);
             self.learn(&state).await;
             if still && !self.lead_answers().await {
                 self.take_over(&state).await;
@@ -102,7 +102,7 @@
         let Some(group) = &self.group else {
             return true;
         };
-        let client = self.clients.get(group.addresses[LEAD]);
+        let client = self.clients.get(group.addresses[LEAD_RANK]);
         let query = StateQuery::default();
         let asked = client.call::<_, RankReport>(path::STATE, &query, ANSWER);
         asked.await.is_ok()
@@ -126,17 +126,17 @@
         };
         let pledged = self.rank.is_pledged(own);
         let first = match pledged {
-            true => self.first_rank(known.addresses[LEAD]).await,
+            true => self.first_rank(known.addresses[LEAD_RANK]).await,
             false => None,
         };
-        let lead = takeover_above(self.rank.lead());
+        let lead = next_takeover_ballot(self.rank.lead());
         if !self.rank.overtake(lead, own, first.is_some()) {
             return;
         }
         let pledged = first.is_some();
         self.calls.order_first(first);
         let addresses = known.addresses.clone();
-        let detail = format!("held at step {step}, {} is silent", addresses[LEAD]);
+        let detail = format!("held at step {step}, {} is silent", addresses[LEAD_RANK]);
         self.journal.record(Event::LeadOvertaken, "group", detail);
         self.calls.give_as(lead);
         let (mut takeover, sends) = Takeover::begin(addresses.len(), lead, own, step, pledged);
@@ -145,10 +145,10 @@
             let Some(told) = self.calls.outcome(WATCH).await else {
                 continue;
             };
-            let sends = takeover.take(told.rank, told.phase, told.outcome);
+            let sends = takeover.handle_outcome(told.rank, told.phase, told.outcome);
             self.calls.execute(sends, &addresses);
         }
-        self.stillness.tried(self.clock.now());
+        self.stillness.back_off(self.clock.now());
         self.journal
             .record(Event::MapAborted, "group", "let go for a silent lead");
     }
--- a/crates/sidecar/src/group.rs
+++ b/crates/sidecar/src/group.rs
@@ -82,7 +82,7 @@
         let all = all || self.addresses.len() <= FEW;
         let ranks = self.addresses.iter().enumerate();
         let asked = ranks.filter_map(|(rank, address)| {
-            let counted = self.demand.place(rank);
+            let counted = self.demand.sample_cursor(rank);
             let wanted = all || counted.is_some() || rank % TURNS == turn;
             let query = StateQuery {
                 experts: false,
@@ -110,7 +110,7 @@
                 self.demand.add(seen.rank, counted);
             }
         }
-        self.settled = self.demand.settle(now);
+        self.settled = self.demand.finish_poll(now);
         true
     }
 
@@ -137,7 +137,7 @@
 
     /// The highest map number on any rank.
     pub(crate) fn highest(&self) -> MapVersion {
-        let highest = self.states.iter().map(RankState::highest);
+        let highest = self.states.iter().map(RankState::highest_map);
         highest.max().unwrap_or_default()
     }
 
@@ -176,13 +176,13 @@
 fn first_map(experts: &Experts, ranks: usize) -> (Base, ExpertMap) {
     let (layers, ranks) = (experts.sets as u16, ranks as u16);
     let (slots, experts) = (experts.places as u16, experts.count as u16);
-    let base = Base::Dealt {
+    let base = Base::RoundRobin {
         layers,
         ranks,
         slots,
         experts,
     };
-    let map = ExpertMap::dealt(usize::from(layers), ranks, slots, experts);
+    let map = ExpertMap::round_robin(usize::from(layers), ranks, slots, experts);
     (base, map)
 }
 
--- a/crates/sidecar/src/lead.rs
+++ b/crates/sidecar/src/lead.rs
@@ -6,9 +6,9 @@
 use snipemast_core::prelude::*;
 use snipemast_groups::demand::Demand;
 use snipemast_groups::draft::Base;
-use snipemast_groups::even::{even, Evened, Thresholds};
-use snipemast_groups::switch::{Ended, RankState, Send};
-use snipemast_groups::takeover::{leaves_to_takeover, DEPUTY};
+use snipemast_groups::even::{rebalance, Rebalanced, Thresholds};
+use snipemast_groups::switch::{RankOrder, RankState, SwitchResult};
+use snipemast_groups::takeover::{yields_to_takeover, DEPUTY_RANK};
 use snipemast_net::BootClock;
 use snipemast_routes::engine::Experts;
 
@@ -116,7 +116,9 @@
         let Some(group) = self.group.as_mut() else {
             return;
         };
-        let sends = group.switch.take(now, told.rank, told.phase, told.outcome);
+        let sends = group
+            .switch
+            .handle_outcome(now, told.rank, told.phase, told.outcome);
         self.execute(sends);
         self.conclude();
     }
@@ -151,7 +153,7 @@
             self.conclude();
             self.settle();
         } else {
-            group.switch.saw(now, group.states[0].step);
+            group.switch.observe_step(now, group.states[0].step);
             self.plan();
         }
     }
@@ -187,7 +189,7 @@
         let highest = seen.iter().map(|s| s.lead).max().unwrap_or_default();
         let held = seen.iter().any(|s| s.state.held.is_some());
         let since = *self.waits.get_or_insert(now);
-        let leaves = leaves_to_takeover(highest, held, since.until(now));
+        let leaves = yields_to_takeover(highest, held, since.until(now));
         if !leaves {
             self.waits = None;
         }
@@ -202,7 +204,7 @@
         let Some(map) = map_in_force(&experts, seen) else {
             return;
         };
-        if let Some(process) = addresses.get(DEPUTY).copied() {
+        if let Some(process) = addresses.get(DEPUTY_RANK).copied() {
             let Some(server) = self.reader.server_at(process.ip()) else {
                 return;
             };
@@ -212,7 +214,7 @@
         let lead = self.calls.lead_above(leads.max().unwrap_or_default());
         let mut group = Group::new(lead, addresses, seen, map);
         if let Some(demand) = self.remembered.take() {
-            group.demand.recall(&demand);
+            group.demand.carry_over(&demand);
             group.settled = true;
         }
         let jumped = MapVersion(group.highest().get() + JUMP);
@@ -267,12 +269,12 @@
             step: STEP_GAIN,
         };
         let paces = group.paces();
-        if let Some(evened) = even(&group.map, group.demand.sums(), &paces, &thresholds) {
+        if let Some(evened) = rebalance(&group.map, group.demand.sums(), &paces, &thresholds) {
             self.begin(evened);
         }
     }
 
-    fn begin(&mut self, evened: Evened) {
+    fn begin(&mut self, evened: Rebalanced) {
         let now = self.clock.now();
         let Some(group) = self.group.as_mut() else {
             return;
@@ -297,24 +299,24 @@
         let Some(group) = self.group.as_mut() else {
             return;
         };
-        let Some(ended) = group.switch.take_ended() else {
+        let Some(ended) = group.switch.take_result() else {
             return;
         };
         let next = group.next.take();
         match ended {
-            Ended::Switched(version) => {
+            SwitchResult::Switched(version) => {
                 self.journal
                     .record(Event::MapCommitted, "group", format_args!("map {version}"));
                 match next {
                     Some(map) => {
                         (group.map, group.version) = (map, version);
-                        group.base = Some(Base::Told(version));
+                        group.base = Some(Base::Known(version));
                     }
                     // Left by an earlier lead: which experts are where is asked anew.
                     None => self.group = None,
                 }
             }
-            Ended::Kept(reason) => self.lose(reason),
+            SwitchResult::Kept(reason) => self.lose(reason),
         }
     }
 
@@ -329,7 +331,7 @@
         self.reader.engine().and_then(|e| e.experts)
     }
 
-    fn execute(&mut self, sends: Vec<Send>) {
+    fn execute(&mut self, sends: Vec<RankOrder>) {
         if let Some(group) = &self.group {
             self.calls.execute(sends, &group.addresses);
         }
--- a/crates/sidecar/src/peers.rs
+++ b/crates/sidecar/src/peers.rs
@@ -4,7 +4,7 @@
 
 use snipemast_core::data;
 use snipemast_core::prelude::*;
-use snipemast_groups::demand::Counted;
+use snipemast_groups::demand::CountReport;
 use snipemast_groups::switch::{Order, Outcome, RankState};
 
 /// The paths of the calls.
@@ -44,7 +44,7 @@
         /// How much longer than usual it takes, in hundredths.
         pub(crate) pace: u32,
         /// How often each expert was chosen, where that was wanted.
-        pub(crate) counted: Option<Counted>,
+        pub(crate) counted: Option<CountReport>,
         /// The experts that it holds, by set, where they were wanted.
         pub(crate) experts: Vec<Vec<u16>>,
         /// The highest lead that gave orders.
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -13,7 +13,7 @@
 
 use snipemast_core::prelude::*;
 use snipemast_feed::Feed;
-use snipemast_groups::takeover::{DEPUTY, LEAD};
+use snipemast_groups::takeover::{DEPUTY_RANK, LEAD_RANK};
 use snipemast_net::exec::{pause, spawn};
 use snipemast_net::{rpc, serve, socket};
 use snipemast_platform::settings::Settings;
@@ -97,7 +97,7 @@
     let mut duty: Option<Duty> = None;
     loop {
         let place = rank.place().await;
-        let wanted = place.filter(|(_, place)| [LEAD, DEPUTY].contains(place));
+        let wanted = place.filter(|(_, place)| [LEAD_RANK, DEPUTY_RANK].contains(place));
         if duty.as_ref().map(|d| (&d.group, d.place)) != wanted.as_ref().map(|(g, p)| (g, *p)) {
             duty = wanted.map(|place| begin(place, &settings, &rank, &journal));
         }
@@ -117,7 +117,7 @@
 ) -> Duty {
     let reader = Reader::new(settings.clone(), group.clone(), journal.clone());
     let feed = Feed::new(Arc::clone(&reader), journal.clone(), None);
-    let task = if place == LEAD {
+    let task = if place == LEAD_RANK {
         spawn(Lead::new(reader, journal.clone()).run())
     } else {
         spawn(Deputy::new(reader, Arc::clone(rank), journal.clone()).run())
--- a/crates/sidecar/src/rank.rs
+++ b/crates/sidecar/src/rank.rs
@@ -8,9 +8,9 @@
 
 use snipemast_core::prelude::*;
 use snipemast_groups::demand::Tally;
-use snipemast_groups::executor::{Answer, EngineOrder, Executor, Next, OrderSeq, Task};
+use snipemast_groups::executor::{Action, Answer, EngineOrder, Executor, OrderSeq, Task};
 use snipemast_groups::map::ExpertMap;
-use snipemast_groups::switch::{Order, Outcome, RankState, COPIED};
+use snipemast_groups::switch::{Order, Outcome, RankState, COPY_TIMEOUT};
 use snipemast_net::exec::{pause, within};
 use snipemast_net::RpcClient;
 use snipemast_platform::server::{is_accepted, order, ServerReport};
@@ -70,7 +70,7 @@
     /// Another rank, whose process is gone.
     pub(crate) fn from_afar(engine: Engine, journal: Journal) -> Self {
         Self {
-            executor: StateLock::new(Executor::from_afar()),
+            executor: StateLock::new(Executor::remote()),
             ..Self::new(engine, journal)
         }
     }
@@ -110,7 +110,7 @@
         let counted = match query.counted {
             Some(since) => {
                 let counts = self.engine.counts().await.ok()?;
-                Some(self.tally.lock().tell(since, counts))
+                Some(self.tally.lock().report(since, counts))
             }
             None => None,
         };
@@ -139,11 +139,11 @@
         let report = self.engine.report().await.ok()?;
         if let Some(rank) = &report.rank {
             let mut executor = self.executor.lock();
-            executor.saw(report.start, &rank.state);
+            executor.observe(report.start, &rank.state);
         }
         let before = std::mem::replace(&mut *self.start.lock(), report.start);
         if before != report.start {
-            self.tally.lock().forget();
+            self.tally.lock().reset();
         }
         Some(report)
     }
@@ -169,7 +169,7 @@
 
     /// Waits until a map is copied in whole, or another one is wanted, for a bounded time.
     async fn await_copy(&self, version: MapVersion) -> Executed {
-        let outcome = within(COPIED, async {
+        let outcome = within(COPY_TIMEOUT, async {
             loop {
                 let state = self.report().await.and_then(|r| r.rank).map(|r| r.state);
                 match state.and_then(|s| s.prepared) {
@@ -194,7 +194,7 @@
         let (task, refusal) = {
             let mut executor = self.executor.lock();
             let refusal = executor.refusal(seq);
-            (executor.take(seq, request.order, request.epoch), refusal)
+            (executor.accept(seq, request.order, request.epoch), refusal)
         };
         let outcome = match task {
             Some(task) => self.run(task, request.epoch, request.lead).await,
@@ -217,11 +217,11 @@
             if lead > request_lead {
                 return Outcome::Overtaken;
             }
-            let next = self.executor.lock().next(&mut task, &state);
+            let next = self.executor.lock().next_action(&mut task, &state);
             let given = match next {
-                Next::Settled(outcome) => return outcome,
-                Next::Give(given) => given,
-                Next::Keep(version) => match self.kept().await {
+                Action::Settled(outcome) => return outcome,
+                Action::Give(given) => given,
+                Action::PrepareHeld(version) => match self.kept().await {
                     Some(map) => EngineOrder::Prepare(version, Arc::new(map)),
                     None => {
                         pause(PAUSE).await;
@@ -260,7 +260,7 @@
         let counted = self.engine.counts().await.ok()?;
         let experts = counted.len() / held.len().max(1);
         let (own, ranks) = (rank.rank as u16, rank.size as u16);
-        Some(ExpertMap::around(own, &held, ranks, experts as u16))
+        Some(ExpertMap::from_rank(own, &held, ranks, experts as u16))
     }
 
     /// How many orders the rank has accepted, its state, and the highest lead that gave it orders.
@@ -273,7 +273,7 @@
         let told = teller.call::<_, RankReport>(path::STATE, &query, TOLD);
         let told = told.await.ok()?;
         let mut executor = self.executor.lock();
-        executor.told(told.start, &told.state, told.floor);
+        executor.observe_remote(told.start, &told.state, told.floor);
         Some((told.accepted, told.state, told.lead))
     }
 }
--- a/crates/sidecar/src/teller.rs
+++ b/crates/sidecar/src/teller.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use snipemast_core::prelude::*;
-use snipemast_groups::stall::Stall;
+use snipemast_groups::stall::StallDetector;
 use snipemast_net::exec::pause;
 use snipemast_net::{BootClock, RpcClient};
 use snipemast_platform::settings::Settings;
@@ -29,7 +29,7 @@
     journal: Journal,
     clock: BootClock,
     rank: Arc<Rank>,
-    stall: Stall,
+    stall: StallDetector,
     /// The controller that is told.
     client: Option<RpcClient>,
     /// How many controllers were tried.
@@ -51,7 +51,7 @@
             journal,
             clock,
             rank,
-            stall: Stall::new(clock.now()),
+            stall: StallDetector::new(clock.now()),
             client: None,
             tried: rand::random_range(0..64),
             told: None,
@@ -82,7 +82,7 @@
         let report = self.rank.report().await?;
         let (now, working) = (self.clock.now(), report.requests > 0);
         let rank = report.rank.map(|rank| GroupRank {
-            open: self.stall.goes_on(now, &rank.state, working),
+            open: self.stall.observe_progress(now, &rank.state, working),
             group: rank.group,
             epoch: rank.state.epoch,
             place: rank.rank as u32,
--- a/crates/wire/src/group.rs
+++ b/crates/wire/src/group.rs
@@ -4,7 +4,7 @@
 
 use snipemast_core::data;
 use snipemast_core::prelude::*;
-use snipemast_groups::agree::{LeadMessage, PeerMessage, Proposal, RankMessage, Reign};
+use snipemast_groups::agree::{LeadMessage, LeadTerm, PeerMessage, Proposal, RankMessage};
 
 /// Paths of the messages.
 pub mod path {
@@ -33,8 +33,8 @@
     pub enum GroupBody {
         /// From a lead to a rank.
         Lead(LeadMessage),
-        /// From a rank to the lead of a reign.
-        Rank(Reign, RankMessage),
+        /// From a rank to the lead of a term.
+        Rank(LeadTerm, RankMessage),
         /// From a rank to a rank.
         Peer(PeerMessage),
         /// From the control role to the lead: bring this map into force.
--- a/tests/tests/groups.rs
+++ b/tests/tests/groups.rs
@@ -127,7 +127,7 @@
 }
 
 fn dealt(experts: u16) -> Arc<ExpertMap> {
-    Arc::new(ExpertMap::dealt(2, 3, 4, experts))
+    Arc::new(ExpertMap::round_robin(2, 3, 4, experts))
 }
 
 #[test]
