--- a/crates/agent/src/announce.rs
+++ b/crates/agent/src/announce.rs
@@ -90,7 +90,7 @@
             info,
         };
         let tuning = AnnounceTuning {
-            renew: settings.limits.announce,
+            renew_interval: settings.limits.announce,
             ..AnnounceTuning::default()
         };
         let clock = Clock::new();
@@ -127,7 +127,7 @@
     /// The next answer, or a tick when one is due.
     async fn next(&self, handled: &Receiver<AnnounceInput>) -> AnnounceInput {
         let now = self.clock.now();
-        let wait = now.until(self.announcer.wake()).min(LOOK);
+        let wait = now.until(self.announcer.next_tick()).min(LOOK);
         let tick = async {
             smol::Timer::after(wait.as_duration()).await;
             AnnounceInput::Tick
@@ -182,7 +182,7 @@
                 Some(reply) => AnnounceInput::Answered(token, reply),
                 None => {
                     peer.retire();
-                    AnnounceInput::Missed(token)
+                    AnnounceInput::TimedOut(token)
                 }
             };
             // An agent that ended waits for no answer.
--- a/crates/agent/src/gate/handler.rs
+++ b/crates/agent/src/gate/handler.rs
@@ -5,7 +5,7 @@
 use trillium::{async_trait, Conn, Handler, Status};
 
 use snipemast_core::prelude::*;
-use snipemast_membership::timeline::{Page, PageAsk};
+use snipemast_membership::timeline::{Page, PageRequest};
 use snipemast_requests::{Arrival, Arrived};
 use snipemast_wire::frame::{Frame, Part, Refused, Tag};
 use snipemast_wire::message::path;
@@ -138,7 +138,7 @@
         let Some(packed) = message::<Packed>(&mut conn).await else {
             return malformed(conn);
         };
-        let Ok(ask) = packed.unpack::<PageAsk>() else {
+        let Ok(ask) = packed.unpack::<PageRequest>() else {
             return malformed(conn);
         };
         let page = Page::answer(self.gate.journal.ring(), &ask);
--- a/crates/benches/benches/membership/flat.rs
+++ b/crates/benches/benches/membership/flat.rs
@@ -109,7 +109,7 @@
         let node = members.fleet.node(index)?;
         let mut latest = None;
         for row in node.table().rows().values() {
-            let Some((version, present)) = row.set.written(host) else {
+            let Some((version, present)) = row.set.last_write(host) else {
                 continue;
             };
             let process = &row.card.process;
--- a/crates/benches/src/members.rs
+++ b/crates/benches/src/members.rs
@@ -95,7 +95,7 @@
             entries: Vec::new(),
             agents: Vec::new(),
         };
-        members.fleet.announce.copies = copies;
+        members.fleet.announce.lease_count = copies;
         for number in 0..shape.entries {
             let seeds = members.seeds();
             let place = place("entry", number, shape);
--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -17,8 +17,8 @@
 use snipemast_net::{rpc, RpcClient};
 use snipemast_platform::calls::{Call, METRICS};
 use snipemast_platform::{document, heartbeat};
-use snipemast_registry::rank::Taken;
-use snipemast_registry::{news, rank, Poll, RankWord, Standing};
+use snipemast_registry::rank::RankAck;
+use snipemast_registry::{news, rank, Poll, RankUpdate, Standing};
 use snipemast_routes::{check, Fault};
 
 use crate::join::Own;
@@ -203,7 +203,10 @@
             return self.ignore(id, &reason);
         }
         let now = self.state.clock.now();
-        if self.state.change(|table| table.announce(now, announcement)) {
+        if self
+            .state
+            .change(|table| table.record_heartbeat(now, announcement))
+        {
             let event = match standing {
                 Standing::Draining => Event::MemberDraining,
                 _ => Event::MemberJoined,
@@ -231,7 +234,7 @@
             Err(report) => return plain(StatusCode::BAD_REQUEST, &report.to_string()),
         };
         let now = self.state.clock.now();
-        if self.state.change(|table| table.leave(now, &id)) {
+        if self.state.change(|table| table.record_goodbye(now, &id)) {
             self.state
                 .journal
                 .record(Event::MemberRemoved, &id, "good-bye");
@@ -245,7 +248,7 @@
     /// every connected gateway, within what the server waits.
     async fn spread(&self) {
         let cursor = self.state.cursor();
-        let everywhere = |s: &State| s.pollers.lock().has_place(s.clock.now(), cursor);
+        let everywhere = |s: &State| s.pollers.lock().has_revision(s.clock.now(), cursor);
         if !self.state.wait(IN_FORCE, everywhere).await {
             let detail = "a gateway lags behind";
             let journal = &self.state.journal;
@@ -287,23 +290,23 @@
     }
 
     fn rank(&self, body: &[u8]) -> Option<Answer> {
-        let word: RankWord = read(body)?;
+        let word: RankUpdate = read(body)?;
         self.state.take_word(word);
-        Some(rpc::answer(&Taken {}))
+        Some(rpc::answer(&RankAck {}))
     }
 
     fn metrics(&self) -> Answer {
         let state = &self.state;
         let mut text = state.journal.ring().exposition();
         let now = state.clock.now();
-        let gateways = state.pollers.lock().gateways(now);
+        let gateways = state.pollers.lock().gateway_count(now);
         let version = state.voter.version();
         text.push_str(&format!("snipemast_gateways {gateways}\n"));
         text.push_str(&format!("snipemast_configuration_version {version}\n"));
         let (vote, voters) = state.voter.votes();
         text.push_str(&format!("snipemast_vote {}\n", u8::from(vote)));
         text.push_str(&format!("snipemast_voters {voters}\n"));
-        for (server, count) in state.grants.lock().granted() {
+        for (server, count) in state.grants.lock().granted_counts() {
             let line = format!("snipemast_grants_total{{server=\"{server}\"}} {count}\n");
             text.push_str(&line);
         }
--- a/crates/controller/src/spread.rs
+++ b/crates/controller/src/spread.rs
@@ -6,7 +6,7 @@
 use snipemast_core::prelude::*;
 use snipemast_feed::Sink;
 use snipemast_net::exec::pause;
-use snipemast_registry::news::Raw;
+use snipemast_registry::news::RawDocument;
 use snipemast_registry::{Cursor, News, Poll, PollerKind};
 
 use crate::state::State;
@@ -17,7 +17,7 @@
 
 /// Answers a poll, as soon as there is news or its wait is over.
 pub(crate) async fn answer(state: &State, poll: Poll) -> News {
-    if state.pollers.lock().note(state.clock.now(), &poll) {
+    if state.pollers.lock().record(state.clock.now(), &poll) {
         state.announce();
     }
     state.take_limits(&poll.host, &poll.demands);
@@ -26,12 +26,12 @@
     let now = state.clock.now();
     let cursor = state.cursor();
     let after = match (poll.kind, poll.cursor.epoch == state.epoch) {
-        (PollerKind::Gateway | PollerKind::Sidecar, true) => poll.cursor.place,
+        (PollerKind::Gateway | PollerKind::Sidecar, true) => poll.cursor.revision,
         // Controllers learn of every heartbeat, so that none takes a server for silent.
         _ => 0,
     };
     let version = state.voter.version();
-    let document = (poll.wanted && version > poll.version)
+    let document = (poll.wants_document && version > poll.version)
         .then(|| state.voter.document())
         .flatten();
     let grants = match poll.kind {
@@ -40,22 +40,22 @@
     };
     let pollers = state.pollers.lock();
     let (flying, age) = match poll.kind {
-        PollerKind::Gateway => pollers.flying(now, &poll.host),
+        PollerKind::Gateway => pollers.in_flight(now, &poll.host),
         PollerKind::Controller | PollerKind::Sidecar => Default::default(),
     };
     News {
         cursor,
         entries: state.table.lock().since(after, now),
         version,
-        document: document.map(|d| Raw(d.text)),
+        document: document.map(|d| RawDocument(d.text)),
         zone: state.settings.zone.clone(),
         controllers: state.controllers(),
         leader: state.voter.leader().map(|(address, _)| address),
-        gateways: pollers.gateways(now),
-        slow: pollers.slow(now),
-        still: pollers.still(now),
+        gateways: pollers.gateway_count(now),
+        slow: pollers.slow_servers(now),
+        silent: pollers.silent_servers(now),
         grants,
-        flying,
+        in_flight: flying,
         age,
     }
 }
@@ -64,9 +64,9 @@
     let cursor = state.cursor();
     let version = state.voter.version();
     poll.cursor.epoch != cursor.epoch
-        || poll.cursor.place < cursor.place
+        || poll.cursor.revision < cursor.revision
         || version > poll.told
-        || (poll.wanted && version > poll.version)
+        || (poll.wants_document && version > poll.version)
 }
 
 /// Learns from the other controllers.
@@ -101,7 +101,7 @@
         self.cursors.lock().insert(controller, news.cursor);
         let now = self.state.clock.now();
         self.state.change(|table| {
-            let place = table.place();
+            let place = table.revision();
             for entry in news.entries {
                 let (id, standing) = (entry.announcement.id.clone(), entry.standing);
                 if table.merge_standing(now, entry) {
@@ -112,7 +112,7 @@
                     );
                 }
             }
-            table.place() > place
+            table.revision() > place
         });
     }
 
--- a/crates/controller/src/state.rs
+++ b/crates/controller/src/state.rs
@@ -10,8 +10,10 @@
 use snipemast_net::exec::{pause, spawn};
 use snipemast_net::BootClock;
 use snipemast_platform::settings::Settings;
-use snipemast_registry::limit::note_of_change;
-use snipemast_registry::{Cursor, Demand, Grant, Grants, LeavingServer, Pollers, RankWord, Table};
+use snipemast_registry::limit::limit_change_event;
+use snipemast_registry::{
+    Cursor, Demand, Grant, Grants, LeavingServer, Pollers, RankUpdate, Table,
+};
 
 use crate::strangers::Strangers;
 use crate::voter::Voter;
@@ -30,7 +32,7 @@
     /// The servers that are known.
     pub(crate) table: Mutex<Table>,
     /// What processes beside ranks told, until it is entered into the table.
-    pub(crate) words: Mutex<Vec<RankWord>>,
+    pub(crate) words: Mutex<Vec<RankUpdate>>,
     /// Who sent announcements that are ignored.
     pub(crate) strangers: Strangers,
     /// Who polls.
@@ -48,7 +50,7 @@
     pub(crate) fn cursor(&self) -> Cursor {
         Cursor {
             epoch: self.epoch,
-            place: self.table.lock().place(),
+            revision: self.table.lock().revision(),
         }
     }
 
@@ -70,7 +72,7 @@
     ///
     /// Load answered: all ranks of a group tell at once that it has stalled or formed. Entered one by one, each
     /// of them would be an answer of its own to every gateway.
-    pub(crate) fn take_word(self: &Arc<Self>, word: RankWord) {
+    pub(crate) fn take_word(self: &Arc<Self>, word: RankUpdate) {
         const GATHERED: Span = Span::from_millis(20);
         let mut words = self.words.lock();
         words.push(word);
@@ -91,7 +93,7 @@
         self.change(|table| {
             let mut changed = false;
             for word in words {
-                changed |= table.note_rank(now, word);
+                changed |= table.record_rank(now, word);
             }
             changed
         });
@@ -106,12 +108,12 @@
         self.change(|table| {
             let mut changed = false;
             for Demand { server, limit, .. } in demands {
-                let word = limit.word(now);
+                let word = limit.to_update(now);
                 let before = table.limit(server);
-                if table.note_limit(server, word) {
+                if table.record_limit(server, word) {
                     changed = true;
                     let source = format_args!("told by {host}");
-                    let (event, detail) = note_of_change(before, word.rate, source);
+                    let (event, detail) = limit_change_event(before, word.rate, source);
                     self.journal.record(event, server, detail);
                 }
             }
--- a/crates/entry/src/admit/tell.rs
+++ b/crates/entry/src/admit/tell.rs
@@ -48,7 +48,7 @@
         }
     }
     // Only a zone buries its own entries: one that is merely cut off keeps its part.
-    let buried = |_, node: &gossip::Node| node.table().tombs().keys().cloned().collect();
+    let buried = |_, node: &gossip::Node| node.table().tombstones().keys().cloned().collect();
     let gone: Vec<HostId> = shared.gossip.look(buried).unwrap_or_default();
     for host in gone {
         shared.admission.forget(&host);
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -79,7 +79,7 @@
     /// The values that entries published, by source.
     pub fn values(&self, topic: Topic) -> Vec<(ProcessId, Vec<u8>)> {
         let read = |_, node: &Node| {
-            let values = node.riders().values(topic);
+            let values = node.piggyback().values(topic);
             values.map(|(s, v)| (s.clone(), v.to_vec())).collect()
         };
         self.look(read).unwrap_or_default()
@@ -198,7 +198,7 @@
                 Some(packet) => Input::Answered(token, Box::new(packet)),
                 None => {
                     peer.retire();
-                    Input::Missed(token)
+                    Input::TimedOut(token)
                 }
             };
             shared.gossip.handle(&shared, input);
@@ -218,7 +218,7 @@
     }
 
     fn wake(&self) -> Span {
-        let left = self.look(|now, node| now.until(node.wake()));
+        let left = self.look(|now, node| now.until(node.next_tick()));
         left.unwrap_or(LOADS).min(LOADS)
     }
 }
@@ -248,7 +248,7 @@
             let _ = gossip.woken.1.recv().await;
         };
         sleep.or(woken).await;
-        let due = gossip.look(|now, node| now >= node.wake());
+        let due = gossip.look(|now, node| now >= node.next_tick());
         if due == Some(true) {
             gossip.handle(&shared, Input::Tick);
         }
--- a/crates/entry/src/own.rs
+++ b/crates/entry/src/own.rs
@@ -5,7 +5,7 @@
 use trillium::{async_trait, Conn, Handler, Status};
 
 use snipemast_core::prelude::*;
-use snipemast_membership::timeline::{Page, PageAsk};
+use snipemast_membership::timeline::{Page, PageRequest};
 use snipemast_membership::{AgentMessage, Packet};
 use snipemast_requests::KeeperAsk;
 use snipemast_wire::config::PatchAsk;
@@ -90,7 +90,7 @@
     }
 
     async fn page(&self, mut conn: Conn) -> Conn {
-        let Some(ask) = unpacked::<PageAsk>(&mut conn).await else {
+        let Some(ask) = unpacked::<PageRequest>(&mut conn).await else {
             return malformed(conn);
         };
         let page = Page::answer(self.shared.journal.ring(), &ask);
--- a/crates/entry/src/timeline.rs
+++ b/crates/entry/src/timeline.rs
@@ -10,7 +10,7 @@
 use snipemast_callers::problem::{Problem, ProblemKind};
 use snipemast_config::Role;
 use snipemast_core::prelude::*;
-use snipemast_membership::timeline::{Merge, Missing, Next, Page, PageAsk, MAX_PAGE};
+use snipemast_membership::timeline::{Merge, Missing, Next, Page, PageRequest, MAX_PAGE_RECORDS};
 use snipemast_membership::Node;
 use snipemast_operators::authorize;
 use snipemast_operators::timeline::{Asked, Timeline, PATH};
@@ -121,9 +121,9 @@
     let needed: Vec<_> = merge.needed().collect();
     let mut asking = Vec::new();
     for (place, after) in needed {
-        let ask = PageAsk {
+        let ask = PageRequest {
             after: after.max(since),
-            limit: MAX_PAGE,
+            limit: MAX_PAGE_RECORDS,
             about: asked.request.clone(),
         };
         match &sources[place].peer {
@@ -144,7 +144,7 @@
     reached
 }
 
-async fn fetch(peer: Arc<Peer>, ask: PageAsk) -> Option<Page> {
+async fn fetch(peer: Arc<Peer>, ask: PageRequest) -> Option<Page> {
     let packed: Packed = peer
         .call_fresh(gossip::path::PAGE, &Packed::new(&ask), TIMEOUT)
         .await
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -381,9 +381,9 @@
             return;
         }
         self.work(index, |process, now| match &mut process.role {
-            Some(Role::Entry(node)) => Done::Entry(node.handle(now, Input::Missed(token))),
+            Some(Role::Entry(node)) => Done::Entry(node.handle(now, Input::TimedOut(token))),
             Some(Role::Agent(agent)) => {
-                Done::Agent(agent.handle(now, AnnounceInput::Missed(token)))
+                Done::Agent(agent.handle(now, AnnounceInput::TimedOut(token)))
             }
             None => Done::Nothing,
         });
@@ -565,8 +565,8 @@
     fn schedule(&mut self, index: Index) {
         let process = &self.processes[index];
         let due = match &process.role {
-            Some(Role::Entry(node)) => node.wake(),
-            Some(Role::Agent(agent)) => agent.wake(),
+            Some(Role::Entry(node)) => node.next_tick(),
+            Some(Role::Agent(agent)) => agent.next_tick(),
             None => return,
         };
         if due == Moment::NEVER || self.wakes.get(&index).is_some_and(|at| *at <= due) {
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -6,9 +6,9 @@
 use snipemast_placement::allowances::Granted;
 use snipemast_placement::Choice;
 use snipemast_platform::response::Limit;
-use snipemast_registry::grants::lease;
-use snipemast_registry::limit::note_of_change;
-use snipemast_registry::{Demand, Grant, LimitEntry, LimitWord, Table};
+use snipemast_registry::grants::grant_lease;
+use snipemast_registry::limit::limit_change_event;
+use snipemast_registry::{Demand, Grant, LimitEntry, LimitUpdate, Table};
 
 use crate::send::Job;
 use crate::state::State;
@@ -34,7 +34,7 @@
         };
         let (state, server) = (&self.state, &choice.server);
         let now = state.clock.now();
-        let word = LimitWord {
+        let word = LimitUpdate {
             start: choice.start,
             rate,
             sent,
@@ -42,7 +42,7 @@
         };
         let mut registry = state.registry.lock();
         let before = registry.limit(server);
-        if !registry.note_limit(server, word) {
+        if !registry.record_limit(server, word) {
             return;
         }
         let limits = limits(&registry);
@@ -65,7 +65,7 @@
     pub(crate) fn demands(&self) -> Vec<Demand> {
         let now = self.clock.now();
         let registry = self.registry.lock();
-        let told = |word: &LimitWord| word.rate.is_some() || now < word.seen + TOLD;
+        let told = |word: &LimitUpdate| word.rate.is_some() || now < word.seen + TOLD;
         let limits = registry.limits().filter(|(_, word)| told(word));
         let mut demands: Vec<Demand> = limits
             .map(|(server, word)| Demand {
@@ -95,7 +95,7 @@
             let granted = Granted {
                 count: grant.count,
                 due: grant.due,
-                until: asked + lease(rate),
+                until: asked + grant_lease(rate),
             };
             Some((grant.server, granted))
         });
@@ -115,7 +115,7 @@
         rate: Option<Rate>,
         source: impl fmt::Display,
     ) {
-        let (event, detail) = note_of_change(before, rate, source);
+        let (event, detail) = limit_change_event(before, rate, source);
         self.journal.record(event, server, detail);
     }
 }
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -13,8 +13,10 @@
 use snipemast_placement::outage::Word;
 use snipemast_placement::pools::{Pools, Told};
 use snipemast_platform::document;
-use snipemast_registry::source::{Source, HANDED_OUT};
-use snipemast_registry::{Cursor, Known, News, Poll, PollerKind, Standing, Table as Registry};
+use snipemast_registry::source::{Source, FETCH_TIMEOUT};
+use snipemast_registry::{
+    Cursor, KnownServer, News, Poll, PollerKind, Standing, Table as Registry,
+};
 use snipemast_routes::Table as Routes;
 
 use crate::frozen;
@@ -93,8 +95,8 @@
         let flying = flying.map(|(server, count)| (server.clone(), count));
         Poll {
             wait: self.counts_wait(),
-            flying: flying.collect(),
-            still: servers.still().cloned().collect(),
+            in_flight: flying.collect(),
+            silent: servers.still().cloned().collect(),
             demands,
             leaving,
             ..poll
@@ -147,14 +149,14 @@
         let mut registry = self.state.registry.lock();
         for entry in news.entries.drain(..) {
             let (id, standing) = (entry.announcement.id.clone(), entry.standing);
-            let (before, left) = (registry.limit(&id), registry.leaving(&id));
+            let (before, left) = (registry.limit(&id), registry.leaving_since(&id));
             let changed = registry.merge_standing(now, entry);
             let limit = registry.limit(&id);
             if limit != before {
                 let source = format_args!("told by {controller}");
                 self.state.log_limit(&id, before, limit, source);
             }
-            if left.is_none() && registry.leaving(&id).is_some() {
+            if left.is_none() && registry.leaving_since(&id).is_some() {
                 let detail = format_args!("told by {controller}");
                 self.state.journal.record(Event::LeavingTold, &id, detail);
             }
@@ -181,7 +183,7 @@
                 address: k.announcement.address,
                 zone: k.announcement.zone.clone(),
                 slots: k.announcement.slots,
-                leaving: registry.leaving(&k.announcement.id),
+                leaving: registry.leaving_since(&k.announcement.id),
             })
         });
         let offered = offered.collect();
@@ -199,7 +201,7 @@
 }
 
 /// What is told of a server's place in a group.
-fn told(registry: &Registry, known: &Known) -> Told {
+fn told(registry: &Registry, known: &KnownServer) -> Told {
     Told {
         server: known.announcement.id.clone(),
         service: known.announcement.service.clone(),
@@ -218,7 +220,7 @@
         let poll = Poll {
             version,
             told: entry.told,
-            wanted,
+            wants_document: wanted,
             cursor: entry.cursor,
             wait: OTHER_WAIT,
             ..Poll::new(self.state.settings.host.clone(), PollerKind::Gateway)
@@ -241,13 +243,13 @@
         let mut known = self.known.lock();
         if news.leader == Some(controller) {
             known.leader = news.leader;
-            let counts = news.flying.into_iter();
+            let counts = news.in_flight.into_iter();
             let slow = news.slow.into_iter().map(|s| (s.server, s.pace));
             let mut servers = self.state.servers.lock();
             servers.set_others(now, news.age, counts);
             servers.set_slow(slow.collect());
             drop(servers);
-            frozen::check(&self.state, &news.still);
+            frozen::check(&self.state, &news.silent);
             if let Some(grants) = news.grants {
                 let entry = known.controllers.entry(controller).or_default();
                 self.state.take_grants(entry.polled, grants);
@@ -272,10 +274,10 @@
             if !lags() {
                 return;
             }
-            futures_lite::future::or(applied, pause(HANDED_OUT)).await;
+            futures_lite::future::or(applied, pause(FETCH_TIMEOUT)).await;
             let mut known = self.known.lock();
             let late = self.state.version() < known.told(controller);
-            if late && known.source.asks(self.state.clock.now()) {
+            if late && known.source.try_ask(self.state.clock.now()) {
                 known.want(controller);
                 return;
             }
--- a/crates/gateway/src/rests.rs
+++ b/crates/gateway/src/rests.rs
@@ -62,7 +62,7 @@
         let news = state
             .registry
             .lock()
-            .note_leaving(now, server, choice.start);
+            .record_leaving(now, server, choice.start);
         if news {
             let mut servers = state.servers.lock();
             servers.note_leaving(now, server, choice.start);
@@ -77,6 +77,6 @@
     /// What the leader is told of servers that leave.
     pub(crate) fn unspread_leaving(&self) -> Vec<LeavingServer> {
         let now = self.clock.now();
-        self.registry.lock().unspread_leaving(now)
+        self.registry.lock().unreported_leaving(now)
     }
 }
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -4,7 +4,7 @@
 use snipemast_core::prelude::*;
 use snipemast_placement::allowances::Granted;
 use snipemast_placement::Allowances;
-use snipemast_registry::grants::lease;
+use snipemast_registry::grants::grant_lease;
 use snipemast_registry::{Demand, Grant, Grants, LimitEntry};
 
 const STEP: Span = Span::from_millis(10);
@@ -110,7 +110,7 @@
             return;
         }
         let granted = grants.into_iter().map(|grant| {
-            let until = asked + lease(rate);
+            let until = asked + grant_lease(rate);
             let Grant { count, due, .. } = grant;
             (grant.server, Granted { count, due, until })
         });
--- a/crates/membership/src/announcer.rs
+++ b/crates/membership/src/announcer.rs
@@ -34,22 +34,22 @@
 #[derive(Debug, Clone)]
 pub struct AnnounceTuning {
     /// How many entries hold a lease at once.
-    pub copies: usize,
+    pub lease_count: usize,
     /// How often each lease is renewed.
-    pub renew: Span,
+    pub renew_interval: Span,
     /// How long an entry may take to answer.
     pub timeout: Span,
     /// How long an entry that failed is not chosen again.
-    pub avoid: Span,
+    pub failure_backoff: Span,
 }
 
 impl Default for AnnounceTuning {
     fn default() -> Self {
         Self {
-            copies: 2,
-            renew: Span::from_secs(1),
+            lease_count: 2,
+            renew_interval: Span::from_secs(1),
             timeout: Span::from_millis(400),
-            avoid: Span::from_secs(5),
+            failure_backoff: Span::from_secs(5),
         }
     }
 }
@@ -57,12 +57,12 @@
 /// What an announcer is told.
 #[derive(Debug, Clone)]
 pub enum AnnounceInput {
-    /// Time has passed; see [`Announcer::wake`].
+    /// Time has passed; see [`Announcer::next_tick`].
     Tick,
     /// An entry answered.
     Answered(Token, LeaseReply),
     /// An entry gave no answer in time.
-    Missed(Token),
+    TimedOut(Token),
     /// The agent refuses new dispatches from now on.
     Drain,
     /// The backend server offers something else.
@@ -76,7 +76,7 @@
 /// What an announcer wants done.
 #[derive(Debug, Clone)]
 pub enum AnnounceOutput {
-    /// Tell an entry; answer with [`AnnounceInput::Answered`] or [`AnnounceInput::Missed`].
+    /// Tell an entry; answer with [`AnnounceInput::Answered`] or [`AnnounceInput::TimedOut`].
     Send {
         /// The call.
         token: Token,
@@ -135,7 +135,7 @@
         seed: u64,
     ) -> Self {
         let mut dice = StdRng::seed_from_u64(seed);
-        let retry = now + part(tuning.renew, 0.2 * dice.random::<f64>());
+        let retry = now + part(tuning.renew_interval, 0.2 * dice.random::<f64>());
         Self {
             card,
             load: Load::default(),
@@ -159,7 +159,7 @@
         match input {
             AnnounceInput::Tick => self.tick(now),
             AnnounceInput::Answered(token, reply) => self.answered(now, token, reply),
-            AnnounceInput::Missed(token) => self.missed(now, token),
+            AnnounceInput::TimedOut(token) => self.missed(now, token),
             AnnounceInput::Drain => {
                 self.card.draining = true;
                 self.tell_news(now);
@@ -177,13 +177,13 @@
     }
 
     /// When the next [`AnnounceInput::Tick`] is due.
-    pub fn wake(&self) -> Moment {
+    pub fn next_tick(&self) -> Moment {
         if self.ended {
             return Moment::NEVER;
         }
         let ready = self.homes.iter().filter(|h| !h.waiting).map(|h| h.due);
         let first = ready.min().unwrap_or(Moment::NEVER);
-        if self.homes.len() < self.tuning.copies {
+        if self.homes.len() < self.tuning.lease_count {
             first.min(self.retry)
         } else {
             first
@@ -205,7 +205,7 @@
         if self.ended {
             return;
         }
-        if self.homes.len() < self.tuning.copies && now >= self.retry {
+        if self.homes.len() < self.tuning.lease_count && now >= self.retry {
             self.find_homes(now);
         }
         for index in 0..self.homes.len() {
@@ -221,9 +221,13 @@
     /// again and again. It shows as a burst that keeps the entries from coming up. The pause
     /// doubles up to a bound, and each agent waits a random part of it.
     fn find_homes(&mut self, now: Moment) {
-        while self.homes.len() < self.tuning.copies {
+        while self.homes.len() < self.tuning.lease_count {
             let Some(address) = self.candidate(now) else {
-                self.pause = self.pause.times(2).max(self.tuning.renew).min(MAX_PAUSE);
+                self.pause = self
+                    .pause
+                    .times(2)
+                    .max(self.tuning.renew_interval)
+                    .min(MAX_PAUSE);
                 let share = 0.5 + 0.5 * self.dice.random::<f64>();
                 self.retry = now + part(self.pause, share);
                 return;
@@ -272,7 +276,11 @@
             }
         };
         home.waiting = true;
-        home.due = now + part(self.tuning.renew, 0.9 + 0.2 * self.dice.random::<f64>());
+        home.due = now
+            + part(
+                self.tuning.renew_interval,
+                0.9 + 0.2 * self.dice.random::<f64>(),
+            );
         let to = home.address;
         self.send(to, message);
     }
@@ -351,7 +359,7 @@
     fn abandon(&mut self, now: Moment, index: usize) {
         let home = self.homes.remove(index);
         let share = 0.8 + 0.4 * self.dice.random::<f64>();
-        let until = now + part(self.tuning.avoid, share);
+        let until = now + part(self.tuning.failure_backoff, share);
         self.avoided.insert(home.address, until);
         self.retry = now;
     }
--- a/crates/membership/src/exchange.rs
+++ b/crates/membership/src/exchange.rs
@@ -99,7 +99,7 @@
     /// Compares again with the next round: rows still differ.
     fn compare_soon(&mut self, now: Moment) {
         let soon = now + Span::from_millis(500);
-        self.compared = soon - self.tuning.compare;
+        self.compared = soon - self.tuning.compare_interval;
     }
 
     fn go_on_joining(&mut self, now: Moment, address: SocketAddr, next: Option<HostId>) {
@@ -125,14 +125,14 @@
     pub(crate) fn send_round(&mut self, now: Moment, peer: &NodeCard) {
         let mut packet = self.news_for(now, peer, None);
         packet.sum = self.quiet_sum(now);
-        let mut budget = self.tuning.budget / 4;
+        let mut budget = self.tuning.news_budget / 4;
         if peer.zone == self.me.zone {
             packet.loads = self.loads.pick(now, 2, &mut budget);
         } else {
             let zones = (&self.me.zone, &peer.zone);
             packet.pools = self.loads.pick_pools(now, &self.table, zones, &mut budget);
         }
-        if now.since(self.compared) >= self.tuning.compare {
+        if now.since(self.compared) >= self.tuning.compare_interval {
             self.compared = now;
             packet.ask = Ask::Compare(self.sums());
         }
@@ -210,7 +210,7 @@
         let near = peer.zone == self.me.zone;
         let mut budget = self.allowance(now);
         let whole = budget;
-        let repeats = self.tuning.repeats;
+        let repeats = self.tuning.retransmits;
         let picked = self
             .spread
             .pick(&self.table, Hearer { near, said }, repeats, &mut budget);
@@ -228,13 +228,13 @@
     /// everything else for minutes. It shows as crashes that take long to be known. News goes out
     /// at a bounded rate, most pressing first, and what does not fit is found by comparing.
     pub(crate) fn allowance(&mut self, now: Moment) -> usize {
-        let earned = now.since(self.refilled).as_micros() * self.tuning.rate / 1_000_000;
+        let earned = now.since(self.refilled).as_micros() * self.tuning.news_rate / 1_000_000;
         if earned > 0 {
             self.refilled = now;
             self.spent = self.spent.saturating_sub(earned);
         }
-        let left = (self.tuning.rate * 4).saturating_sub(self.spent);
-        self.tuning.budget.min(left as usize)
+        let left = (self.tuning.news_rate * 4).saturating_sub(self.spent);
+        self.tuning.news_budget.min(left as usize)
     }
 
     fn take_packet(&mut self, now: Moment, packet: &Packet) -> Wanted {
@@ -381,7 +381,7 @@
 
     /// The verdict that a peer missed which still has a row of an entry that is gone.
     fn tomb_verdict(&self, mark: &Mark) -> Option<Verdict> {
-        let tomb = self.table.tombs().get(&mark.host)?;
+        let tomb = self.table.tombstones().get(&mark.host)?;
         if (mark.incarnation, mark.version) > (tomb.incarnation, tomb.version) {
             return None;
         }
--- a/crates/membership/src/judge.rs
+++ b/crates/membership/src/judge.rs
@@ -210,7 +210,7 @@
     /// shows as an entry that forgets the agents it could still reach. Who gets no answer from
     /// more than half of its zone nor from any other zone gives no verdict.
     fn is_isolated(&self, now: Moment, suspects: usize, near: usize) -> bool {
-        let recent = self.tuning.cross.times(4);
+        let recent = self.tuning.cross_interval.times(4);
         suspects * 2 > near && !self.zones.any_answers(now, recent)
     }
 
@@ -219,7 +219,8 @@
             Standing::Alive => false,
             Standing::Suspect { by, since } => {
                 let factor = 1 << row.refuted.min(MAX_DOUBLINGS);
-                by.len() >= needed && now.since(*since) >= self.tuning.patience.times(factor)
+                by.len() >= needed
+                    && now.since(*since) >= self.tuning.suspicion_timeout.times(factor)
             }
         })
     }
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -26,14 +26,14 @@
 /// What an entry's membership is told.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// Time has passed; see [`Node::wake`].
+    /// Time has passed; see [`Node::next_tick`].
     Tick,
     /// Another entry began an exchange.
     Asked(Box<Packet>),
     /// An exchange was answered.
     Answered(Token, Box<Packet>),
     /// An exchange got no answer in time.
-    Missed(Token),
+    TimedOut(Token),
     /// An agent spoke.
     Agent(AgentMessage),
     /// This process is on its way out.
@@ -47,7 +47,7 @@
 /// What an entry's membership wants done.
 #[derive(Debug, Clone)]
 pub enum Output {
-    /// Begin an exchange; answer with [`Input::Answered`] or [`Input::Missed`].
+    /// Begin an exchange; answer with [`Input::Answered`] or [`Input::TimedOut`].
     Send {
         /// The exchange.
         token: Token,
@@ -149,12 +149,12 @@
         table.insert(me.clone());
         let mut first = |span: Span| now + part(span, dice.random::<f64>());
         let due = Due {
-            watch: first(tuning.watch),
-            gossip: first(tuning.gossip),
-            cross: first(tuning.cross),
+            watch: first(tuning.probe_interval),
+            gossip: first(tuning.gossip_interval),
+            cross: first(tuning.cross_interval),
             doubt: now,
             seeds: now,
-            sweep: first(tuning.sweep),
+            sweep: first(tuning.sweep_interval),
             burst: Moment::NEVER,
         };
         let leases = Leases::new(tuning.lease);
@@ -193,7 +193,7 @@
             Input::Tick => self.tick(now),
             Input::Asked(packet) => self.asked(now, &packet),
             Input::Answered(token, packet) => self.answered(now, token, &packet),
-            Input::Missed(token) => self.missed(now, token),
+            Input::TimedOut(token) => self.missed(now, token),
             Input::Agent(message) => self.agent(now, message),
             Input::Drain => self.drain(now),
             Input::Leave => self.leave(now),
@@ -203,7 +203,7 @@
     }
 
     /// When the next [`Input::Tick`] is due.
-    pub fn wake(&self) -> Moment {
+    pub fn next_tick(&self) -> Moment {
         let due = &self.due;
         let rounds = due.watch.min(due.gossip).min(due.cross).min(due.doubt);
         rounds.min(due.seeds).min(due.sweep).min(due.burst)
@@ -225,7 +225,7 @@
     }
 
     /// The values that other packages published.
-    pub fn riders(&self) -> &Riders {
+    pub fn piggyback(&self) -> &Riders {
         &self.riders
     }
 
@@ -278,7 +278,7 @@
         let tuning = self.tuning.clone();
         if now >= due.sweep {
             self.sweep(now);
-            self.due.sweep = now + tuning.sweep;
+            self.due.sweep = now + tuning.sweep_interval;
         }
         if now >= due.burst {
             self.burst(now);
@@ -292,15 +292,15 @@
         }
         if now >= due.watch {
             self.watch(now);
-            self.due.watch = now + self.jitter(tuning.watch);
+            self.due.watch = now + self.jitter(tuning.probe_interval);
         }
         if now >= due.gossip {
             self.gossip(now);
-            self.due.gossip = now + self.jitter(tuning.gossip);
+            self.due.gossip = now + self.jitter(tuning.gossip_interval);
         }
         if now >= due.cross {
             self.cross(now);
-            self.due.cross = now + self.jitter(tuning.cross);
+            self.due.cross = now + self.jitter(tuning.cross_interval);
         }
         if now >= due.doubt {
             self.doubt(now);
@@ -323,7 +323,7 @@
     /// It shows as a burst of suspicions and dropped agents, all from one host. What was begun
     /// before it ran again proves nothing, so those misses don't count and leases are lengthened.
     fn note_stall(&mut self, now: Moment) {
-        let stall = now.since(self.wake());
+        let stall = now.since(self.next_tick());
         if stall >= self.tuning.timeout {
             self.leases.extend(stall);
             self.resumed = now;
@@ -338,9 +338,11 @@
         }
         self.judge_suspects(now);
         self.riders.expire(now);
-        self.loads.expire(now, self.tuning.remember);
-        let lost = self.zones.forget(now, self.tuning.remember);
-        let touched = self.table.forget(now, self.tuning.tombs, &lost);
+        self.loads.expire(now, self.tuning.zone_retention);
+        let lost = self.zones.forget(now, self.tuning.zone_retention);
+        let touched = self
+            .table
+            .forget(now, self.tuning.tombstone_retention, &lost);
         self.note_changed(touched);
     }
 
@@ -375,7 +377,7 @@
 
     /// Whether the rate of news is used up and nothing that waits is pressing.
     fn is_spent(&mut self, now: Moment) -> bool {
-        self.allowance(now) < self.tuning.budget / 4 && !self.spread.is_pressing()
+        self.allowance(now) < self.tuning.news_budget / 4 && !self.spread.is_pressing()
     }
 
     /// A few random entries of the zone, and at least one of another zone.
@@ -448,7 +450,7 @@
         let pause = if hurried {
             Span::from_secs(1)
         } else {
-            self.tuning.seeds
+            self.tuning.seed_interval
         };
         self.due.seeds = now + self.jitter(pause);
         let known: BTreeSet<_> = self.table.rows().values().map(|r| r.card.address).collect();
--- a/crates/membership/src/owned.rs
+++ b/crates/membership/src/owned.rs
@@ -84,7 +84,7 @@
     }
 
     /// The version at which an agent was last written, and whether it was put or removed then.
-    pub fn written(&self, host: &HostId) -> Option<(u64, bool)> {
+    pub fn last_write(&self, host: &HostId) -> Option<(u64, bool)> {
         let put = self.cards.get(host).map(|(at, _)| (*at, true));
         put.or_else(|| self.gone.get(host).map(|at| (*at, false)))
     }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -120,7 +120,7 @@
     }
 
     /// The entries that are gone.
-    pub fn tombs(&self) -> &BTreeMap<HostId, Tomb> {
+    pub fn tombstones(&self) -> &BTreeMap<HostId, Tomb> {
         &self.tombs
     }
 
--- a/crates/membership/src/timeline.rs
+++ b/crates/membership/src/timeline.rs
@@ -12,7 +12,7 @@
 
 data! {
     /// Asks a process for a page of its events.
-    pub struct PageAsk {
+    pub struct PageRequest {
         /// Only events after this one.
         pub after: Stamp,
         /// At most this many.
@@ -35,12 +35,12 @@
 }
 
 /// The most records of one page.
-pub const MAX_PAGE: u32 = 512;
+pub const MAX_PAGE_RECORDS: u32 = 512;
 
 impl Page {
     /// The page of a ring that was asked for.
-    pub fn answer(ring: &Ring, ask: &PageAsk) -> Self {
-        let limit = ask.limit.clamp(1, MAX_PAGE) as usize;
+    pub fn answer(ring: &Ring, ask: &PageRequest) -> Self {
+        let limit = ask.limit.clamp(1, MAX_PAGE_RECORDS) as usize;
         let (records, more) = ring.page(ask.after, limit, ask.about.as_deref());
         Self {
             process: ring.process().clone(),
--- a/crates/membership/tests/announcer.rs
+++ b/crates/membership/tests/announcer.rs
@@ -42,7 +42,7 @@
             sent.push(*message);
             let input = match &reply {
                 Some(reply) => AnnounceInput::Answered(token, reply.clone()),
-                None => AnnounceInput::Missed(token),
+                None => AnnounceInput::TimedOut(token),
             };
             announcer.handle(now, input);
         }
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -312,8 +312,8 @@
 #[test]
 fn halves_meet() {
     let mut small = Small::start_with(6, 6, 16, |fleet| {
-        fleet.tuning.remember = Span::from_secs(20);
-        fleet.tuning.tombs = Span::from_secs(30);
+        fleet.tuning.zone_retention = Span::from_secs(20);
+        fleet.tuning.tombstone_retention = Span::from_secs(30);
     });
     let away = Side::Zone(id("cumbaya"));
     for other in ["pichincha", "machachi"] {
@@ -351,12 +351,12 @@
         small.run_secs(3);
     }
     for (_, node) in small.fleet.entries() {
-        let values: Vec<_> = node.riders().values(Topic::Suspicion).collect();
+        let values: Vec<_> = node.piggyback().values(Topic::Suspicion).collect();
         assert_eq!(values.len(), 1);
         assert_eq!(values[0].1, [2]);
     }
     small.run_secs(70);
     for (_, node) in small.fleet.entries() {
-        assert_eq!(node.riders().values(Topic::Suspicion).count(), 0);
+        assert_eq!(node.piggyback().values(Topic::Suspicion).count(), 0);
     }
 }
--- a/crates/membership/tests/merging.rs
+++ b/crates/membership/tests/merging.rs
@@ -136,7 +136,7 @@
 /// Everything that a table knows, as pieces.
 fn pieces_of(table: &Table) -> Vec<Piece> {
     let rows = table.rows().keys().filter_map(|h| table.since(h, 0));
-    let tombs = table.tombs().iter().map(|(host, tomb)| {
+    let tombs = table.tombstones().iter().map(|(host, tomb)| {
         Piece::Verdict(Verdict {
             process: ProcessId::new(host.clone(), tomb.incarnation),
             zone: tomb.zone.clone(),
--- a/crates/registry/src/grants.rs
+++ b/crates/registry/src/grants.rs
@@ -5,7 +5,7 @@
 //! ask for them, and a grant is used within a short time or lost.
 //!
 //! Whoever leads grants no more than a server's limit since it began to lead, and what another leader
-//! granted before ends within its [`lease`]. So a server gets in any span `t` at most what its limit allows in
+//! granted before ends within its [`grant_lease`]. So a server gets in any span `t` at most what its limit allows in
 //! `t` and a lease, and one account's savings, whoever leads when.
 
 use std::collections::HashMap;
@@ -17,7 +17,7 @@
 
 /// How long a grant may be used after its gateway asked: two of the longest pauses between polls, and the time in which
 /// the limit allows one more, as a gateway with few requests has none to send at once.
-pub fn lease(rate: Rate) -> Span {
+pub fn grant_lease(rate: Rate) -> Span {
     const POLLS: u64 = 1_000;
     const LONGEST: u64 = 4_000;
     let one = 1_000_000 / rate.as_millis().max(1);
@@ -110,7 +110,7 @@
     }
 
     /// How many requests were granted for each server that names a limit now.
-    pub fn granted(&self) -> impl Iterator<Item = (&ServerId, u64)> {
+    pub fn granted_counts(&self) -> impl Iterator<Item = (&ServerId, u64)> {
         self.accounts
             .iter()
             .map(|(id, account)| (id, account.granted))
--- a/crates/registry/src/limit.rs
+++ b/crates/registry/src/limit.rs
@@ -22,7 +22,7 @@
 
 impl LimitEntry {
     /// A word as it is passed on at a moment.
-    pub fn new(word: &LimitWord, now: Moment) -> Self {
+    pub fn new(word: &LimitUpdate, now: Moment) -> Self {
         Self {
             start: word.start,
             rate: word.rate,
@@ -32,8 +32,8 @@
     }
 
     /// The word, received at a moment.
-    pub fn word(&self, now: Moment) -> LimitWord {
-        LimitWord {
+    pub fn to_update(&self, now: Moment) -> LimitUpdate {
+        LimitUpdate {
             start: self.start,
             rate: self.rate,
             sent: now - self.sent,
@@ -44,7 +44,7 @@
 
 /// What one answer of a server tells of its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LimitWord {
+pub struct LimitUpdate {
     /// Which start of the server answered.
     pub start: Incarnation,
     /// The limit; nothing where the answer names none.
@@ -55,7 +55,7 @@
     pub seen: Moment,
 }
 
-impl LimitWord {
+impl LimitUpdate {
     /// Whether it tells another limit than a word of the same start, and takes its place.
     ///
     /// Failure guarded against: an answer that was begun before the server named a limit comes after the one that
@@ -87,14 +87,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct KnownLimit {
     /// What was told last.
-    pub(crate) word: LimitWord,
+    pub(crate) word: LimitUpdate,
     /// Whether this start has named a limit at all.
     pub(crate) named: bool,
 }
 
 impl KnownLimit {
     /// What the first word of a start tells.
-    pub(crate) fn new(word: LimitWord) -> Self {
+    pub(crate) fn new(word: LimitUpdate) -> Self {
         Self {
             word,
             named: word.rate.is_some(),
@@ -102,7 +102,7 @@
     }
 
     /// Takes one more word of the same start; true where the limit is another one by it.
-    pub(crate) fn take(&mut self, word: LimitWord) -> bool {
+    pub(crate) fn take(&mut self, word: LimitUpdate) -> bool {
         let news = word.replaces(&self.word);
         if news {
             self.word = word;
@@ -115,7 +115,7 @@
 }
 
 /// The log's line on a limit that is another one now, and where that was learnt.
-pub fn note_of_change(
+pub fn limit_change_event(
     before: Option<Rate>,
     rate: Option<Rate>,
     source: impl fmt::Display,
--- a/crates/registry/src/news.rs
+++ b/crates/registry/src/news.rs
@@ -29,7 +29,8 @@
         /// Drawn by the controller's process when it starts.
         pub epoch: u64,
         /// The place.
-        pub place: u64,
+        #[serde(rename = "place")]
+        pub revision: u64,
     }
 
     /// Who polls.
@@ -44,7 +45,7 @@
     }
 
     /// A server that takes longer than usual.
-    pub struct Slow {
+    pub struct SlowServer {
         /// The server.
         pub server: ServerId,
         /// How much longer, in hundredths of the usual time.
@@ -62,19 +63,22 @@
         /// The highest version that it was told of by this controller.
         pub told: Version,
         /// Whether the answer is to carry the document, if there is a newer one.
-        pub wanted: bool,
+        #[serde(rename = "wanted")]
+        pub wants_document: bool,
         /// What it has of the controller's table.
         pub cursor: Cursor,
         /// How long the answer may wait for news.
         pub wait: Span,
         /// Its own requests in flight, where this controller adds them up.
-        pub flying: Flying,
+        #[serde(rename = "flying")]
+        pub in_flight: Flying,
         /// The slow servers of its group, where it leads one.
-        pub slow: Vec<Slow>,
+        pub slow: Vec<SlowServer>,
         /// What it knows of servers' limits and would send there, where this controller grants that.
         pub demands: Vec<Demand>,
         /// Servers that answer it nothing, where this controller leads.
-        pub still: Vec<ServerId>,
+        #[serde(rename = "still")]
+        pub silent: Vec<ServerId>,
         /// Servers that told it that they leave, where this controller leads and hasn't told of them.
         pub leaving: Vec<LeavingServer>,
     }
@@ -88,7 +92,7 @@
         /// The highest committed version that this controller knows.
         pub version: Version,
         /// The document of that version, as its operator sent it.
-        pub document: Option<Raw>,
+        pub document: Option<RawDocument>,
         /// The controller's availability zone.
         pub zone: ZoneId,
         /// Where all controllers take polls.
@@ -98,19 +102,21 @@
         /// How many gateways poll.
         pub gateways: u32,
         /// The requests in flight of all other gateways.
-        pub flying: Flying,
+        #[serde(rename = "flying")]
+        pub in_flight: Flying,
         /// How long ago those gateways told of them, in the mean.
         pub age: Span,
         /// The slow servers of all groups.
-        pub slow: Vec<Slow>,
+        pub slow: Vec<SlowServer>,
         /// Servers that answer some gateway nothing.
-        pub still: Vec<ServerId>,
+        #[serde(rename = "still")]
+        pub silent: Vec<ServerId>,
         /// What the asker may send to servers that name limits; nothing where this controller can't tell.
         pub grants: Option<Vec<Grant>>,
     }
 
     /// A document's text.
-    pub struct Raw(#[serde(with = "serde_bytes")] pub Vec<u8>);
+    pub struct RawDocument(#[serde(with = "serde_bytes")] pub Vec<u8>);
 }
 
 impl Poll {
@@ -121,13 +127,13 @@
             kind,
             version: Version(0),
             told: Version(0),
-            wanted: false,
+            wants_document: false,
             cursor: Cursor::default(),
             wait: Span::default(),
-            flying: Flying::new(),
+            in_flight: Flying::new(),
             slow: Vec::new(),
             demands: Vec::new(),
-            still: Vec::new(),
+            silent: Vec::new(),
             leaving: Vec::new(),
         }
     }
--- a/crates/registry/src/pollers.rs
+++ b/crates/registry/src/pollers.rs
@@ -4,7 +4,7 @@
 
 use snipemast_core::prelude::*;
 
-use crate::news::{Cursor, Flying, Poll, PollerKind, Slow};
+use crate::news::{Cursor, Flying, Poll, PollerKind, SlowServer};
 
 /// How long after its last poll a poller counts as connected: its longest wait and some round
 /// trips, below the time after which the platform's rules expect a host in reach to know.
@@ -26,7 +26,7 @@
     cursor: Cursor,
     last: Moment,
     flying: Flying,
-    slow: Vec<Slow>,
+    slow: Vec<SlowServer>,
     still: Vec<ServerId>,
 }
 
@@ -37,22 +37,22 @@
     /// Load answered: whoever waits until all gateways have something is woken by this alone. Woken by
     /// every poll, with 350 hosts that poll four times a second, 350 waiting answers would be looked
     /// at half a million times a second.
-    pub fn note(&mut self, now: Moment, poll: &Poll) -> bool {
+    pub fn record(&mut self, now: Moment, poll: &Poll) -> bool {
         let poller = Poller {
             kind: poll.kind,
             version: poll.version,
             cursor: poll.cursor,
             last: now,
-            flying: poll.flying.clone(),
+            flying: poll.in_flight.clone(),
             slow: poll.slow.clone(),
-            still: poll.still.clone(),
+            still: poll.silent.clone(),
         };
         let before = self.known.insert(poll.host.clone(), poller);
         before.is_none_or(|b| b.version != poll.version || b.cursor != poll.cursor)
     }
 
     /// How many gateways are connected.
-    pub fn gateways(&self, now: Moment) -> u32 {
+    pub fn gateway_count(&self, now: Moment) -> u32 {
         self.connected(now).count() as u32
     }
 
@@ -62,13 +62,13 @@
     }
 
     /// Whether every connected gateway has the table up to this place.
-    pub fn has_place(&self, now: Moment, cursor: Cursor) -> bool {
-        let has = |c: Cursor| c.epoch == cursor.epoch && c.place >= cursor.place;
+    pub fn has_revision(&self, now: Moment, cursor: Cursor) -> bool {
+        let has = |c: Cursor| c.epoch == cursor.epoch && c.revision >= cursor.revision;
         self.connected(now).all(|p| has(p.cursor))
     }
 
     /// The requests in flight of all gateways but one, and how long ago those told of them, in the mean.
-    pub fn flying(&self, now: Moment, but: &HostId) -> (Flying, Span) {
+    pub fn in_flight(&self, now: Moment, but: &HostId) -> (Flying, Span) {
         let mut sums = Flying::new();
         let (mut ages, mut told) = (0, 0);
         let fresh = |p: &Poller| p.kind == PollerKind::Gateway && now < p.last + FLYING;
@@ -91,13 +91,13 @@
     }
 
     /// The slow servers that leads of groups told of.
-    pub fn slow(&self, now: Moment) -> Vec<Slow> {
+    pub fn slow_servers(&self, now: Moment) -> Vec<SlowServer> {
         let fresh = self.known.values().filter(|p| now < p.last + CONNECTED);
         fresh.flat_map(|p| p.slow.iter().cloned()).collect()
     }
 
     /// The servers that answer some gateway nothing.
-    pub fn still(&self, now: Moment) -> Vec<ServerId> {
+    pub fn silent_servers(&self, now: Moment) -> Vec<ServerId> {
         let told = self.connected(now).flat_map(|p| &p.still);
         let told: BTreeSet<&ServerId> = told.collect();
         told.into_iter().cloned().collect()
--- a/crates/registry/src/source.rs
+++ b/crates/registry/src/source.rs
@@ -8,7 +8,7 @@
 
 /// How long the controller of the own availability zone, and then each other one that is asked, may take to hand out
 /// a configuration: twice what a large one takes, and a fifth of the shortest time within which one must be in force.
-pub const HANDED_OUT: Span = Span::from_millis(400);
+pub const FETCH_TIMEOUT: Span = Span::from_millis(400);
 
 /// Who was asked for a configuration besides the controller of the own availability zone.
 #[derive(Debug, Default)]
@@ -18,8 +18,8 @@
 
 impl Source {
     /// Whether another controller is asked now; one at a time.
-    pub fn asks(&mut self, now: Moment) -> bool {
-        let due = self.asked.is_none_or(|asked| now >= asked + HANDED_OUT);
+    pub fn try_ask(&mut self, now: Moment) -> bool {
+        let due = self.asked.is_none_or(|asked| now >= asked + FETCH_TIMEOUT);
         if due {
             self.asked = Some(now);
         }
--- a/crates/registry/src/table.rs
+++ b/crates/registry/src/table.rs
@@ -13,8 +13,8 @@
 
 use crate::announcement::{Announcement, Standing};
 use crate::leaving::{LeavingServer, LeavingServers};
-use crate::limit::{KnownLimit, LimitEntry, LimitWord};
-use crate::rank::{GroupRank, KnownRank, RankEntry, RankWord};
+use crate::limit::{KnownLimit, LimitEntry, LimitUpdate};
+use crate::rank::{GroupRank, KnownRank, RankEntry, RankUpdate};
 
 /// How long a server that is not heard any more is kept: past any cut between it and control
 /// that gateways don't share, so that only their own failures take it out of use. No heartbeat is as late
@@ -44,7 +44,7 @@
 
 /// What a table holds of a server.
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct KnownServer {
     /// Its last heartbeat.
     pub announcement: Announcement,
     /// Its standing.
@@ -58,7 +58,7 @@
 /// The servers that are known.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
-    servers: HashMap<ServerId, Known>,
+    servers: HashMap<ServerId, KnownServer>,
     holders: HashMap<SocketAddr, ServerId>,
     ranks: HashMap<SocketAddr, KnownRank>,
     /// What answers told last of servers' limits.
@@ -66,7 +66,7 @@
     leaving: LeavingServers,
     /// When servers said good-bye here last: it may be for a start that is not known here yet.
     departed: HashMap<ServerId, Moment>,
-    place: u64,
+    revision: u64,
 }
 
 impl Table {
@@ -76,7 +76,7 @@
     }
 
     /// Takes a heartbeat; true where it changed more than the time.
-    pub fn announce(&mut self, now: Moment, announcement: Announcement) -> bool {
+    pub fn record_heartbeat(&mut self, now: Moment, announcement: Announcement) -> bool {
         let standing = announcement.standing();
         self.take(now, announcement, standing)
     }
@@ -85,7 +85,7 @@
     ///
     /// A good-bye names no start. It is taken for the latest that is known, and remembered: the server may
     /// have been heard by other controllers only, or have started again since it was heard here.
-    pub fn leave(&mut self, now: Moment, id: &ServerId) -> bool {
+    pub fn record_goodbye(&mut self, now: Moment, id: &ServerId) -> bool {
         self.departed.insert(id.clone(), now);
         match self.servers.get(id) {
             Some(known) if known.standing != Standing::Gone => {
@@ -102,16 +102,16 @@
         let told = entry.rank.map(|r| (now - r.age, r.word));
         let (id, start) = (entry.announcement.id.clone(), entry.announcement.start);
         let changed = self.take(heard, entry.announcement, entry.standing);
-        let ranked = told.is_some_and(|(at, word)| self.note_rank(at, word));
-        let limit = entry.limit.map(|limit| limit.word(now));
-        let limited = limit.is_some_and(|word| self.note_limit(&id, word));
+        let ranked = told.is_some_and(|(at, word)| self.record_rank(at, word));
+        let limit = entry.limit.map(|limit| limit.to_update(now));
+        let limited = limit.is_some_and(|word| self.record_limit(&id, word));
         let leaving = entry.leaving.map(|age| now - age);
         let leaves = leaving.is_some_and(|first| self.put_leaving(first, &id, start, true));
         changed || ranked || limited || leaves
     }
 
     /// Takes an answer's word that a start of a server leaves, whatever it announces; true where that is news.
-    pub fn note_leaving(&mut self, now: Moment, id: &ServerId, start: Incarnation) -> bool {
+    pub fn record_leaving(&mut self, now: Moment, id: &ServerId, start: Incarnation) -> bool {
         self.put_leaving(now, id, start, false)
     }
 
@@ -121,13 +121,13 @@
     }
 
     /// When the latest start of a server said first that it leaves; nothing where it did not.
-    pub fn leaving(&self, id: &ServerId) -> Option<Moment> {
+    pub fn leaving_since(&self, id: &ServerId) -> Option<Moment> {
         let start = self.servers.get(id)?.announcement.start;
         self.leaving.first(id, start)
     }
 
     /// The servers on offer that leave, as far as no controller is known to have heard of it.
-    pub fn unspread_leaving(&self, now: Moment) -> Vec<LeavingServer> {
+    pub fn unreported_leaving(&self, now: Moment) -> Vec<LeavingServer> {
         let offered = |leaving: &LeavingServer| {
             let known = self.servers.get(&leaving.server);
             known.is_some_and(|k| {
@@ -149,8 +149,8 @@
         }
         let known = self.servers.get_mut(id);
         if let Some(known) = known.filter(|k| k.announcement.start == start) {
-            self.place += 1;
-            known.changed = self.place;
+            self.revision += 1;
+            known.changed = self.revision;
         }
         true
     }
@@ -159,32 +159,32 @@
     ///
     /// The word that was told last holds, whatever group it names: a rank may move to a group whose epochs are
     /// lower. Of one process the words are numbered, and one that was long on its way is outdated. It is kept by address, because it may come before the first heartbeat of the server's start.
-    pub fn note_rank(&mut self, told: Moment, word: RankWord) -> bool {
+    pub fn record_rank(&mut self, told: Moment, word: RankUpdate) -> bool {
         let address = word.address;
         let before = self.ranks.get(&address);
         if before.is_some_and(|known| !known.yields_to(&word, told)) {
             return false;
         }
-        let changed = before.is_none_or(|known| !known.word.agrees(&word));
+        let changed = before.is_none_or(|known| !known.word.has_same_rank(&word));
         self.ranks.insert(address, KnownRank { word, told });
         let holder = self.holders.get(&address);
         let Some(known) = holder.and_then(|id| self.servers.get_mut(id)) else {
             return false;
         };
         if changed {
-            self.place += 1;
-            known.changed = self.place;
+            self.revision += 1;
+            known.changed = self.revision;
         }
         changed
     }
 
     /// The place of a server in its group, where that is known.
-    pub fn rank(&self, known: &Known) -> Option<&GroupRank> {
+    pub fn rank(&self, known: &KnownServer) -> Option<&GroupRank> {
         self.known_rank(known)?.word.rank.as_ref()
     }
 
     /// Takes what an answer of a server tells of its limit; true where it is news.
-    pub fn note_limit(&mut self, id: &ServerId, word: LimitWord) -> bool {
+    pub fn record_limit(&mut self, id: &ServerId, word: LimitUpdate) -> bool {
         let Some(known) = self.servers.get_mut(id) else {
             return false;
         };
@@ -199,8 +199,8 @@
             }
         };
         if changed {
-            self.place += 1;
-            known.changed = self.place;
+            self.revision += 1;
+            known.changed = self.revision;
         }
         changed
     }
@@ -211,7 +211,7 @@
     }
 
     /// What was told of the limits of all servers that have named one since they started.
-    pub fn limits(&self) -> impl Iterator<Item = (&ServerId, &LimitWord)> {
+    pub fn limits(&self) -> impl Iterator<Item = (&ServerId, &LimitUpdate)> {
         let latest = |id: &ServerId| self.servers.get(id).map(|k| k.announcement.start);
         let limits = self.limits.iter();
         let named = limits.filter(move |(id, start, l)| l.named && latest(id) == Some(*start));
@@ -219,14 +219,14 @@
     }
 
     /// What was told of the limit of a server that has named one since it started.
-    fn limit_word(&self, known: &Known) -> Option<&LimitWord> {
+    fn limit_word(&self, known: &KnownServer) -> Option<&LimitUpdate> {
         let Announcement { id, start, .. } = &known.announcement;
         let limit = self.limits.get(id, *start).filter(|limit| limit.named);
         limit.map(|limit| &limit.word)
     }
 
     /// What was told of the start of a server that holds its address.
-    fn known_rank(&self, known: &Known) -> Option<&KnownRank> {
+    fn known_rank(&self, known: &KnownServer) -> Option<&KnownRank> {
         let said = &known.announcement;
         let holds = self.holders.get(&said.address) == Some(&said.id);
         let told = self.ranks.get(&said.address).filter(|_| holds)?;
@@ -236,24 +236,24 @@
     /// What changed after a place, as another table takes it.
     pub fn since(&self, place: u64, now: Moment) -> Vec<Entry> {
         let known = self.servers.values().filter(|k| k.changed > place);
-        let mut known: Vec<&Known> = known.collect();
+        let mut known: Vec<&KnownServer> = known.collect();
         // Later holders of an address come last, so that they win where they are merged.
         known.sort_unstable_by_key(|k| k.heard);
         known.into_iter().map(|k| self.to_entry(k, now)).collect()
     }
 
     /// The place of the last change.
-    pub fn place(&self) -> u64 {
-        self.place
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
     /// Every server that is known.
-    pub fn iter(&self) -> impl Iterator<Item = &Known> {
+    pub fn iter(&self) -> impl Iterator<Item = &KnownServer> {
         self.servers.values()
     }
 
     /// One server.
-    pub fn get(&self, id: &ServerId) -> Option<&Known> {
+    pub fn get(&self, id: &ServerId) -> Option<&KnownServer> {
         self.servers.get(id)
     }
 
@@ -275,16 +275,16 @@
     ///
     /// Only a table that hears heartbeats, or hears of each one, may call this.
     pub fn expire(&mut self, now: Moment) -> bool {
-        let place = self.place;
+        let place = self.revision;
         for known in self.servers.values_mut() {
             if known.standing == Standing::Ready && now >= known.heard + SILENCE {
-                self.place += 1;
+                self.revision += 1;
                 known.standing = Standing::Lost;
-                known.changed = self.place;
+                known.changed = self.revision;
             }
         }
         self.forget(now);
-        self.place > place
+        self.revision > place
     }
 
     /// Forgets servers that left or were lost long ago.
@@ -304,7 +304,7 @@
         self.ranks.retain(|_, rank| !past(rank.told));
     }
 
-    fn to_entry(&self, known: &Known, now: Moment) -> Entry {
+    fn to_entry(&self, known: &KnownServer, now: Moment) -> Entry {
         let rank = self.known_rank(known);
         Entry {
             announcement: known.announcement.clone(),
@@ -318,7 +318,7 @@
                 .limit_word(known)
                 .map(|word| LimitEntry::new(word, now)),
             leaving: self
-                .leaving(&known.announcement.id)
+                .leaving_since(&known.announcement.id)
                 .map(|first| now.since(first)),
         }
     }
@@ -369,13 +369,13 @@
     }
 
     fn put(&mut self, heard: Moment, announcement: Announcement, standing: Standing) -> bool {
-        self.place += 1;
+        self.revision += 1;
         let (id, address) = (announcement.id.clone(), announcement.address);
-        let known = Known {
+        let known = KnownServer {
             announcement,
             standing,
             heard,
-            changed: self.place,
+            changed: self.revision,
         };
         self.servers.insert(id.clone(), known);
         if matches!(standing, Standing::Ready | Standing::Draining) {
@@ -406,8 +406,8 @@
             (other, id)
         };
         self.holders.insert(address, winner);
-        self.place += 1;
-        let place = self.place;
+        self.revision += 1;
+        let place = self.revision;
         if let Some(known) = self.servers.get_mut(&loser) {
             if known.standing < Standing::Lost {
                 known.standing = Standing::Lost;
@@ -468,7 +468,7 @@
     }
 }
 
-impl Known {
+impl KnownServer {
     fn word(&self) -> Word {
         Word {
             start: self.announcement.start,
--- a/crates/registry/tests/pollers.rs
+++ b/crates/registry/tests/pollers.rs
@@ -9,8 +9,11 @@
     Poll {
         version: Version(version),
         told: Version(version),
-        wanted: true,
-        cursor: Cursor { epoch: 1, place },
+        wants_document: true,
+        cursor: Cursor {
+            epoch: 1,
+            revision: place,
+        },
         wait: Span::from_millis(250),
         ..Poll::new(host, PollerKind::Gateway)
     }
@@ -21,7 +24,7 @@
 #[test]
 fn only_news_wakes() {
     let mut pollers = Pollers::default();
-    let mut note = |at, poll| pollers.note(Moment::from_millis(at), &poll);
+    let mut note = |at, poll| pollers.record(Moment::from_millis(at), &poll);
     assert!(note(0, poll(1, 5)));
     assert!(!note(250, poll(1, 5)));
     assert!(note(500, poll(2, 5)));
@@ -34,9 +37,9 @@
 fn version_everywhere() {
     let mut pollers = Pollers::default();
     let now = Moment::from_millis(100);
-    pollers.note(now, &poll(1, 5));
+    pollers.record(now, &poll(1, 5));
     assert!(!pollers.has_version(now, Version(2)));
-    assert!(pollers.note(now, &poll(2, 5)));
+    assert!(pollers.record(now, &poll(2, 5)));
     assert!(pollers.has_version(now, Version(2)));
 }
 
@@ -47,15 +50,15 @@
     let mut pollers = Pollers::default();
     let now = Moment::from_millis(100);
     let servers = (0..198).map(|n| ServerId::new(format!("i-{n:010x}")).expect("a server's name"));
-    let flying: Flying = servers.map(|server| (server, 7)).collect();
+    let in_flight: Flying = servers.map(|server| (server, 7)).collect();
     let with_counts = Poll {
-        flying,
+        in_flight,
         ..poll(1, 5)
     };
-    pollers.note(now, &with_counts);
+    pollers.record(now, &with_counts);
     let other = HostId::new("host-12").expect("a host's name");
     let later = now + Span::from_millis(200);
-    let (told, age) = pollers.flying(later, &other);
+    let (told, age) = pollers.in_flight(later, &other);
     assert_eq!(age, Span::from_millis(200));
     assert_eq!(told.values().sum::<u32>(), 198 * 7);
     let bytes = rmp_serde::to_vec_named(&told)
--- a/crates/registry/tests/ranks.rs
+++ b/crates/registry/tests/ranks.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use snipemast_core::prelude::*;
-use snipemast_registry::rank::{GroupRank, RankWord};
+use snipemast_registry::rank::{GroupRank, RankUpdate};
 use snipemast_registry::{Announcement, Table};
 
 fn at(millis: u64) -> Moment {
@@ -27,9 +27,9 @@
     }
 }
 
-fn word(group: &str, start: u64, epoch: u64, number: u64) -> RankWord {
-    RankWord {
-        teller: 9,
+fn word(group: &str, start: u64, epoch: u64, number: u64) -> RankUpdate {
+    RankUpdate {
+        sender: 9,
         number,
         address: address(),
         start: Incarnation(start),
@@ -53,17 +53,17 @@
 #[test]
 fn last_word_holds() {
     let mut table = Table::new();
-    table.announce(at(0), heartbeat("i-1", 0, 1));
-    assert!(table.note_rank(at(10), word("g0", 0, 7, 1)));
+    table.record_heartbeat(at(0), heartbeat("i-1", 0, 1));
+    assert!(table.record_rank(at(10), word("g0", 0, 7, 1)));
     let before = table.since(0, at(20));
-    assert!(!table.note_rank(at(30), word("g0", 0, 7, 2)));
-    assert!(table.note_rank(at(40), word("g1", 0, 2, 3)));
-    let place = table.place();
+    assert!(!table.record_rank(at(30), word("g0", 0, 7, 2)));
+    assert!(table.record_rank(at(40), word("g1", 0, 2, 3)));
+    let place = table.revision();
     for entry in before {
         table.merge(at(50), entry);
     }
     assert_eq!(
-        (group(&table, "i-1").as_deref(), table.place()),
+        (group(&table, "i-1").as_deref(), table.revision()),
         (Some("g1"), place)
     );
     let mut other = Table::new();
@@ -78,14 +78,14 @@
 #[test]
 fn place_of_one_start() {
     let mut table = Table::new();
-    assert!(!table.note_rank(at(0), word("g0", 1, 1, 4)));
-    table.announce(at(10), heartbeat("i-1", 1, 1));
+    assert!(!table.record_rank(at(0), word("g0", 1, 1, 4)));
+    table.record_heartbeat(at(10), heartbeat("i-1", 1, 1));
     assert_eq!(group(&table, "i-1").as_deref(), Some("g0"));
-    table.announce(at(20), heartbeat("i-1", 2, 1));
+    table.record_heartbeat(at(20), heartbeat("i-1", 2, 1));
     assert_eq!(group(&table, "i-1"), None);
-    table.note_rank(at(30), word("g0", 2, 2, 5));
+    table.record_rank(at(30), word("g0", 2, 2, 5));
     assert_eq!(group(&table, "i-1").as_deref(), Some("g0"));
-    table.announce(at(40), heartbeat("i-2", 3, 1));
+    table.record_heartbeat(at(40), heartbeat("i-2", 3, 1));
     assert_eq!(group(&table, "i-1"), None);
 }
 
@@ -93,19 +93,19 @@
 #[test]
 fn changes_are_news() {
     let mut table = Table::new();
-    table.announce(at(0), heartbeat("i-1", 0, 1));
-    let place = table.place();
-    table.note_rank(at(10), word("g0", 0, 1, 6));
+    table.record_heartbeat(at(0), heartbeat("i-1", 0, 1));
+    let place = table.revision();
+    table.record_rank(at(10), word("g0", 0, 1, 6));
     let news = table.since(place, at(20));
     assert_eq!(news.len(), 1);
     assert!(news[0].rank.is_some());
-    let place = table.place();
-    table.note_rank(at(30), word("g0", 0, 1, 7));
+    let place = table.revision();
+    table.record_rank(at(30), word("g0", 0, 1, 7));
     assert!(table.since(place, at(40)).is_empty());
-    let gone = RankWord {
+    let gone = RankUpdate {
         rank: None,
         ..word("g0", 0, 1, 8)
     };
-    assert!(table.note_rank(at(50), gone));
+    assert!(table.record_rank(at(50), gone));
     assert_eq!(group(&table, "i-1"), None);
 }
--- a/crates/registry/tests/restarts.rs
+++ b/crates/registry/tests/restarts.rs
@@ -55,10 +55,10 @@
 fn counts_begin_anew() {
     let mut table = Table::new();
     for sequence in 1..40 {
-        table.announce(at(sequence * 1_200), heartbeat(1_000, sequence, false));
+        table.record_heartbeat(at(sequence * 1_200), heartbeat(1_000, sequence, false));
     }
-    assert!(table.announce(at(60_000), heartbeat(53_000, 1, false)));
-    table.announce(at(61_200), heartbeat(53_000, 2, false));
+    assert!(table.record_heartbeat(at(60_000), heartbeat(53_000, 1, false)));
+    table.record_heartbeat(at(61_200), heartbeat(53_000, 2, false));
     table.expire(at(80_000));
     assert_eq!(standing(&table), Some(Standing::Ready));
     let known = table.get(&id()).expect("it is known");
@@ -69,13 +69,13 @@
 #[test]
 fn leaving_ends_with_the_start() {
     let mut table = Table::new();
-    table.announce(at(0), heartbeat(1_000, 5, true));
+    table.record_heartbeat(at(0), heartbeat(1_000, 5, true));
     assert_eq!(standing(&table), Some(Standing::Draining));
-    table.announce(at(3_000), heartbeat(4_000, 1, false));
+    table.record_heartbeat(at(3_000), heartbeat(4_000, 1, false));
     assert_eq!(standing(&table), Some(Standing::Ready));
-    table.leave(at(5_000), &id());
+    table.record_goodbye(at(5_000), &id());
     assert_eq!(standing(&table), Some(Standing::Gone));
-    table.announce(at(9_000), heartbeat(9_500, 1, false));
+    table.record_heartbeat(at(9_000), heartbeat(9_500, 1, false));
     assert_eq!(standing(&table), Some(Standing::Ready));
 }
 
@@ -84,8 +84,8 @@
 #[test]
 fn earlier_start_outdated() {
     let mut table = Table::new();
-    table.announce(at(0), heartbeat(2_000, 1, false));
-    assert!(!table.announce(at(500), heartbeat(1_000, 90, true)));
+    table.record_heartbeat(at(0), heartbeat(2_000, 1, false));
+    assert!(!table.record_heartbeat(at(500), heartbeat(1_000, 90, true)));
     assert_eq!(standing(&table), Some(Standing::Ready));
     let known = table.get(&id()).expect("it is known");
     assert_eq!((known.announcement.sequence, known.heard), (1, at(0)));
@@ -96,9 +96,9 @@
 #[test]
 fn farewell_of_unknown_start() {
     let (mut cut, mut other) = (Table::new(), Table::new());
-    cut.announce(at(0), heartbeat(1_000, 9, false));
-    other.announce(at(4_000), heartbeat(3_000, 1, false));
-    cut.leave(at(6_000), &id());
+    cut.record_heartbeat(at(0), heartbeat(1_000, 9, false));
+    other.record_heartbeat(at(4_000), heartbeat(3_000, 1, false));
+    cut.record_goodbye(at(6_000), &id());
     exchange(at(6_500), &mut cut, &mut other);
     assert_eq!(standing(&cut), Some(Standing::Gone));
     assert_eq!(standing(&other), Some(Standing::Gone));
@@ -109,11 +109,11 @@
 #[test]
 fn crossed_farewell_outlived() {
     let mut table = Table::new();
-    table.announce(at(0), heartbeat(1_000, 9, false));
-    table.announce(at(3_000), heartbeat(3_000, 1, false));
-    table.leave(at(3_500), &id());
+    table.record_heartbeat(at(0), heartbeat(1_000, 9, false));
+    table.record_heartbeat(at(3_000), heartbeat(3_000, 1, false));
+    table.record_goodbye(at(3_500), &id());
     for sequence in 2..40 {
-        table.announce(
+        table.record_heartbeat(
             at(3_000 + sequence * 1_200),
             heartbeat(3_000, sequence, false),
         );
@@ -125,9 +125,9 @@
 #[test]
 fn late_heartbeat_ignored() {
     let mut table = Table::new();
-    table.announce(at(0), heartbeat(1_000, 9, false));
-    table.leave(at(1_000), &id());
-    assert!(!table.announce(at(9_000), heartbeat(1_000, 10, false)));
+    table.record_heartbeat(at(0), heartbeat(1_000, 9, false));
+    table.record_goodbye(at(1_000), &id());
+    assert!(!table.record_heartbeat(at(9_000), heartbeat(1_000, 10, false)));
     assert_eq!(standing(&table), Some(Standing::Gone));
 }
 
@@ -136,11 +136,11 @@
 #[test]
 fn clock_set_back() {
     let (mut table, mut other) = (Table::new(), Table::new());
-    table.announce(at(0), heartbeat(9_000, 3, false));
+    table.record_heartbeat(at(0), heartbeat(9_000, 3, false));
     exchange(at(10), &mut table, &mut other);
     let later = at(SILENCE.as_millis() + 2_000);
-    table.announce(at(2_000), heartbeat(7_000, 1, false));
-    assert!(table.announce(later, heartbeat(7_000, 25, false)));
+    table.record_heartbeat(at(2_000), heartbeat(7_000, 1, false));
+    assert!(table.record_heartbeat(later, heartbeat(7_000, 25, false)));
     exchange(later + Span::from_millis(5), &mut table, &mut other);
     for table in [&table, &other] {
         let known = table.get(&id()).expect("it is known");
@@ -155,15 +155,15 @@
 fn address_of_later_start() {
     let mut table = Table::new();
     let other = ServerId::new("i-2").expect("an id");
-    table.announce(at(0), heartbeat(1_000, 1, false));
-    table.announce(
+    table.record_heartbeat(at(0), heartbeat(1_000, 1, false));
+    table.record_heartbeat(
         at(5_000),
         Announcement {
             id: other.clone(),
             ..heartbeat(4_000, 1, false)
         },
     );
-    table.announce(at(6_000), heartbeat(1_000, 2, false));
+    table.record_heartbeat(at(6_000), heartbeat(1_000, 2, false));
     assert_eq!(standing(&table), Some(Standing::Lost));
     assert_eq!(table.get(&other).map(|k| k.standing), Some(Standing::Ready));
 }
@@ -196,7 +196,7 @@
         for (said, first) in &said {
             now = now + Span::from_millis(20);
             let table = if *first { &mut a } else { &mut b };
-            table.announce(now, heartbeat(said.start, said.sequence, said.draining));
+            table.record_heartbeat(now, heartbeat(said.start, said.sequence, said.draining));
             if between.next().unwrap_or(false) {
                 exchange(now, &mut a, &mut b);
             }
@@ -220,11 +220,11 @@
         for (said, first) in &said {
             now = now + Span::from_millis(20);
             let table = if *first { &mut a } else { &mut b };
-            table.announce(now, heartbeat(said.start, said.sequence, said.draining));
+            table.record_heartbeat(now, heartbeat(said.start, said.sequence, said.draining));
         }
         let table = if at_first { &mut a } else { &mut b };
         now = now + Span::from_millis(20);
-        table.leave(now, &id());
+        table.record_goodbye(now, &id());
         exchange(now, &mut a, &mut b);
         let gone = |table: &Table| standing(table).is_none_or(|s| s == Standing::Gone);
         gone(&a) && gone(&b)
--- a/crates/sidecar/src/news.rs
+++ b/crates/sidecar/src/news.rs
@@ -12,8 +12,8 @@
 use snipemast_net::BootClock;
 use snipemast_platform::document;
 use snipemast_platform::settings::Settings;
-use snipemast_registry::news::Slow;
-use snipemast_registry::{Cursor, Known, News, Poll, PollerKind, Standing, Table};
+use snipemast_registry::news::SlowServer;
+use snipemast_registry::{Cursor, KnownServer, News, Poll, PollerKind, Standing, Table};
 use snipemast_routes::Engine;
 
 /// How long a poll waits for news: gateways are to learn of a slow rank within a second.
@@ -64,7 +64,7 @@
     pub(crate) fn ranks(&self) -> Vec<SocketAddr> {
         let known = self.known.lock();
         let alive = known.table.iter().filter(|k| k.standing < Standing::Lost);
-        let own = |k: &&Known| {
+        let own = |k: &&KnownServer| {
             let rank = known.table.rank(k);
             rank.is_some_and(|rank| rank.group == self.group)
         };
@@ -109,12 +109,12 @@
 
 impl Learnt {
     /// The slow servers, by the hosts that they run on.
-    fn slow_servers(&self) -> Vec<Slow> {
+    fn slow_servers(&self) -> Vec<SlowServer> {
         let servers = self.table.iter().filter(|k| k.standing < Standing::Lost);
         let paced = servers.filter_map(|k| {
             let ip = k.announcement.address.ip();
             let (_, pace) = self.slow.iter().find(|(at, _)| at.ip() == ip)?;
-            Some(Slow {
+            Some(SlowServer {
                 server: k.announcement.id.clone(),
                 pace: *pace,
             })
@@ -135,7 +135,7 @@
         Poll {
             version,
             told: version,
-            wanted,
+            wants_document: wanted,
             cursor: known.cursors.get(&controller).copied().unwrap_or_default(),
             wait: WAIT,
             slow: known.slow_servers(),
--- a/crates/sidecar/src/teller.rs
+++ b/crates/sidecar/src/teller.rs
@@ -12,8 +12,8 @@
 use snipemast_net::exec::pause;
 use snipemast_net::{BootClock, RpcClient};
 use snipemast_platform::settings::Settings;
-use snipemast_registry::rank::{Taken, PATH, REFRESH};
-use snipemast_registry::{GroupRank, RankWord};
+use snipemast_registry::rank::{RankAck, PATH, REFRESH_INTERVAL};
+use snipemast_registry::{GroupRank, RankUpdate};
 
 use crate::rank::Rank;
 
@@ -34,7 +34,7 @@
     client: Option<RpcClient>,
     /// How many controllers were tried.
     tried: usize,
-    told: Option<RankWord>,
+    told: Option<RankUpdate>,
     /// Told apart from the words of an earlier start of this process.
     teller: u64,
     /// Counts the words.
@@ -66,7 +66,7 @@
         loop {
             if let Some(word) = self.word().await {
                 let now = self.clock.now();
-                let due = !self.is_told(&word) || now >= self.at + REFRESH;
+                let due = !self.is_told(&word) || now >= self.at + REFRESH_INTERVAL;
                 if due && self.tell(&word).await {
                     self.note(&word);
                     (self.told, self.at) = (Some(word), now);
@@ -77,7 +77,7 @@
     }
 
     /// What there is to tell; nothing where the rank does not answer.
-    async fn word(&mut self) -> Option<RankWord> {
+    async fn word(&mut self) -> Option<RankUpdate> {
         self.number += 1;
         let report = self.rank.report().await?;
         let (now, working) = (self.clock.now(), report.requests > 0);
@@ -88,17 +88,17 @@
             place: rank.rank as u32,
             size: rank.size as u32,
         });
-        Some(RankWord {
+        Some(RankUpdate {
             address: self.rank.address(),
             start: report.start,
             rank,
-            teller: self.teller,
+            sender: self.teller,
             number: self.number,
         })
     }
 
     /// Whether a controller took a word; another one is tried next where this one did not.
-    async fn tell(&mut self, word: &RankWord) -> bool {
+    async fn tell(&mut self, word: &RankUpdate) -> bool {
         if self.client.is_none() {
             self.settings.refresh(&self.journal);
             let seeds: Vec<SocketAddr> = self.settings.internal_seeds().into_iter().collect();
@@ -108,7 +108,7 @@
         let Some(client) = &self.client else {
             return false;
         };
-        let taken = client.call::<_, Taken>(PATH, word, ANSWER).await.is_ok();
+        let taken = client.call::<_, RankAck>(PATH, word, ANSWER).await.is_ok();
         if !taken {
             self.client = None;
             self.tried += 1;
@@ -117,12 +117,14 @@
     }
 
     /// Whether controllers were told the same last.
-    fn is_told(&self, word: &RankWord) -> bool {
-        self.told.as_ref().is_some_and(|told| told.agrees(word))
+    fn is_told(&self, word: &RankUpdate) -> bool {
+        self.told
+            .as_ref()
+            .is_some_and(|told| told.has_same_rank(word))
     }
 
     /// Logs a word that says something new.
-    fn note(&self, word: &RankWord) {
+    fn note(&self, word: &RankUpdate) {
         if self.is_told(word) {
             return;
         }
