--- a/crates/agent/src/gate.rs
+++ b/crates/agent/src/gate.rs
@@ -18,7 +18,7 @@
 use parking_lot::Mutex;
 
 use snipemast_core::prelude::*;
-use snipemast_requests::{LedgerLimits, Refused};
+use snipemast_requests::{LedgerLimits, RefusalReason};
 use snipemast_servers::Engine;
 use snipemast_settings::agent::AgentLimits;
 use snipemast_wire::Dispatch;
@@ -52,7 +52,7 @@
         let ledger = LedgerLimits {
             entries: limits.ledger as usize,
             bytes: limits.answers.as_bytes() as usize,
-            answer: ANSWER,
+            answer_bytes: ANSWER,
         };
         let shards = Shards::new(&process, ledger);
         Self {
@@ -148,11 +148,11 @@
     /// Failure guarded against: a request that comes just after its server died is blamed for
     /// the death. It shows as innocent requests under suspicion; until the server answers again
     /// nothing is passed to it.
-    fn refusal(&self, dispatch: &Dispatch) -> Option<Refused> {
+    fn refusal(&self, dispatch: &Dispatch) -> Option<RefusalReason> {
         if self.crashes.lock().is_down() {
-            Some(Refused::Unreachable)
+            Some(RefusalReason::Unreachable)
         } else if dispatch.suspect && !self.take_suspect(&dispatch.id) {
-            Some(Refused::Suspect)
+            Some(RefusalReason::Suspect)
         } else {
             None
         }
--- a/crates/agent/src/gate/handler.rs
+++ b/crates/agent/src/gate/handler.rs
@@ -6,12 +6,12 @@
 
 use snipemast_core::prelude::*;
 use snipemast_membership::timeline::{Page, PageAsk};
-use snipemast_requests::{Arrival, Arrived};
-use snipemast_wire::frame::{Frame, Part, Refused, Tag};
+use snipemast_requests::{Arrival, ArrivalOutcome};
+use snipemast_wire::frame::{Frame, Part, RefusalReason, Tag};
 use snipemast_wire::message::path;
 use snipemast_wire::serve::{malformed, message, reply, stream};
 use snipemast_wire::{
-    gossip, pipe, spawn, Cancel, Dispatch, FrameWriter, Packed, ResumeFrom, Settle, Settled,
+    gossip, pipe, spawn, AttemptStatus, Cancel, Dispatch, FrameWriter, Packed, ResumeFrom, Settle,
     Settlement,
 };
 
@@ -45,12 +45,12 @@
     }
 
     /// Takes a dispatch into the ledger and starts its work, unless it runs already.
-    fn take(&self, dispatch: Dispatch) -> Result<DispatchId, (DispatchId, Refused)> {
+    fn take(&self, dispatch: Dispatch) -> Result<DispatchId, (DispatchId, RefusalReason)> {
         let (gate, id) = (&self.gate, dispatch.id.clone());
         if let Some(reason) = gate.refusal(&dispatch) {
             // A refusal binds: a second copy of the dispatch must not run later. One that runs
             // already is not refused.
-            if gate.shards.settle(&id, &dispatch.agent, dispatch.left) == Settled::Barred {
+            if gate.shards.settle(&id, &dispatch.agent, dispatch.left) == AttemptStatus::Barred {
                 gate.journal
                     .record(Event::DispatchRefused, &dispatch.request, reason);
                 return Err((id, reason));
@@ -64,14 +64,14 @@
             suspect: dispatch.suspect,
         };
         match gate.shards.arrive(&arrival) {
-            (Arrived::Run, Some(ring)) => {
+            (ArrivalOutcome::Run, Some(ring)) => {
                 gate.journal
                     .record(Event::DispatchAccepted, &dispatch.request, &id);
                 self.start(dispatch, ring);
                 Ok(id)
             }
-            (Arrived::Run | Arrived::Attach, _) => Ok(id),
-            (Arrived::Refused(reason), _) => {
+            (ArrivalOutcome::Run | ArrivalOutcome::Attach, _) => Ok(id),
+            (ArrivalOutcome::Refused(reason), _) => {
                 gate.free_suspect(&id);
                 gate.journal
                     .record(Event::DispatchRefused, &dispatch.request, reason);
@@ -95,10 +95,10 @@
             return malformed(conn);
         };
         if agent != self.gate.process {
-            return refuse(conn, &id, Refused::Incarnation);
+            return refuse(conn, &id, RefusalReason::Incarnation);
         }
         if !self.gate.shards.knows(&id) {
-            return refuse(conn, &id, Refused::Unknown);
+            return refuse(conn, &id, RefusalReason::Unknown);
         }
         self.relay(conn, id, offset)
     }
@@ -120,7 +120,7 @@
             return malformed(conn);
         };
         let settled = self.gate.shards.settle(&id, &agent, keep);
-        if settled == Settled::Barred {
+        if settled == AttemptStatus::Barred {
             self.gate.journal.record(Event::DispatchBarred, &id, "");
         }
         reply(conn, &Settlement { id, settled })
@@ -153,8 +153,8 @@
     }
 }
 
-fn refuse(conn: Conn, id: &DispatchId, reason: Refused) -> Conn {
-    let frame = Frame::new(Tag::of(id), Part::Refused { reason });
+fn refuse(conn: Conn, id: &DispatchId, reason: RefusalReason) -> Conn {
+    let frame = Frame::new(Tag::for_dispatch(id), Part::Refused { reason });
     conn.ok(FrameWriter::encode(&frame))
 }
 
--- a/crates/agent/src/gate/relay.rs
+++ b/crates/agent/src/gate/relay.rs
@@ -5,7 +5,7 @@
 use futures_lite::{FutureExt, StreamExt};
 
 use snipemast_core::prelude::*;
-use snipemast_requests::ledger::Place;
+use snipemast_requests::ledger::ReadPosition;
 use snipemast_requests::{Frame, Part, Tag};
 use snipemast_wire::{FrameWriter, PipeWriter};
 
@@ -22,7 +22,7 @@
     gate: Arc<Gate>,
     id: DispatchId,
     frames: PipeWriter,
-    place: Place,
+    place: ReadPosition,
 }
 
 /// Whether a relay goes on.
@@ -39,7 +39,7 @@
 impl Relay {
     /// Relays the answer of a dispatch from an offset on.
     pub(super) fn new(gate: Arc<Gate>, id: DispatchId, offset: u64, frames: PipeWriter) -> Self {
-        let place = Place {
+        let place = ReadPosition {
             head: false,
             offset,
         };
@@ -71,7 +71,7 @@
                 false
             };
             if !rung.or(beat).await {
-                let beat = Frame::new(Tag::of(&self.id), Part::Beat);
+                let beat = Frame::new(Tag::for_dispatch(&self.id), Part::Beat);
                 self.send(FrameWriter::encode(&beat)).await?;
             }
         }
--- a/crates/agent/src/gate/shards.rs
+++ b/crates/agent/src/gate/shards.rs
@@ -7,8 +7,8 @@
 use parking_lot::{Mutex, MutexGuard};
 
 use snipemast_core::prelude::*;
-use snipemast_requests::ledger::Place;
-use snipemast_requests::{Arrival, Arrived, Frame, Ledger, LedgerLimits, Settled};
+use snipemast_requests::ledger::ReadPosition;
+use snipemast_requests::{Arrival, ArrivalOutcome, AttemptStatus, Frame, Ledger, LedgerLimits};
 
 /// How many shards a ledger has.
 const SHARDS: usize = 8;
@@ -87,22 +87,22 @@
     }
 
     /// Takes a dispatch that arrives; a first one comes with the signal of its work.
-    pub(super) fn arrive(&self, arrival: &Arrival) -> (Arrived, Option<Receiver<()>>) {
+    pub(super) fn arrive(&self, arrival: &Arrival) -> (ArrivalOutcome, Option<Receiver<()>>) {
         let now = self.clock.now();
         let mut shard = self.of(&arrival.id);
         let arrived = shard.ledger.arrive(now, arrival);
-        let work = (arrived == Arrived::Run).then(|| shard.enter(&arrival.id));
+        let work = (arrived == ArrivalOutcome::Run).then(|| shard.enter(&arrival.id));
         (arrived, work)
     }
 
     /// Says what became of a dispatch, and bars it first where it never arrived.
-    pub fn settle(&self, id: &DispatchId, agent: &ProcessId, keep: Span) -> Settled {
+    pub fn settle(&self, id: &DispatchId, agent: &ProcessId, keep: Span) -> AttemptStatus {
         let now = self.clock.now();
         self.of(id).ledger.settle(now, id, agent, keep)
     }
 
     /// Stops a dispatch, and bars it where it never arrived.
-    pub fn cancel(&self, id: &DispatchId, agent: &ProcessId, keep: Span) -> Settled {
+    pub fn cancel(&self, id: &DispatchId, agent: &ProcessId, keep: Span) -> AttemptStatus {
         let now = self.clock.now();
         let mut shard = self.of(id);
         let settled = shard.ledger.cancel(now, id, agent, keep);
@@ -134,7 +134,12 @@
     }
 
     /// The next frame for a reader at this place.
-    pub(super) fn frame(&self, id: &DispatchId, place: Place, limit: usize) -> Option<Frame> {
+    pub(super) fn frame(
+        &self,
+        id: &DispatchId,
+        place: ReadPosition,
+        limit: usize,
+    ) -> Option<Frame> {
         let mut shard = self.of(id);
         if let Some(live) = shard.live.get_mut(id) {
             if live.reach < place.offset {
@@ -142,7 +147,7 @@
                 ring(&live.work);
             }
         }
-        shard.ledger.frame(id, place, limit)
+        shard.ledger.next_frame(id, place, limit)
     }
 
     /// Changes the ledger's entry of a dispatch and wakes whoever waits for it.
@@ -156,7 +161,7 @@
     /// How the readers of an answer stand, or nothing where its work was stopped.
     pub(super) fn readers(&self, id: &DispatchId) -> Readers {
         let shard = self.of(id);
-        let total = shard.ledger.total(id);
+        let total = shard.ledger.body_length(id);
         let live = shard.live.get(id);
         Readers {
             present: live.is_some_and(|l| !l.readers.is_empty()),
@@ -167,7 +172,7 @@
 
     /// Whether the ledger knows a dispatch.
     pub(super) fn knows(&self, id: &DispatchId) -> bool {
-        self.of(id).ledger.knows(id)
+        self.of(id).ledger.is_known(id)
     }
 
     /// Whether the work at a dispatch goes on.
--- a/crates/agent/src/gate/work.rs
+++ b/crates/agent/src/gate/work.rs
@@ -9,7 +9,7 @@
 
 use snipemast_core::prelude::*;
 use snipemast_servers::{Answer, EngineError};
-use snipemast_wire::frame::{Failure, Refused};
+use snipemast_wire::frame::{Failure, RefusalReason};
 use snipemast_wire::{Call, Dispatch};
 
 use super::Gate;
@@ -41,7 +41,7 @@
 enum Ended {
     Finished,
     Failed(Failure),
-    Refused(Refused),
+    Refused(RefusalReason),
     /// Someone else ended it.
     Stopped,
 }
@@ -94,7 +94,7 @@
         let gate = Arc::clone(&self.gate);
         gate.crashes.lock().up();
         gate.shards
-            .change(&self.id, |l| l.head(&self.id, status, headers));
+            .change(&self.id, |l| l.set_head(&self.id, status, headers));
         let mut buffer = vec![0; PIECE];
         loop {
             let read = async { Some(answer.read(&mut buffer).await) };
@@ -189,7 +189,7 @@
 
     async fn unanswered(&mut self, report: &error_stack::Report<EngineError>) -> Ended {
         if refused_connection(report) {
-            return Ended::Refused(Refused::Unreachable);
+            return Ended::Refused(RefusalReason::Unreachable);
         }
         Ended::Failed(self.broken().await)
     }
--- a/crates/benches/benches/requests.rs
+++ b/crates/benches/benches/requests.rs
@@ -44,7 +44,7 @@
     let limits = LedgerLimits {
         entries: ENTRIES as usize,
         bytes: 1 << 24,
-        answer: 1 << 20,
+        answer_bytes: 1 << 20,
     };
     let mut ledger = Ledger::new(own.clone(), limits);
     let before = resident();
@@ -83,7 +83,7 @@
     let keeper = |h: &HostId| {
         let own = ProcessId::new(h.clone(), Incarnation::new(1));
         let mut keeper = Keeper::new(own, Moment::ZERO, hold, CLAIMS as usize);
-        keeper.apply(now, &table);
+        keeper.apply_table(now, &table);
         keeper
     };
     let mut keepers: Vec<Keeper> = hosts.iter().map(keeper).collect();
@@ -107,7 +107,7 @@
             agent: process("agent-0"),
         },
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
-        body: Fingerprint::of(&workspace, "POST", "/orders", b"one order"),
+        body: Fingerprint::for_request(&workspace, "POST", "/orders", b"one order"),
     };
     let key = ClaimKey::Key {
         workspace,
--- a/crates/benches/benches/routing.rs
+++ b/crates/benches/benches/routing.rs
@@ -12,7 +12,7 @@
 use snipemast_benches::report::{BenchArgs, Figures};
 use snipemast_benches::splits;
 use snipemast_core::prelude::*;
-use snipemast_routing::{Place, Prefix, Query, Router, Seat};
+use snipemast_routing::{Location, Prefix, Query, Router, Subset};
 
 const SECOND: Micros = 1_000_000;
 
@@ -517,15 +517,15 @@
 fn decision(figures: &mut Figures) {
     let mesh = decision_us(None, false);
     let prefix = decision_us(None, true);
-    let subset = decision_us(Some(Seat::new(3, 24)), true);
+    let subset = decision_us(Some(Subset::new(3, 24)), true);
     figures.add("decision_us", mesh.max(prefix));
     figures.add("decision_mesh_us", mesh);
     figures.add("decision_prefix_us", prefix);
     figures.add("decision_subset_us", subset);
 }
 
-fn decision_us(seat: Option<Seat>, prefix: bool) -> f64 {
-    let place = Place {
+fn decision_us(seat: Option<Subset>, prefix: bool) -> f64 {
+    let place = Location {
         zone: name("zone", 0),
         region: name("region", 0),
     };
@@ -533,7 +533,7 @@
     for n in 0..600 {
         router.upsert(Moment::ZERO, facts(n, 1, 32), false);
     }
-    router.sit(seat);
+    router.set_subset(seat);
     let wanted = wanted();
     let mut times = Vec::new();
     let mut now = Moment::from_millis(1_000);
@@ -544,9 +544,14 @@
             let prefix = prefix.then_some(Prefix(round * 31 + n));
             let query = Query::new(&wanted).with_prefix(prefix);
             if let Ok(choice) = black_box(router.choose(now, &query)) {
-                router.sent(now, choice.slot);
-                if let Some(agent) = router.agent(choice.slot).cloned() {
-                    router.ended(now, choice.slot, &agent, snipemast_routing::Ended::Answered);
+                router.record_sent(now, choice.server);
+                if let Some(agent) = router.agent(choice.server).cloned() {
+                    router.record_end(
+                        now,
+                        choice.server,
+                        &agent,
+                        snipemast_routing::RequestEnd::Answered,
+                    );
                 }
             }
         }
--- a/crates/benches/src/policies.rs
+++ b/crates/benches/src/policies.rs
@@ -6,8 +6,9 @@
 use snipemast_requests::RetryBudget;
 use snipemast_routing::hash::{below, mix};
 use snipemast_routing::{
-    Arrival, Called, Demands, Departure, Door, Ended, Facts, Lane, LanePolicy, Place, Policy,
-    Prefix, Priority, Query, Room, Router, Seat, Slot, Summary, Ticket, Topic, Wanted,
+    Arrival, Decision, Demands, Departure, Dequeued, Lane, LanePolicy, Location, PoolCapacity,
+    Prefix, Priority, Query, RequestEnd, Router, RoutingPolicy, ServerFacts, ServerIndex, Subset,
+    Summary, Ticket, Topic, Wanted,
 };
 
 use crate::queue::{End, Entry, Job, Micros, Step};
@@ -117,7 +118,7 @@
 #[derive(Debug, Clone)]
 pub struct Options {
     /// The policy of the choice.
-    pub policy: Policy,
+    pub policy: RoutingPolicy,
     /// The policy of admission, or none to send everything on at once.
     pub lane: Option<LanePolicy>,
     /// Servers that an entry keeps to.
@@ -131,7 +132,7 @@
 impl Default for Options {
     fn default() -> Self {
         Self {
-            policy: Policy::default(),
+            policy: RoutingPolicy::default(),
             lane: Some(LanePolicy::default()),
             subset: None,
             zones: 3,
@@ -150,7 +151,7 @@
     budget: RetryBudget,
     wanted: Wanted,
     hosts: Vec<HostId>,
-    slots: Vec<Slot>,
+    slots: Vec<ServerIndex>,
     waiting: HashMap<Ticket, Job>,
     names: Vec<WorkspaceId>,
     topic: Topic,
@@ -168,7 +169,7 @@
 }
 
 /// What a server of the bench announces.
-pub fn facts(n: usize, zones: usize, slots: u32) -> Facts {
+pub fn facts(n: usize, zones: usize, slots: u32) -> ServerFacts {
     let offer = Offer::Model {
         model: name("model", 0),
         version: "1".into(),
@@ -181,7 +182,7 @@
         rank: None,
         slots,
     };
-    Facts {
+    ServerFacts {
         agent: ProcessId::new(name("host", n), Incarnation::new(1)),
         zone: name("zone", n % zones),
         region: name("region", 0),
@@ -203,7 +204,7 @@
     /// Entry `n` before this many servers.
     pub fn new(n: usize, servers: usize, count: u32, workspaces: usize, options: Options) -> Self {
         let zones = options.zones;
-        let place = Place {
+        let place = Location {
             zone: name("zone", n % zones),
             region: name("region", 0),
         };
@@ -211,7 +212,7 @@
         let all = (0..servers).map(|s| facts(s, zones, count));
         let hosts = all.clone().map(|f| f.agent.host).collect();
         let slots = all.map(|f| router.upsert(Moment::ZERO, f, false)).collect();
-        router.sit(options.subset.map(|size| Seat::new(n / zones, size)));
+        router.set_subset(options.subset.map(|size| Subset::new(n / zones, size)));
         let wanted = wanted();
         let topic = Topic::pool(wanted.family());
         Self {
@@ -235,12 +236,12 @@
         &mut self.router
     }
 
-    fn room(&mut self, now: Moment) -> Room {
+    fn room(&mut self, now: Moment) -> PoolCapacity {
         let (slots, load) = self.router.capacity(now, &self.wanted).unwrap_or_default();
-        let share = slots * self.demands.share(now, self.topic);
-        Room {
-            share,
-            free: (slots - load).max(0.0),
+        let own_slots = slots * self.demands.share(now, self.topic);
+        PoolCapacity {
+            own_slots,
+            free_slots: (slots - load).max(0.0),
         }
     }
 
@@ -253,8 +254,8 @@
             out.push(Step::Refuse(job.id, 1_000_000));
             return;
         };
-        self.router.sent(now, choice.slot);
-        let server = self.slots.iter().position(|s| *s == choice.slot);
+        self.router.record_sent(now, choice.server);
+        let server = self.slots.iter().position(|s| *s == choice.server);
         out.push(Step::Send(
             job.id,
             server.expect("a chosen server is one of them"),
@@ -267,16 +268,16 @@
         }
         loop {
             let room = self.room(now);
-            let Some(called) = self.lane.as_mut().and_then(|l| l.call(now, room)) else {
+            let Some(called) = self.lane.as_mut().and_then(|l| l.dequeue(now, room)) else {
                 return;
             };
             match called {
-                Called::Run(ticket) => {
+                Dequeued::Run(ticket) => {
                     if let Some(job) = self.waiting.remove(&ticket) {
                         self.send(now, &job, out);
                     }
                 }
-                Called::Refused(ticket, refusal) => {
+                Dequeued::Refused(ticket, refusal) => {
                     if let Some(job) = self.waiting.remove(&ticket) {
                         out.push(Step::Refuse(job.id, refusal.retry.as_micros()));
                     }
@@ -292,7 +293,7 @@
     fn arrive(&mut self, now: Micros, job: &Job, out: &mut Vec<Step>) {
         let now = Moment::from_micros(now);
         let tokens = f64::from(job.tokens);
-        self.demands.note(now, self.topic, tokens);
+        self.demands.record(now, self.topic, tokens);
         self.budget.earn();
         let room = self.room(now);
         let Some(lane) = &mut self.lane else {
@@ -306,11 +307,11 @@
             deadline: Moment::from_micros(job.deadline),
         };
         match lane.arrive(now, arrival, room) {
-            Door::Open => self.send(now, job, out),
-            Door::Wait(ticket) => {
+            Decision::Run => self.send(now, job, out),
+            Decision::Wait(ticket) => {
                 self.waiting.insert(ticket, *job);
             }
-            Door::Refused(refusal) => {
+            Decision::Refused(refusal) => {
                 out.push(Step::Refuse(job.id, refusal.retry.as_micros()));
             }
         }
@@ -319,21 +320,21 @@
     fn first(&mut self, now: Micros, _: &Job, server: usize, took: Micros, load: &LoadReport) {
         let now = Moment::from_micros(now);
         self.router
-            .first(now, self.slots[server], Span::from_micros(took));
-        self.router.report(now, &self.hosts[server], load);
+            .record_first(now, self.slots[server], Span::from_micros(took));
+        self.router.record_load(now, &self.hosts[server], load);
     }
 
     fn ended(&mut self, now: Micros, job: &Job, server: usize, end: &End, out: &mut Vec<Step>) {
         let now = Moment::from_micros(now);
         let how = match (end.whole, end.failed) {
-            (true, _) => Ended::Answered,
-            (_, true) => Ended::Failed,
-            _ => Ended::Neutral,
+            (true, _) => RequestEnd::Answered,
+            (_, true) => RequestEnd::Failed,
+            _ => RequestEnd::Neutral,
         };
         let agent = ProcessId::new(self.hosts[server].clone(), Incarnation::new(1));
-        self.router.ended(now, self.slots[server], &agent, how);
+        self.router.record_end(now, self.slots[server], &agent, how);
         if !end.failed {
-            self.router.report(now, &self.hosts[server], &end.load);
+            self.router.record_load(now, &self.hosts[server], &end.load);
         }
         let tokens = f64::from(job.tokens);
         if end.failed && now.as_micros() < job.deadline && self.budget.spend() {
@@ -353,7 +354,7 @@
 
     fn report(&mut self, now: Micros, server: usize, load: &LoadReport) {
         let now = Moment::from_micros(now);
-        self.router.report(now, &self.hosts[server], load);
+        self.router.record_load(now, &self.hosts[server], load);
     }
 
     fn member(&mut self, now: Micros, server: usize, takes: bool) {
@@ -363,7 +364,7 @@
     }
 
     fn summary(&mut self, now: Micros) -> Option<Summary> {
-        Some(self.demands.summary(Moment::from_micros(now)))
+        Some(self.demands.next_summary(Moment::from_micros(now)))
     }
 
     fn merge(&mut self, now: Micros, summary: &Summary) {
--- a/crates/benches/src/splits.rs
+++ b/crates/benches/src/splits.rs
@@ -3,7 +3,7 @@
 use snipemast_config::document::Limits;
 use snipemast_core::prelude::*;
 use snipemast_routing::hash::mix;
-use snipemast_routing::{Demands, Limiter, Part, Seat, Summary, Topic};
+use snipemast_routing::{Demands, LimitShare, Limiter, Subset, Summary, Topic};
 
 use crate::policies::name;
 use crate::report::Figures;
@@ -42,9 +42,9 @@
     let mut demands = Demands::new(ProcessId::new(name("entry", 1), Incarnation::new(1)));
     for n in 0..items {
         let topic = Topic::workspace(&name("workspace", n));
-        demands.note(Moment::ZERO, topic, 10.0 + n as f64);
+        demands.record(Moment::ZERO, topic, 10.0 + n as f64);
     }
-    let summary = demands.summary(Moment::ZERO);
+    let summary = demands.next_summary(Moment::ZERO);
     rmp_serde::to_vec(&summary).map_or(f64::NAN, |bytes| bytes.len() as f64)
 }
 
@@ -81,10 +81,10 @@
             }
             // Each entry tells at its own time.
             if millis % 1_000 == (n as u64 * 110) / SLICE * SLICE {
-                wire.push((millis + LAG, n, host.demands.summary(now)));
+                wire.push((millis + LAG, n, host.demands.next_summary(now)));
             }
             if millis.is_multiple_of(500) {
-                host.demands.settle(now);
+                host.demands.set_aside_silent(now);
             }
             let rate = demand(change, changed, n) * SLICE as f64 / 1e3;
             draws = mix(draws);
@@ -92,14 +92,14 @@
             let count = rate as u64 + u64::from(unit < rate.fract());
             for _ in 0..count {
                 let Host { demands, limiter } = &mut *host;
-                demands.note(now, topic, 1.0);
-                let part = Part {
+                demands.record(now, topic, 1.0);
+                let part = LimitShare {
                     share: demands.share(now, topic),
                     concurrency: None,
                 };
                 if limiter.admit(now, &workspace, &limits, part, 1.0).is_ok() {
                     admitted[(millis / 1_000) as usize] += 1.0;
-                    limiter.ended(now, &workspace, 1.0, 1.0);
+                    limiter.finish(now, &workspace, 1.0, 1.0);
                 }
             }
         }
@@ -147,7 +147,7 @@
         let mut list: Vec<u32> = (0..servers as u32)
             .filter(|s| *s as usize % zones == zone)
             .collect();
-        Seat::new(entry / zones, size).cut(&mut list);
+        Subset::new(entry / zones, size).narrow(&mut list);
         for server in list {
             counts[server as usize] += 1;
         }
--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -20,10 +20,10 @@
 use snipemast_callers::problem::{Problem, ProblemKind};
 use snipemast_config::Config;
 use snipemast_core::prelude::*;
-use snipemast_routing::hash::stable;
+use snipemast_routing::hash::stable_hash;
 use snipemast_routing::{
-    Arrival, Demands, Door, Held, LaneStatus, LimitStatus, Limiter, Part, Prefix, Reason, Refusal,
-    Room, Summary, Topic, Wanted, Wish, WishPolicy, Wishes,
+    Arrival, Decision, Demands, HeldWorkspace, LaneStatus, LimitShare, LimitStatus, Limiter,
+    PoolCapacity, Prefix, Reason, Refusal, Summary, Topic, Wanted, Wish, WishPolicy, Wishes,
 };
 
 use crate::choose::Chooser;
@@ -103,12 +103,12 @@
 
     /// Takes the time that a summary needs to reach every other entry.
     pub fn set_pace(&self, pace: Span) {
-        self.demands.lock().set_pace(pace);
+        self.demands.lock().set_interval(pace);
     }
 
     /// This entry's demands, for the membership exchange to carry about once a second.
     pub fn summary(&self) -> Summary {
-        self.demands.lock().summary(self.clock.now())
+        self.demands.lock().next_summary(self.clock.now())
     }
 
     /// Takes another entry's demands from the membership exchange.
@@ -123,7 +123,7 @@
 
     /// The loads that control should order, within the platform's budget.
     pub fn orders(&self) -> Vec<Wish> {
-        self.wishes.lock().orders(self.clock.now())
+        self.wishes.lock().due_loads(self.clock.now())
     }
 
     async fn admit(
@@ -165,13 +165,13 @@
     }
 
     /// This entry's part of the workspace's limits, by the demand that entries have told.
-    fn part(&self, now: Moment, demand: &Demand, concurrency: Option<u32>) -> Part {
+    fn part(&self, now: Moment, demand: &Demand, concurrency: Option<u32>) -> LimitShare {
         let topic = Topic::workspace(&demand.workspace);
         let pool = Topic::pool(demand.wanted.family());
         let mut demands = self.demands.lock();
-        demands.note(now, topic, demand.tokens);
-        demands.note(now, pool, demand.tokens);
-        Part {
+        demands.record(now, topic, demand.tokens);
+        demands.record(now, pool, demand.tokens);
+        LimitShare {
             share: demands.share(now, topic),
             concurrency: concurrency.map(|whole| demands.allot(topic, whole)),
         }
@@ -192,9 +192,9 @@
         let mut lanes = self.lanes[lane_of(&demand.wanted)].lock();
         let gate = lanes.entry(demand.wanted.clone()).or_insert_with(Gate::new);
         match gate.lane.arrive(now, arrival, room) {
-            Door::Open => Ok(Entered::Open),
-            Door::Refused(refusal) => Err(refusal),
-            Door::Wait(ticket) => {
+            Decision::Run => Ok(Entered::Open),
+            Decision::Refused(refusal) => Err(refusal),
+            Decision::Wait(ticket) => {
                 let (sender, turn) = bounded(1);
                 gate.turns.insert(ticket, sender);
                 Ok(Entered::Wait(Waiting {
@@ -211,7 +211,7 @@
     /// Never a silent wait for what nothing offers: a model is wished for, and the caller told.
     fn unloaded(&self, now: Moment, wanted: &Wanted) -> Refusal {
         match wanted {
-            Wanted::Model { .. } => self.wishes.lock().ask(now, wanted),
+            Wanted::Model { .. } => self.wishes.lock().record_request(now, wanted),
             Wanted::Service(_) => Refusal {
                 reason: Reason::Unloaded,
                 retry: Span::from_secs(1),
@@ -220,12 +220,12 @@
     }
 
     /// The pool as it is now, or nothing where no server offers what is wanted.
-    fn room(&self, now: Moment, wanted: &Wanted) -> Option<Room> {
+    fn room(&self, now: Moment, wanted: &Wanted) -> Option<PoolCapacity> {
         let (slots, load) = self.chooser.capacity(wanted)?;
         let share = self.demands.lock().share(now, Topic::pool(wanted.family()));
-        Some(Room {
-            share: slots * share,
-            free: (slots - load).max(0.0),
+        Some(PoolCapacity {
+            own_slots: slots * share,
+            free_slots: (slots - load).max(0.0),
         })
     }
 
@@ -256,10 +256,10 @@
     }
 
     fn settle(&self) {
-        self.demands.lock().settle(self.clock.now());
+        self.demands.lock().set_aside_silent(self.clock.now());
         for wish in self.orders() {
             if self.chooser.capacity(&wish.wanted).is_some() {
-                self.wishes.lock().loaded(&wish.wanted);
+                self.wishes.lock().mark_loaded(&wish.wanted);
             }
         }
         for shard in &self.lanes {
@@ -273,13 +273,16 @@
     fn note(&self, workspace: &WorkspaceId, refusal: Refusal) {
         let now = self.clock.now();
         let shard = self.account_of(workspace);
-        if self.accounts[shard].lock().note(now, workspace, refusal) {
+        if self.accounts[shard]
+            .lock()
+            .record_refusal(now, workspace, refusal)
+        {
             self.journal.record(Event::LimitReached, workspace, refusal);
         }
     }
 
     fn account_of(&self, workspace: &WorkspaceId) -> usize {
-        (stable(workspace) % SHARDS as u64) as usize
+        (stable_hash(workspace) % SHARDS as u64) as usize
     }
 
     /// Who is held back and why, and what waits where.
@@ -291,10 +294,10 @@
             ..LimitStatus::default()
         };
         for shard in &self.accounts {
-            let held = shard.lock().held(now);
+            let held = shard.lock().held_back(now);
             status
                 .held
-                .extend(held.into_iter().map(|(workspace, back)| Held {
+                .extend(held.into_iter().map(|(workspace, back)| HeldWorkspace {
                     share: percent(self.demands.lock().share(now, Topic::workspace(&workspace))),
                     workspace,
                     reason: back.reason,
@@ -309,8 +312,8 @@
                     pool: wanted.to_string(),
                     running: gate.lane.running(),
                     waiting: gate.lane.waiting() as u32,
-                    share: room.share.round() as u32,
-                    free: room.free.round() as u32,
+                    share: room.own_slots.round() as u32,
+                    free: room.free_slots.round() as u32,
                 });
             }
         }
@@ -363,12 +366,12 @@
         if !self.running {
             self.admission.accounts[shard]
                 .lock()
-                .give_back(now, workspace, *tokens);
+                .refund(now, workspace, *tokens);
             return;
         }
         self.admission.accounts[shard]
             .lock()
-            .ended(now, workspace, *tokens, *tokens);
+            .finish(now, workspace, *tokens, *tokens);
         let took = self.whole.then(|| now.since(self.begun));
         if let Some(gate) = self.admission.lanes[lane_of(wanted)].lock().get_mut(wanted) {
             gate.lane.depart(&self.demand.departure(took));
--- a/crates/entry/src/admit/turn.rs
+++ b/crates/entry/src/admit/turn.rs
@@ -7,7 +7,7 @@
 use futures_lite::FutureExt;
 
 use snipemast_core::prelude::*;
-use snipemast_routing::{Called, Lane, LanePolicy, Reason, Refusal, Room, Ticket};
+use snipemast_routing::{Dequeued, Lane, LanePolicy, PoolCapacity, Reason, Refusal, Ticket};
 
 use super::{lane_of, Admission, Demand};
 
@@ -28,11 +28,11 @@
         }
     }
 
-    pub(super) fn call(&mut self, now: Moment, room: Room) {
-        while let Some(called) = self.lane.call(now, room) {
+    pub(super) fn call(&mut self, now: Moment, room: PoolCapacity) {
+        while let Some(called) = self.lane.dequeue(now, room) {
             let (ticket, turn) = match called {
-                Called::Run(ticket) => (ticket, Ok(())),
-                Called::Refused(ticket, refusal) => (ticket, Err(refusal)),
+                Dequeued::Run(ticket) => (ticket, Ok(())),
+                Dequeued::Refused(ticket, refusal) => (ticket, Err(refusal)),
             };
             if let Some(sender) = self.turns.remove(&ticket) {
                 // The receiver counts the request as ended where it can't take its turn.
@@ -89,7 +89,7 @@
             return;
         };
         if gate.turns.remove(&self.ticket).is_some() {
-            gate.lane.give_up(self.ticket);
+            gate.lane.abandon(self.ticket);
         } else if matches!(self.turn.try_recv(), Ok(Ok(()))) {
             // The turn came just as its caller left: the slot must not stay taken.
             gate.lane.depart(&self.demand.departure(None));
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -8,12 +8,12 @@
 
 use snipemast_core::prelude::*;
 use snipemast_requests::plan::Link;
-use snipemast_requests::suspicion::Standing;
+use snipemast_requests::suspicion::SuspicionState;
 use snipemast_requests::{
-    ClaimKey, ClaimValue, Claimed, Crash, Fingerprint, Header, Input, Loss, Output, Outputs, Plan,
-    RequestMachine, Target, Verdict,
+    ClaimKey, ClaimResult, ClaimValue, Crash, Fingerprint, Header, Input, Loss, Output, Outputs,
+    Plan, RequestMachine, Target, Verdict,
 };
-use snipemast_routing::{Ended, Prefix, Wanted};
+use snipemast_routing::{Prefix, RequestEnd, Wanted};
 use snipemast_wire::message::path;
 use snipemast_wire::peer::Result as PeerResult;
 use snipemast_wire::{
@@ -188,7 +188,7 @@
     /// Sets the timer where it would ring too late; one that rings early does no harm, and
     /// setting it anew for each frame would cost more than the frame.
     fn arm(&mut self) {
-        let wake = self.machine.wake();
+        let wake = self.machine.next_wake();
         if wake < self.armed {
             let left = self.shared.clock.now().until(wake);
             self.timer.set_after(left.as_duration());
@@ -206,11 +206,11 @@
             Output::Cancel(target) => self.cancel(target),
             Output::Bar(target) => self.bar(target),
             Output::Retire(target) => {
-                self.ended(Ended::Failed);
+                self.ended(RequestEnd::Failed);
                 self.retire(&target);
             }
             Output::Crashed(crash) => {
-                self.ended(Ended::Failed);
+                self.ended(RequestEnd::Failed);
                 self.record(Event::RequestSuspected, &crash.agent);
                 let shared = Arc::clone(&self.shared);
                 let fingerprint = self.order.fingerprint;
@@ -231,7 +231,7 @@
                 return Some(Step::Data(bytes));
             }
             Output::End(load) => {
-                self.ended(Ended::Answered);
+                self.ended(RequestEnd::Answered);
                 if let Some(member) = &self.member {
                     member.report(&load);
                 }
@@ -287,18 +287,18 @@
     /// Claims the caller's key for an attempt.
     async fn claim(&mut self, target: Target, number: u64) {
         let Some(key) = self.order.key.clone() else {
-            return self.feed(Input::Claimed(Claimed::Unsure, number));
+            return self.feed(Input::Claimed(ClaimResult::Undecided, number));
         };
         let workspace = self.order.workspace.clone();
         let key = ClaimKey::Key { workspace, key };
         let outcome = self.claim_for(key, number, target).await;
         match (&outcome.claimed, &outcome.value) {
-            (Claimed::Held(_), Some(value)) => {
+            (ClaimResult::Held(_), Some(value)) => {
                 self.record(Event::KeyAttached, &value.target.id);
                 self.let_go();
                 self.peer = Some(Arc::new(Peer::new(value.address)));
             }
-            (Claimed::Won, _) => self.record(Event::KeyClaimed, outcome.attempt),
+            (ClaimResult::Won, _) => self.record(Event::KeyClaimed, outcome.attempt),
             _ => {}
         }
         self.feed(Input::Claimed(outcome.claimed, outcome.attempt));
@@ -307,7 +307,7 @@
     async fn claim_for(&self, key: ClaimKey, number: u64, target: Target) -> ClaimOutcome {
         let Some(peer) = &self.peer else {
             return ClaimOutcome {
-                claimed: Claimed::Unsure,
+                claimed: ClaimResult::Undecided,
                 value: None,
                 attempt: number,
             };
@@ -330,12 +330,12 @@
         let shared = Arc::clone(&self.shared);
         let fingerprint = self.order.fingerprint;
         let crash = match shared.keys.standing(shared.clock.now(), fingerprint) {
-            Standing::Clear => return None,
-            Standing::Quarantined => {
+            SuspicionState::Clear => return None,
+            SuspicionState::Quarantined => {
                 self.record(Event::RequestQuarantined, fingerprint);
                 return Some(Input::Quarantined);
             }
-            Standing::Suspect(crash) => crash,
+            SuspicionState::Suspect(crash) => crash,
         };
         // Another claim for one crash follows only on an attempt that did not crash a server.
         let number = match &self.suspect {
@@ -348,7 +348,7 @@
         }
         let key = ClaimKey::Suspect { fingerprint, crash };
         let outcome = self.claim_for(key, number, target.clone()).await;
-        (outcome.claimed != Claimed::Won).then_some(Input::SuspectRuns)
+        (outcome.claimed != ClaimResult::Won).then_some(Input::SuspectRuns)
     }
 
     async fn dispatch(&mut self, link: Link, target: Target) {
@@ -368,7 +368,9 @@
         let Some(peer) = self.peer.clone() else {
             return self.feed(Input::Lost(link, Loss::Unsent));
         };
-        let opened = peer.open(path::DISPATCH, &message, self.plan.silence).await;
+        let opened = peer
+            .open(path::DISPATCH, &message, self.plan.max_silence)
+            .await;
         self.opened(link, opened);
     }
 
@@ -382,7 +384,7 @@
             return self.feed(Input::Lost(link, Loss::Unsent));
         };
         let opened = peer
-            .open_fresh(path::RESUME, &message, self.plan.silence)
+            .open_fresh(path::RESUME, &message, self.plan.max_silence)
             .await;
         if opened.is_ok() {
             self.record(Event::StreamResumed, offset);
@@ -407,7 +409,7 @@
             return self.feed(Input::Lost(link, Loss::Unsent));
         };
         let settlement = peer
-            .call_fresh::<_, Settlement>(path::SETTLE, &message, self.plan.silence)
+            .call_fresh::<_, Settlement>(path::SETTLE, &message, self.plan.max_silence)
             .await;
         match settlement {
             Ok(Settlement { id, settled }) => {
@@ -442,7 +444,7 @@
         let Some(peer) = self.peer.clone() else {
             return;
         };
-        let timeout = self.plan.silence;
+        let timeout = self.plan.max_silence;
         spawn(async move {
             // An agent that can't be told finds out by itself that nobody reads.
             let _ = peer
@@ -468,7 +470,7 @@
     }
 
     /// Tells the choice of servers how the present attempt went.
-    fn ended(&mut self, how: Ended) {
+    fn ended(&mut self, how: RequestEnd) {
         if let Some(member) = &mut self.member {
             member.done(how);
         }
--- a/crates/entry/src/choose.rs
+++ b/crates/entry/src/choose.rs
@@ -8,9 +8,10 @@
 use parking_lot::{Mutex, RwLock};
 
 use snipemast_core::prelude::*;
-use snipemast_routing::hash::stable;
+use snipemast_routing::hash::stable_hash;
 use snipemast_routing::{
-    Cause, Ended, Facts, NoServer, Notice, Place, Prefix, Query, Router, Seat, Slot, Wanted,
+    EjectionCause, Location, NoServer, Notice, Prefix, Query, RequestEnd, Router, ServerFacts,
+    ServerIndex, Subset, Wanted,
 };
 
 use crate::registry::Member;
@@ -51,7 +52,7 @@
 }
 
 /// The entry's seat: its place by name among the entries of its zone that membership knows.
-fn seat(shared: &Shared) -> Option<Seat> {
+fn seat(shared: &Shared) -> Option<Subset> {
     let zone = &shared.settings.zone;
     let number = shared.gossip.look(|_, node| {
         let rows = node.table().rows().values();
@@ -59,7 +60,7 @@
         here.map(|row| &row.card.process.host)
             .position(|host| *host == shared.process.host)
     });
-    number.flatten().map(|number| Seat::new(number, SUBSET))
+    number.flatten().map(|number| Subset::new(number, SUBSET))
 }
 
 /// The routing state of an entry process.
@@ -73,8 +74,8 @@
 
 impl Chooser {
     /// An entry at this place that knows no server yet.
-    pub fn new(place: Place, process: &ProcessId, journal: Journal) -> Self {
-        let seed = stable(process);
+    pub fn new(place: Location, process: &ProcessId, journal: Journal) -> Self {
+        let seed = stable_hash(process);
         let shard = |n| Mutex::new(Router::new(place.clone(), seed.wrapping_add(n)));
         Self {
             clock: Clock::new(),
@@ -85,9 +86,9 @@
     }
 
     /// Takes the entry's seat among the entries of its zone, or none for all servers.
-    pub fn sit(&self, seat: Option<Seat>) {
+    pub fn sit(&self, seat: Option<Subset>) {
         for shard in &self.shards {
-            shard.lock().sit(seat);
+            shard.lock().set_subset(seat);
         }
     }
 
@@ -128,7 +129,7 @@
         for shard in self.shards_of(&announce.info) {
             let mut router = self.shards[shard].lock();
             router.upsert(now, facts(member), fresh);
-            router.report(now, host, &announce.load);
+            router.record_load(now, host, &announce.load);
         }
     }
 
@@ -150,17 +151,17 @@
         let query = Query::new(wanted).with_prefix(prefix).with_tried(tried);
         let mut router = self.shards[shard].lock();
         let choice = router.choose(now, &query);
-        for notice in router.notices() {
+        for notice in router.take_notices() {
             self.journal_notice(&notice);
         }
-        let slot = choice?.slot;
+        let slot = choice?.server;
         let member = {
             let members = self.members.read();
             let agent = router.agent(slot).ok_or(NoServer::Unfit)?;
             let member = members.get(&agent.host).ok_or(NoServer::Unfit)?;
             Arc::clone(member)
         };
-        router.sent(now, slot);
+        router.record_sent(now, slot);
         drop(router);
         Ok(Picked {
             chooser: Arc::clone(self),
@@ -169,7 +170,7 @@
             slot,
             sent: now,
             told: AtomicU64::new(now.as_micros()),
-            how: Ended::Neutral,
+            how: RequestEnd::Neutral,
         })
     }
 
@@ -197,8 +198,8 @@
         match notice {
             Notice::Ejected(server, cause) => {
                 let why = match cause {
-                    Cause::Failures => "it failed requests in a row",
-                    Cause::Stalled => "it has work and shows no progress",
+                    EjectionCause::Failures => "it failed requests in a row",
+                    EjectionCause::Stalled => "it has work and shows no progress",
                 };
                 self.journal.record(Event::ServerEjected, server, why);
             }
@@ -214,7 +215,7 @@
     }
 
     fn shards_of(&self, info: &ServerInfo) -> Vec<usize> {
-        let wanted = info.offers.iter().flat_map(Wanted::all_of);
+        let wanted = info.offers.iter().flat_map(Wanted::offered_by);
         let mut shards: Vec<_> = wanted.map(|w| shard_of(&w)).collect();
         shards.sort_unstable();
         shards.dedup();
@@ -228,11 +229,11 @@
     chooser: Arc<Chooser>,
     member: Arc<Member>,
     shard: usize,
-    slot: Slot,
+    slot: ServerIndex,
     sent: Moment,
     /// When its progress was last told, in microseconds.
     told: AtomicU64,
-    how: Ended,
+    how: RequestEnd,
 }
 
 impl Picked {
@@ -245,7 +246,7 @@
     pub fn first(&self) {
         let now = self.chooser.clock.now();
         let mut router = self.chooser.shards[self.shard].lock();
-        router.first(now, self.slot, now.since(self.sent));
+        router.record_first(now, self.slot, now.since(self.sent));
     }
 
     /// Notes that the answer moved on; a heartbeat of the agent is no such sign.
@@ -255,7 +256,9 @@
         let last = Moment::from_micros(self.told.load(Ordering::Relaxed));
         if now.since(last) > TELL {
             self.told.store(now.as_micros(), Ordering::Relaxed);
-            self.chooser.shards[self.shard].lock().moved(now, self.slot);
+            self.chooser.shards[self.shard]
+                .lock()
+                .record_progress(now, self.slot);
         }
     }
 
@@ -265,11 +268,11 @@
         let host = &self.member.announce.agent.host;
         self.chooser.shards[self.shard]
             .lock()
-            .report(now, host, load);
+            .record_load(now, host, load);
     }
 
     /// Says how the request ended; unsaid, it says nothing of the server.
-    pub fn done(&mut self, how: Ended) {
+    pub fn done(&mut self, how: RequestEnd) {
         self.how = how;
     }
 }
@@ -288,7 +291,7 @@
         let agent = &self.member.announce.agent;
         self.chooser.shards[self.shard]
             .lock()
-            .ended(now, self.slot, agent, self.how);
+            .record_end(now, self.slot, agent, self.how);
     }
 }
 
@@ -296,9 +299,9 @@
     (wanted.family() % SHARDS as u64) as usize
 }
 
-fn facts(member: &Member) -> Facts {
+fn facts(member: &Member) -> ServerFacts {
     let announce = &member.announce;
-    Facts {
+    ServerFacts {
         agent: announce.agent.clone(),
         zone: announce.zone.clone(),
         region: announce.region.clone(),
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -58,7 +58,7 @@
             lease: settings.limits.lease,
             ..Tuning::default()
         };
-        let seed = snipemast_routing::hash::stable(&shared.process);
+        let seed = snipemast_routing::hash::stable_hash(&shared.process);
         let seeds = settings.seeds.clone();
         let node = Node::new(self.clock.now(), card, seeds, tuning, seed);
         // A process begins once; a second word changes nothing.
--- a/crates/entry/src/keys.rs
+++ b/crates/entry/src/keys.rs
@@ -8,10 +8,10 @@
 
 use snipemast_core::prelude::*;
 use snipemast_requests::claim::Round;
-use snipemast_requests::suspicion::{Entry as SuspicionEntry, Known, Standing};
+use snipemast_requests::suspicion::{KnownFacts, SuspicionEntry, SuspicionState};
 use snipemast_requests::{
-    ClaimKey, ClaimStep, ClaimValue, Claimed, Claimer, Crash, Fingerprint, Keeper, KeeperAnswer,
-    KeeperAsk, Suspicions,
+    ClaimKey, ClaimResult, ClaimStep, ClaimValue, Claimer, Crash, Fingerprint, Keeper,
+    KeeperAnswer, KeeperAsk, Suspicions,
 };
 use snipemast_wire::message::path;
 use snipemast_wire::{spawn, Peer, Suspected};
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimOutcome {
     /// The verdict.
-    pub claimed: Claimed,
+    pub claimed: ClaimResult,
     /// The value that was chosen.
     pub value: Option<ClaimValue>,
     /// The number of the key's attempt.
@@ -67,7 +67,7 @@
         let config = shared.config();
         let now = shared.clock.now();
         let mut keeper = self.keeper.lock();
-        keeper.apply(now, &config.keepers);
+        keeper.apply_table(now, &config.keepers);
         keeper.handle(now, ask)
     }
 
@@ -75,7 +75,7 @@
     pub fn is_ready(&self, shared: &Shared) -> bool {
         let (config, now) = (shared.config(), shared.clock.now());
         let mut keeper = self.keeper.lock();
-        keeper.apply(now, &config.keepers);
+        keeper.apply_table(now, &config.keepers);
         keeper.is_ready(now)
     }
 
@@ -85,12 +85,12 @@
     }
 
     /// What is known of a request.
-    pub fn standing(&self, now: Moment, fingerprint: Fingerprint) -> Standing {
+    pub fn standing(&self, now: Moment, fingerprint: Fingerprint) -> SuspicionState {
         let suspicions = self.suspicions.read();
         if suspicions.is_empty() {
-            return Standing::Clear;
+            return SuspicionState::Clear;
         }
-        suspicions.standing(now, fingerprint)
+        suspicions.state(now, fingerprint)
     }
 
     /// Every request under suspicion, with the number of its crashes.
@@ -102,7 +102,7 @@
     /// Clears a request that finished.
     pub fn finished(&self, now: Moment, fingerprint: Fingerprint) {
         if !self.suspicions.read().is_empty() {
-            self.suspicions.write().finished(now, fingerprint);
+            self.suspicions.write().record_completion(now, fingerprint);
         }
     }
 
@@ -125,7 +125,9 @@
     /// was answered, and it is answered after the entries that can be reached know.
     pub async fn crashed(&self, shared: &Shared, fingerprint: Fingerprint, crash: Crash) {
         let now = shared.clock.now();
-        self.suspicions.write().crashed(now, fingerprint, crash);
+        self.suspicions
+            .write()
+            .record_crash(now, fingerprint, crash);
         self.tell(shared).await;
     }
 
@@ -133,9 +135,9 @@
         let delta = self
             .suspicions
             .read()
-            .delta(shared.clock.now(), &Known::default());
+            .delta(shared.clock.now(), &KnownFacts::default());
         let message = Suspected {
-            known: Known::default(),
+            known: KnownFacts::default(),
             delta,
         };
         let tell = |address| {
@@ -161,13 +163,13 @@
         self.merge(now, message.delta);
         let suspicions = self.suspicions.read();
         Suspected {
-            known: suspicions.known(),
+            known: suspicions.known_facts(),
             delta: suspicions.delta(now, &message.known),
         }
     }
 
     /// What this entry suspects and another lacks, for whatever carries it.
-    pub fn delta(&self, now: Moment, known: &Known) -> Vec<SuspicionEntry> {
+    pub fn delta(&self, now: Moment, known: &KnownFacts) -> Vec<SuspicionEntry> {
         self.suspicions.read().delta(now, known)
     }
 
@@ -190,7 +192,7 @@
         let shard = key.shard(config.keepers.len());
         let Some(hosts) = config.keepers.get(shard) else {
             return ClaimOutcome {
-                claimed: Claimed::Unsure,
+                claimed: ClaimResult::Undecided,
                 value: None,
                 attempt,
             };
@@ -273,7 +275,7 @@
     }
 
     async fn copy_missing(&self, shared: &Shared) {
-        let missing = self.keeper.lock().missing();
+        let missing = self.keeper.lock().missing_copies();
         for (shard, host) in missing {
             let Some(address) = others(shared).remove(&host) else {
                 continue;
@@ -286,7 +288,7 @@
                 .await;
             if let Ok(KeeperAnswer::Copied { claims }) = answer {
                 let now = shared.clock.now();
-                self.keeper.lock().copied(now, shard, &host, claims);
+                self.keeper.lock().merge_copy(now, shard, &host, claims);
             }
         }
     }
@@ -298,7 +300,7 @@
             return;
         }
         let peer = self.peer(others[turn as usize % others.len()]);
-        let known = self.suspicions.read().known();
+        let known = self.suspicions.read().known_facts();
         let message = Suspected {
             known,
             delta: Vec::new(),
@@ -333,7 +335,7 @@
         let now = shared.clock.now();
         {
             let mut keeper = shared.keys.keeper.lock();
-            keeper.apply(now, &config.keepers);
+            keeper.apply_table(now, &config.keepers);
             keeper.expire(now);
         }
         shared.keys.copy_missing(&shared).await;
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -67,7 +67,8 @@
     let admitted = admit(shared, config, demand).await?;
     let plan = plan(shared, &ask, idempotent);
     let key = ask.key.clone();
-    let fingerprint = Fingerprint::of(&workspace, ask.method.as_str(), &ask.path, &ask.body);
+    let fingerprint =
+        Fingerprint::for_request(&workspace, ask.method.as_str(), &ask.path, &ask.body);
     let order = Order {
         request,
         workspace,
@@ -108,9 +109,9 @@
         // Idempotent requests need no claim: a second run does no harm.
         keyed: ask.key.is_some() && !idempotent,
         deadline: shared.clock.now() + limits.deadline,
-        attempts: ATTEMPTS,
-        silence: limits.silence,
-        body: HELD_BODY,
+        max_attempts: ATTEMPTS,
+        max_silence: limits.silence,
+        max_body: HELD_BODY,
     }
 }
 
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -10,7 +10,7 @@
 use snipemast_control::machine::Submission;
 use snipemast_core::prelude::*;
 use snipemast_requests::RetryBudget;
-use snipemast_routing::Place;
+use snipemast_routing::Location;
 use snipemast_settings::EntrySettings;
 
 use crate::admit::Admission;
@@ -61,7 +61,7 @@
     /// The state of a process that starts now.
     pub fn new(settings: EntrySettings, process: ProcessId, journal: Journal) -> Self {
         let spread = Spread::new(Arc::default());
-        let place = Place {
+        let place = Location {
             zone: settings.zone.clone(),
             region: settings.region.clone(),
         };
--- a/crates/requests/src/answer.rs
+++ b/crates/requests/src/answer.rs
@@ -74,7 +74,7 @@
         /// The agent refused: it did not run.
         Refused {
             /// Why.
-            reason: Refused,
+            reason: RefusalReason,
         },
     }
 
@@ -99,7 +99,7 @@
     /// Why an agent refused a dispatch or a resume.
     #[derive(Copy, Hash)]
     #[serde(rename_all = "kebab-case")]
-    pub enum Refused {
+    pub enum RefusalReason {
         /// It was addressed to another incarnation.
         Incarnation,
         /// The agent drains.
@@ -123,7 +123,7 @@
     /// The agent's word on an attempt.
     #[derive(Copy, Hash)]
     #[serde(rename_all = "kebab-case")]
-    pub enum Settled {
+    pub enum AttemptStatus {
         /// It runs.
         Running,
         /// It finished.
@@ -141,7 +141,7 @@
 
 impl Tag {
     /// The tag of a dispatch.
-    pub fn of(id: &DispatchId) -> Self {
+    pub fn for_dispatch(id: &DispatchId) -> Self {
         let mut hash = Xxh3::new();
         hash.update(id.entry.host.as_str().as_bytes());
         hash.update(&id.entry.incarnation.get().to_be_bytes());
@@ -170,7 +170,7 @@
     }
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for RefusalReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Incarnation => "addressed to another incarnation of the agent",
--- a/crates/requests/src/claim.rs
+++ b/crates/requests/src/claim.rs
@@ -164,7 +164,7 @@
 
 impl Fingerprint {
     /// The fingerprint of a request.
-    pub fn of(workspace: &WorkspaceId, method: &str, path: &str, body: &[u8]) -> Self {
+    pub fn for_request(workspace: &WorkspaceId, method: &str, path: &str, body: &[u8]) -> Self {
         let mut hash = blake3::Hasher::new();
         for part in [
             workspace.as_str().as_bytes(),
--- a/crates/requests/src/claimer.rs
+++ b/crates/requests/src/claimer.rs
@@ -5,7 +5,7 @@
 use crate::claim::{
     AcceptedClaim, ClaimKey, ClaimValue, KeeperAnswer, KeeperAsk, KeepersMark, Round, Slot,
 };
-use crate::plan::{Claimed, Target};
+use crate::plan::{ClaimResult, Target};
 
 /// The keepers of a key.
 const KEEPERS: usize = 3;
@@ -26,7 +26,7 @@
     /// Wait for further answers.
     Wait,
     /// The claim is decided: for this value, and this attempt of the key.
-    Done(Claimed, Option<ClaimValue>, u64),
+    Done(ClaimResult, Option<ClaimValue>, u64),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -92,7 +92,7 @@
     pub fn begin(&mut self) -> ClaimStep {
         self.rounds += 1;
         if self.rounds > ROUNDS {
-            return self.done(Claimed::Unsure, None);
+            return self.done(ClaimResult::Undecided, None);
         }
         self.phase = Phase::Preparing;
         self.promises.clear();
@@ -155,7 +155,7 @@
         let latest = latest.max_by(|a, b| a.round.cmp(&b.round));
         let value = latest.map_or(&self.own, |a| &a.value).clone();
         if value.body != self.own.body {
-            return self.done(Claimed::Mismatch, None);
+            return self.done(ClaimResult::Mismatch, None);
         }
         let keepers: Vec<usize> = self.promises.iter().map(|(k, _, _)| *k).collect();
         let promised = self.promises.iter().map(|(_, by, _)| by.clone()).collect();
@@ -179,9 +179,9 @@
             return self.without();
         }
         let claimed = if value.target == self.own.target {
-            Claimed::Won
+            ClaimResult::Won
         } else {
-            Claimed::Held(value.target.clone())
+            ClaimResult::Held(value.target.clone())
         };
         self.done(claimed, Some(value))
     }
@@ -206,14 +206,14 @@
         self.round.number = self.highest + 1;
         self.phase = Phase::Pausing;
         if self.rounds >= ROUNDS {
-            return self.done(Claimed::Unsure, None);
+            return self.done(ClaimResult::Undecided, None);
         }
         // Two claimers that outran each other must not do so again in step.
         let spread = 1 + self.own.target.id.counter % 7;
         ClaimStep::Pause(PAUSE.times(self.rounds * spread))
     }
 
-    fn done(&mut self, claimed: Claimed, value: Option<ClaimValue>) -> ClaimStep {
+    fn done(&mut self, claimed: ClaimResult, value: Option<ClaimValue>) -> ClaimStep {
         self.phase = Phase::Done;
         ClaimStep::Done(claimed, value, self.slot.attempt)
     }
--- a/crates/requests/src/keeper.rs
+++ b/crates/requests/src/keeper.rs
@@ -83,7 +83,7 @@
     }
 
     /// Takes a later table.
-    pub fn apply(&mut self, now: Moment, table: &Table) {
+    pub fn apply_table(&mut self, now: Moment, table: &Table) {
         if self.table.len() != table.len() {
             return self.reshape(now, table);
         }
@@ -149,7 +149,7 @@
     }
 
     /// The copies that are still missing: of which shard, from which host.
-    pub fn missing(&self) -> Vec<(u32, HostId)> {
+    pub fn missing_copies(&self) -> Vec<(u32, HostId)> {
         let mut missing = Vec::new();
         for (number, shard) in &self.shards {
             if let Standing::Copies { from, done, .. } = &shard.standing {
@@ -285,7 +285,13 @@
     }
 
     /// Takes the claims that another keeper handed over.
-    pub fn copied(&mut self, now: Moment, number: u32, host: &HostId, claims: Vec<CopiedClaim>) {
+    pub fn merge_copy(
+        &mut self,
+        now: Moment,
+        number: u32,
+        host: &HostId,
+        claims: Vec<CopiedClaim>,
+    ) {
         let Some(shard) = self.shards.get_mut(&number) else {
             return;
         };
--- a/crates/requests/src/ledger.rs
+++ b/crates/requests/src/ledger.rs
@@ -4,7 +4,7 @@
 
 use snipemast_core::prelude::*;
 
-use crate::answer::{Failure, Frame, Part, Refused, Settled, Tag};
+use crate::answer::{AttemptStatus, Failure, Frame, Part, RefusalReason, Tag};
 use crate::kept::Kept;
 
 /// How long an id is remembered beyond the last moment its sender may use it.
@@ -20,7 +20,7 @@
     /// Bytes of answers that are kept in all.
     pub bytes: usize,
     /// Bytes of one answer that are kept.
-    pub answer: usize,
+    pub answer_bytes: usize,
 }
 
 /// A dispatch that arrives.
@@ -40,13 +40,13 @@
 
 /// What to do with a dispatch that arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Arrived {
+pub enum ArrivalOutcome {
     /// Run it: it is the first of its id.
     Run,
     /// Answer from what the ledger keeps: it has run or runs.
     Attach,
     /// Refuse it: this arrival did not run.
-    Refused(Refused),
+    Refused(RefusalReason),
 }
 
 /// What a reader of an answer gets next.
@@ -60,7 +60,7 @@
 
 /// How far a reader of an answer has come.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct ReadPosition {
     /// Whether it has the head.
     pub head: bool,
     /// The bytes of the body that it has.
@@ -72,7 +72,7 @@
     Running,
     Finished(LoadReport),
     Failed(Failure),
-    Refused(Refused),
+    Refused(RefusalReason),
 }
 
 #[derive(Debug)]
@@ -135,38 +135,38 @@
     }
 
     /// Takes a dispatch that arrives.
-    pub fn arrive(&mut self, now: Moment, arrival: &Arrival) -> Arrived {
+    pub fn arrive(&mut self, now: Moment, arrival: &Arrival) -> ArrivalOutcome {
         if arrival.agent != self.own {
-            return Arrived::Refused(Refused::Incarnation);
+            return ArrivalOutcome::Refused(RefusalReason::Incarnation);
         }
         if let Some(entry) = self.entries.get(&arrival.id) {
             return match entry.state {
-                State::Refused(reason) => Arrived::Refused(reason),
-                State::Running | State::Finished(_) | State::Failed(_) => Arrived::Attach,
+                State::Refused(reason) => ArrivalOutcome::Refused(reason),
+                State::Running | State::Finished(_) | State::Failed(_) => ArrivalOutcome::Attach,
             };
         }
         self.expire(now);
         if let Some(reason) = self.refusal(arrival) {
-            if reason == Refused::Full {
+            if reason == RefusalReason::Full {
                 // A refusal binds: a second copy must not run once there is room again.
                 self.raise(&arrival.id);
             }
-            return Arrived::Refused(reason);
+            return ArrivalOutcome::Refused(reason);
         }
         let until = now + arrival.left.max(arrival.keep) + MARGIN;
         self.insert(&arrival.id, State::Running, until, arrival.suspect);
-        Arrived::Run
+        ArrivalOutcome::Run
     }
 
-    fn refusal(&self, arrival: &Arrival) -> Option<Refused> {
+    fn refusal(&self, arrival: &Arrival) -> Option<RefusalReason> {
         if self.is_below(&arrival.id) {
-            Some(Refused::Expired)
+            Some(RefusalReason::Expired)
         } else if self.draining {
-            Some(Refused::Draining)
+            Some(RefusalReason::Draining)
         } else if arrival.left == Span::default() {
-            Some(Refused::Late)
+            Some(RefusalReason::Late)
         } else if self.entries.len() >= self.limits.entries {
-            Some(Refused::Full)
+            Some(RefusalReason::Full)
         } else {
             None
         }
@@ -183,34 +183,34 @@
         id: &DispatchId,
         agent: &ProcessId,
         keep: Span,
-    ) -> Settled {
+    ) -> AttemptStatus {
         if *agent != self.own {
-            return Settled::Gone;
+            return AttemptStatus::Gone;
         }
         if let Some(entry) = self.entries.get(id) {
             return match entry.state {
-                State::Running => Settled::Running,
-                State::Finished(_) => Settled::Finished,
-                State::Failed(reason) => Settled::Failed(reason),
-                State::Refused(_) => Settled::Barred,
+                State::Running => AttemptStatus::Running,
+                State::Finished(_) => AttemptStatus::Finished,
+                State::Failed(reason) => AttemptStatus::Failed(reason),
+                State::Refused(_) => AttemptStatus::Barred,
             };
         }
         if self.is_below(id) {
-            return Settled::Forgotten;
+            return AttemptStatus::Forgotten;
         }
         self.expire(now);
         if self.entries.len() < self.limits.entries {
-            let barred = State::Refused(Refused::Barred);
+            let barred = State::Refused(RefusalReason::Barred);
             self.insert(id, barred, now + keep + MARGIN, false);
         } else {
             // A full ledger bars by the floor, which takes no memory.
             self.raise(id);
         }
-        Settled::Barred
+        AttemptStatus::Barred
     }
 
     /// Sets the head of a running answer.
-    pub fn head(&mut self, id: &DispatchId, status: u16, headers: Vec<crate::Header>) {
+    pub fn set_head(&mut self, id: &DispatchId, status: u16, headers: Vec<crate::Header>) {
         if let Some(entry) = self.running(id) {
             entry.kept.set_head(status, headers);
         }
@@ -218,7 +218,7 @@
 
     /// Adds a piece to a running answer; false where it was stopped meanwhile.
     pub fn append(&mut self, id: &DispatchId, piece: &[u8]) -> bool {
-        let bound = self.limits.answer;
+        let bound = self.limits.answer_bytes;
         let Some(entry) = self.running(id) else {
             return false;
         };
@@ -239,7 +239,7 @@
     }
 
     /// Ends a running dispatch that surely never reached the backend server.
-    pub fn refuse(&mut self, id: &DispatchId, reason: Refused) {
+    pub fn refuse(&mut self, id: &DispatchId, reason: RefusalReason) {
         self.end(id, State::Refused(reason));
     }
 
@@ -250,14 +250,14 @@
         id: &DispatchId,
         agent: &ProcessId,
         keep: Span,
-    ) -> Settled {
+    ) -> AttemptStatus {
         let settled = self.settle(now, id, agent, keep);
         self.fail(id, Failure::Cancelled);
         settled
     }
 
     /// Whether a dispatch is remembered.
-    pub fn knows(&self, id: &DispatchId) -> bool {
+    pub fn is_known(&self, id: &DispatchId) -> bool {
         self.entries.contains_key(id)
     }
 
@@ -274,14 +274,14 @@
     }
 
     /// The length of an answer's body so far.
-    pub fn total(&self, id: &DispatchId) -> u64 {
+    pub fn body_length(&self, id: &DispatchId) -> u64 {
         self.entries.get(id).map_or(0, |e| e.kept.total())
     }
 
     /// What comes next for a reader at this place.
-    pub fn read(&self, id: &DispatchId, place: Place, limit: usize) -> Read {
+    pub fn read(&self, id: &DispatchId, place: ReadPosition, limit: usize) -> Read {
         let Some(entry) = self.entries.get(id) else {
-            let reason = Refused::Unknown;
+            let reason = RefusalReason::Unknown;
             return Read::Part(Part::Refused { reason });
         };
         if let (false, Some((status, headers))) = (place.head, entry.kept.head()) {
@@ -301,9 +301,9 @@
     }
 
     /// What comes next for a reader, as a frame.
-    pub fn frame(&self, id: &DispatchId, place: Place, limit: usize) -> Option<Frame> {
+    pub fn next_frame(&self, id: &DispatchId, place: ReadPosition, limit: usize) -> Option<Frame> {
         match self.read(id, place, limit) {
-            Read::Part(part) => Some(Frame::new(Tag::of(id), part)),
+            Read::Part(part) => Some(Frame::new(Tag::for_dispatch(id), part)),
             Read::Wait => None,
         }
     }
--- a/crates/requests/src/lib.rs
+++ b/crates/requests/src/lib.rs
@@ -26,15 +26,15 @@
 pub mod suspicion;
 pub mod verdict;
 
-pub use answer::{Failure, Frame, Header, Part, Refused, Settled, Tag};
+pub use answer::{AttemptStatus, Failure, Frame, Header, Part, RefusalReason, Tag};
 pub use assembler::{Assembled, Assembler, Piece};
 pub use budget::RetryBudget;
 pub use claim::{ClaimKey, ClaimValue, Fingerprint, KeeperAnswer, KeeperAsk};
 pub use claimer::{ClaimStep, Claimer};
 pub use keeper::{moves_one, Keeper, Table};
 pub use kept::Kept;
-pub use ledger::{Arrival, Arrived, Ledger, LedgerLimits, Read};
-pub use plan::{Claimed, Input, Link, Loss, Output, Plan, Target};
+pub use ledger::{Arrival, ArrivalOutcome, Ledger, LedgerLimits, Read};
+pub use plan::{ClaimResult, Input, Link, Loss, Output, Plan, Target};
 pub use request::{Outputs, RequestMachine};
 pub use suspicion::{Crash, Suspicions};
 pub use verdict::{Reason, Verdict};
--- a/crates/requests/src/plan.rs
+++ b/crates/requests/src/plan.rs
@@ -3,7 +3,7 @@
 use snipemast_core::data;
 use snipemast_core::prelude::*;
 
-use crate::answer::{Frame, Header, Settled};
+use crate::answer::{AttemptStatus, Frame, Header};
 use crate::suspicion::Crash;
 use crate::verdict::Verdict;
 
@@ -19,11 +19,11 @@
     /// When the caller no longer waits.
     pub deadline: Moment,
     /// How often it is dispatched at most.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// How long a connection may be silent.
-    pub silence: Span,
+    pub max_silence: Span,
     /// The longest body that is held for a caller that doesn't stream.
-    pub body: usize,
+    pub max_body: usize,
 }
 
 data! {
@@ -51,7 +51,7 @@
 
 /// What became of the claim of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Claimed {
+pub enum ClaimResult {
     /// This attempt is the one that may run.
     Won,
     /// Another attempt of the key goes first; its answer is the answer.
@@ -59,7 +59,7 @@
     /// The key stands for another body.
     Mismatch,
     /// No majority of its keepers answered.
-    Unsure,
+    Undecided,
 }
 
 /// What a request is told.
@@ -76,13 +76,13 @@
     /// It is suspected of crashing backend servers, and runs elsewhere now.
     SuspectRuns,
     /// The claim of the key was decided, for the attempt with this number.
-    Claimed(Claimed, u64),
+    Claimed(ClaimResult, u64),
     /// A frame came.
     Frame(Link, Frame),
     /// A connection or call was lost.
     Lost(Link, Loss),
     /// The agent settled the attempt.
-    Settled(Link, DispatchId, Settled),
+    Settled(Link, DispatchId, AttemptStatus),
     /// The moment that was asked for has come.
     Tick,
     /// The caller left.
--- a/crates/requests/src/request.rs
+++ b/crates/requests/src/request.rs
@@ -4,9 +4,9 @@
 
 use snipemast_core::prelude::*;
 
-use crate::answer::{Failure, Frame, Part, Refused, Settled, Tag};
+use crate::answer::{AttemptStatus, Failure, Frame, Part, RefusalReason, Tag};
 use crate::assembler::{Assembled, Assembler, Piece};
-use crate::plan::{Claimed, Input, Link, Loss, Output, Plan, Target};
+use crate::plan::{ClaimResult, Input, Link, Loss, Output, Plan, Target};
 use crate::suspicion::Crash;
 use crate::verdict::{Reason, Verdict};
 
@@ -95,7 +95,7 @@
     }
 
     /// When the machine must be given [`Input::Tick`].
-    pub fn wake(&self) -> Moment {
+    pub fn next_wake(&self) -> Moment {
         self.wake.min(self.plan.deadline)
     }
 
@@ -174,16 +174,16 @@
         }
     }
 
-    fn claimed(&mut self, now: Moment, claimed: Claimed, number: u64, out: &mut Outputs) {
+    fn claimed(&mut self, now: Moment, claimed: ClaimResult, number: u64, out: &mut Outputs) {
         let State::Claiming(target) = &self.state else {
             return;
         };
         self.claim = number;
         match claimed {
-            Claimed::Won => self.dispatch(now, target.clone(), out),
-            Claimed::Held(target) => self.attach(now, target, out),
-            Claimed::Mismatch => self.fail(Reason::KeyReused, Outcome::NotRun, out),
-            Claimed::Unsure => self.fail(Reason::KeyUnsure, Outcome::NotRun, out),
+            ClaimResult::Won => self.dispatch(now, target.clone(), out),
+            ClaimResult::Held(target) => self.attach(now, target, out),
+            ClaimResult::Mismatch => self.fail(Reason::KeyReused, Outcome::NotRun, out),
+            ClaimResult::Undecided => self.fail(Reason::KeyUnsure, Outcome::NotRun, out),
         }
     }
 
@@ -202,7 +202,7 @@
     }
 
     fn begin(&mut self, target: &Target) {
-        self.tag = Some(Tag::of(&target.id));
+        self.tag = Some(Tag::for_dispatch(&target.id));
         self.attached = false;
         self.accepted = false;
         self.tries = 0;
@@ -213,7 +213,7 @@
     fn read(&mut self, now: Moment, target: Target) {
         self.link += 1;
         self.state = State::Reading(target);
-        self.wake = now + self.plan.silence;
+        self.wake = now + self.plan.max_silence;
     }
 
     fn resume(&mut self, now: Moment, target: Target, out: &mut Outputs) {
@@ -223,7 +223,7 @@
 
     fn settle(&mut self, now: Moment, target: Target, out: &mut Outputs) {
         self.link += 1;
-        self.wake = now + self.plan.silence;
+        self.wake = now + self.plan.max_silence;
         out.push_back(Output::Settle(self.link, target.clone()));
         self.state = State::Settling(target);
     }
@@ -236,7 +236,7 @@
             out.push_back(Output::Dropped);
             return;
         }
-        self.wake = now + self.plan.silence;
+        self.wake = now + self.plan.max_silence;
         match frame.part {
             Part::Accepted { .. } => self.accepted = true,
             Part::Beat => {}
@@ -274,7 +274,7 @@
         if self.plan.stream {
             self.pass_head(out);
             out.push_back(Output::Data(bytes));
-        } else if self.held.len() + bytes.len() > self.plan.body {
+        } else if self.held.len() + bytes.len() > self.plan.max_body {
             let target = self.target().cloned();
             out.extend(target.map(Output::Cancel));
             self.fail(Reason::TooLong, Outcome::Ran, out);
@@ -326,17 +326,17 @@
         self.over(Reason::Failed(reason), Outcome::Ran, out);
     }
 
-    fn refused(&mut self, now: Moment, reason: Refused, out: &mut Outputs) {
+    fn refused(&mut self, now: Moment, reason: RefusalReason, out: &mut Outputs) {
         match reason {
             // The agent that took the attempt is gone, and its word with it.
-            Refused::Incarnation if self.accepted || self.attached || self.tries > 0 => {
+            RefusalReason::Incarnation if self.accepted || self.attached || self.tries > 0 => {
                 self.over(Reason::Lost, Outcome::Unknown, out);
             }
             // The attempt may still be under way to the agent: ask again, then settle it.
-            Refused::Unknown if self.tries < TRIES_IDEMPOTENT => {
+            RefusalReason::Unknown if self.tries < TRIES_IDEMPOTENT => {
                 self.again(now, Then::Resume, out);
             }
-            Refused::Unknown => self.ask(now, Then::Settle, out),
+            RefusalReason::Unknown => self.ask(now, Then::Settle, out),
             _ => self.not_run(Reason::Refused(reason), out),
         }
     }
@@ -365,7 +365,7 @@
         self.tries == 0 && !self.attached && !self.accepted
     }
 
-    fn settled(&mut self, now: Moment, id: &DispatchId, settled: Settled, out: &mut Outputs) {
+    fn settled(&mut self, now: Moment, id: &DispatchId, settled: AttemptStatus, out: &mut Outputs) {
         let State::Settling(target) = &self.state else {
             return;
         };
@@ -375,13 +375,13 @@
         }
         let target = target.clone();
         match settled {
-            Settled::Running | Settled::Finished => {
+            AttemptStatus::Running | AttemptStatus::Finished => {
                 self.accepted = true;
                 self.resume(now, target, out);
             }
-            Settled::Failed(reason) => self.failed(reason, out),
-            Settled::Barred => self.not_run(Reason::Lost, out),
-            Settled::Forgotten | Settled::Gone => {
+            AttemptStatus::Failed(reason) => self.failed(reason, out),
+            AttemptStatus::Barred => self.not_run(Reason::Lost, out),
+            AttemptStatus::Forgotten | AttemptStatus::Gone => {
                 self.over(Reason::Lost, Outcome::Unknown, out);
             }
         }
@@ -440,7 +440,7 @@
     /// The current attempt surely did not run: another is always safe.
     fn not_run(&mut self, reason: Reason, out: &mut Outputs) {
         self.claim += 1;
-        if self.attempts < self.plan.attempts && !self.passed {
+        if self.attempts < self.plan.max_attempts && !self.passed {
             self.choose(out);
         } else {
             self.fail(reason, Outcome::NotRun, out);
@@ -450,7 +450,7 @@
     /// The current attempt ran or may have run: another is safe only where it may run twice.
     fn over(&mut self, reason: Reason, outcome: Outcome, out: &mut Outputs) {
         let safe = self.plan.idempotent && !self.passed;
-        if safe && self.attempts < self.plan.attempts {
+        if safe && self.attempts < self.plan.max_attempts {
             self.worst = worse(self.worst, outcome);
             self.choose(out);
         } else {
--- a/crates/requests/src/suspicion.rs
+++ b/crates/requests/src/suspicion.rs
@@ -44,7 +44,7 @@
     }
 
     /// A fact with its place among those of its source.
-    pub struct Entry {
+    pub struct SuspicionEntry {
         /// The entry that found it.
         pub source: ProcessId,
         /// Its number among the source's facts.
@@ -57,7 +57,7 @@
 
     /// How many facts of each source are known.
     #[derive(Default)]
-    pub struct Known {
+    pub struct KnownFacts {
         /// The highest number of each.
         pub sources: BTreeMap<ProcessId, u64>,
     }
@@ -65,7 +65,7 @@
 
 /// What a request is, as far as is known.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Standing {
+pub enum SuspicionState {
     /// Nothing speaks against it.
     Clear,
     /// It was in flight at this crash.
@@ -98,7 +98,7 @@
     }
 
     /// Takes note that a request was in flight at a crash.
-    pub fn crashed(&mut self, now: Moment, fingerprint: Fingerprint, crash: Crash) {
+    pub fn record_crash(&mut self, now: Moment, fingerprint: Fingerprint, crash: Crash) {
         let fact = Fact::Crashed { fingerprint, crash };
         let until = now + self.hold;
         if !self.all(now).any(|known| *known == fact) {
@@ -107,8 +107,8 @@
     }
 
     /// Takes note that a request finished: it did not crash what it was suspected of.
-    pub fn finished(&mut self, now: Moment, fingerprint: Fingerprint) {
-        if let Standing::Suspect(_) = self.standing(now, fingerprint) {
+    pub fn record_completion(&mut self, now: Moment, fingerprint: Fingerprint) {
+        if let SuspicionState::Suspect(_) = self.state(now, fingerprint) {
             self.lift(now, fingerprint);
         }
     }
@@ -128,12 +128,12 @@
     }
 
     /// What a request is.
-    pub fn standing(&self, now: Moment, fingerprint: Fingerprint) -> Standing {
+    pub fn state(&self, now: Moment, fingerprint: Fingerprint) -> SuspicionState {
         let open = self.open(now, fingerprint);
         match open.first() {
-            None => Standing::Clear,
-            Some(_) if open.len() >= QUARANTINE => Standing::Quarantined,
-            Some(crash) => Standing::Suspect(crash.clone()),
+            None => SuspicionState::Clear,
+            Some(_) if open.len() >= QUARANTINE => SuspicionState::Quarantined,
+            Some(crash) => SuspicionState::Suspect(crash.clone()),
         }
     }
 
@@ -154,24 +154,24 @@
     }
 
     /// How many facts of each source are known.
-    pub fn known(&self) -> Known {
+    pub fn known_facts(&self) -> KnownFacts {
         let last = |(source, facts): (&ProcessId, &BTreeMap<u64, _>)| {
             let number = facts.last_key_value().map_or(0, |(n, _)| *n);
             (source.clone(), number)
         };
         let sources = self.facts.iter().map(last).collect();
-        Known { sources }
+        KnownFacts { sources }
     }
 
     /// What another entry lacks.
-    pub fn delta(&self, now: Moment, known: &Known) -> Vec<Entry> {
+    pub fn delta(&self, now: Moment, known: &KnownFacts) -> Vec<SuspicionEntry> {
         let mut delta = Vec::new();
         for (source, facts) in &self.facts {
             let after = known.sources.get(source).copied().unwrap_or(0);
             let fresh = facts
                 .range(after + 1..)
                 .filter(|(_, (until, _))| *until > now);
-            delta.extend(fresh.map(|(number, (until, fact))| Entry {
+            delta.extend(fresh.map(|(number, (until, fact))| SuspicionEntry {
                 source: source.clone(),
                 number: *number,
                 left: now.until(*until),
@@ -182,7 +182,7 @@
     }
 
     /// Takes what another entry knows.
-    pub fn merge(&mut self, now: Moment, delta: Vec<Entry>) {
+    pub fn merge(&mut self, now: Moment, delta: Vec<SuspicionEntry>) {
         for entry in delta {
             if entry.source == self.own {
                 continue;
--- a/crates/requests/src/verdict.rs
+++ b/crates/requests/src/verdict.rs
@@ -5,7 +5,7 @@
 use snipemast_core::data;
 use snipemast_core::prelude::*;
 
-use crate::answer::{Failure, Refused};
+use crate::answer::{Failure, RefusalReason};
 
 data! {
     /// How a request ended, and what its caller may conclude.
@@ -23,7 +23,7 @@
         /// No backend server can take it.
         NoServer,
         /// The last agent refused it.
-        Refused(Refused),
+        Refused(RefusalReason),
         /// The agent can't be asked any more.
         Lost,
         /// The backend server failed.
--- a/crates/requests/tests/answers.rs
+++ b/crates/requests/tests/answers.rs
@@ -3,10 +3,10 @@
 use quickcheck::{Gen, QuickCheck, Testable};
 
 use snipemast_core::prelude::*;
-use snipemast_requests::ledger::Place;
+use snipemast_requests::ledger::ReadPosition;
 use snipemast_requests::{
-    Arrival, Arrived, Assembled, Assembler, Failure, Frame, Input, Ledger, LedgerLimits, Output,
-    Outputs, Part, Piece, Plan, Reason, RequestMachine, Settled, Tag, Target,
+    Arrival, ArrivalOutcome, Assembled, Assembler, AttemptStatus, Failure, Frame, Input, Ledger,
+    LedgerLimits, Output, Outputs, Part, Piece, Plan, Reason, RequestMachine, Tag, Target,
 };
 
 const NOW: Moment = Moment::from_millis(1_000);
@@ -30,11 +30,11 @@
 }
 
 fn ledger(entries: usize, bytes: usize) -> Ledger {
-    let answer = 1 << 20;
+    let answer_bytes = 1 << 20;
     let limits = LedgerLimits {
         entries,
         bytes,
-        answer,
+        answer_bytes,
     };
     Ledger::new(process("agent-0"), limits)
 }
@@ -45,12 +45,12 @@
         stream,
         keyed: false,
         deadline: NOW + Span::from_secs(30),
-        attempts: 3,
-        silence: Span::from_secs(2),
-        body: 1 << 10,
+        max_attempts: 3,
+        max_silence: Span::from_secs(2),
+        max_body: 1 << 10,
     };
     let (id, agent) = (dispatch(1), process("agent-0"));
-    let tag = Tag::of(&id);
+    let tag = Tag::for_dispatch(&id);
     let mut machine = RequestMachine::new(plan);
     let mut out = Outputs::new();
     machine.handle(NOW, Input::Start, &mut out);
@@ -122,16 +122,16 @@
 fn answers_shed() {
     let mut ledger = ledger(100, 1_000);
     for n in 0..20 {
-        assert_eq!(ledger.arrive(NOW, &arrival(n)), Arrived::Run);
+        assert_eq!(ledger.arrive(NOW, &arrival(n)), ArrivalOutcome::Run);
         ledger.append(&dispatch(n), &[1; 100]);
         ledger.finish(&dispatch(n), LoadReport::default());
     }
     assert!(ledger.bytes() <= 1_000);
-    assert_eq!(ledger.arrive(NOW, &arrival(0)), Arrived::Attach);
-    let frame = ledger.frame(&dispatch(0), Place::default(), 64);
+    assert_eq!(ledger.arrive(NOW, &arrival(0)), ArrivalOutcome::Attach);
+    let frame = ledger.next_frame(&dispatch(0), ReadPosition::default(), 64);
     let reason = Failure::Dropped;
     assert_eq!(frame.map(|f| f.part), Some(Part::Failed { reason }));
-    let whole = ledger.frame(&dispatch(19), Place::default(), 200);
+    let whole = ledger.next_frame(&dispatch(19), ReadPosition::default(), 200);
     assert!(matches!(whole.map(|f| f.part), Some(Part::Data { bytes, .. }) if bytes.len() == 100));
 }
 
@@ -147,7 +147,7 @@
             let id = dispatch(number as u64);
             now = now + Span::from_millis(u64::from(wait));
             match step % 6 {
-                0 | 1 if ledger.arrive(now, &arrival(number as u64)) == Arrived::Run => {
+                0 | 1 if ledger.arrive(now, &arrival(number as u64)) == ArrivalOutcome::Run => {
                     runs[number] += 1;
                     if barred[number] {
                         return false;
@@ -155,7 +155,7 @@
                 }
                 2 => {
                     let settled = ledger.settle(now, &id, &process("agent-0"), Span::default());
-                    barred[number] |= settled == Settled::Barred;
+                    barred[number] |= settled == AttemptStatus::Barred;
                 }
                 3 => ledger.finish(&id, LoadReport::default()),
                 4 => ledger.fail(&id, Failure::Broken),
--- a/crates/requests/tests/keys.rs
+++ b/crates/requests/tests/keys.rs
@@ -8,7 +8,7 @@
 use snipemast_core::prelude::*;
 use snipemast_requests::claim::{KeepersMark, Round, Slot};
 use snipemast_requests::{
-    moves_one, ClaimKey, ClaimStep, ClaimValue, Claimed, Claimer, Fingerprint, Keeper,
+    moves_one, ClaimKey, ClaimResult, ClaimStep, ClaimValue, Claimer, Fingerprint, Keeper,
     KeeperAnswer, KeeperAsk, Table, Target,
 };
 
@@ -44,7 +44,7 @@
             agent: process(3, 1),
         },
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
-        body: Fingerprint::of(&workspace, "POST", "/", body),
+        body: Fingerprint::for_request(&workspace, "POST", "/", body),
     }
 }
 
@@ -85,7 +85,7 @@
     fn new() -> Self {
         let keeper = |n| {
             let mut keeper = Keeper::new(process(n, 1), Moment::ZERO, HOLD, 8);
-            keeper.apply(NOW, &table([0, 1, 2]));
+            keeper.apply_table(NOW, &table([0, 1, 2]));
             keeper
         };
         Self {
@@ -157,7 +157,7 @@
             ClaimStep::Pause(_) => self.events.push(Event::Begin(claimer)),
             ClaimStep::Done(claimed, Some(value), attempt) => {
                 assert_eq!(
-                    claimed == Claimed::Won,
+                    claimed == ClaimResult::Won,
                     value.target == *self.claimers[claimer].target()
                 );
                 let decided = self.decided.entry(attempt).or_insert(value.target.clone());
@@ -171,7 +171,7 @@
         self.incarnations[host] += 1;
         let process = process(host, self.incarnations[host]);
         self.keepers[host] = Keeper::new(process, NOW, HOLD, 8);
-        self.keepers[host].apply(NOW, &table(self.table));
+        self.keepers[host].apply_table(NOW, &table(self.table));
         self.applied[host] = true;
     }
 
@@ -194,7 +194,7 @@
     /// A keeper hears of the table in force.
     fn apply(&mut self, host: usize) {
         self.applied[host] = true;
-        self.keepers[host].apply(NOW, &table(self.table));
+        self.keepers[host].apply_table(NOW, &table(self.table));
     }
 
     /// A further send of the key reaches an entry that goes by the table in force.
@@ -210,12 +210,12 @@
     }
 
     fn copy(&mut self, host: usize) {
-        for (shard, from) in self.keepers[host].missing() {
+        for (shard, from) in self.keepers[host].missing_copies() {
             let place = hosts().iter().position(|h| *h == from).expect("a host");
             let to = process(host, self.incarnations[host]);
             let ask = KeeperAsk::Copy { shard, to };
             if let KeeperAnswer::Copied { claims } = self.keepers[place].handle(NOW, ask) {
-                self.keepers[host].copied(NOW, shard, &from, claims);
+                self.keepers[host].merge_copy(NOW, shard, &from, claims);
                 return;
             }
         }
@@ -259,10 +259,13 @@
         }
         None
     };
-    assert_eq!(claim(value(1, b"one"), &mut keepers), Some(Claimed::Won));
+    assert_eq!(
+        claim(value(1, b"one"), &mut keepers),
+        Some(ClaimResult::Won)
+    );
     assert_eq!(
         claim(value(2, b"two"), &mut keepers),
-        Some(Claimed::Mismatch)
+        Some(ClaimResult::Mismatch)
     );
 }
 
--- a/crates/requests/tests/suspicion.rs
+++ b/crates/requests/tests/suspicion.rs
@@ -3,7 +3,7 @@
 use quickcheck::{Gen, QuickCheck, Testable};
 
 use snipemast_core::prelude::*;
-use snipemast_requests::suspicion::{Known, Standing};
+use snipemast_requests::suspicion::{KnownFacts, SuspicionState};
 use snipemast_requests::{Crash, Fingerprint, Suspicions};
 
 const HOLD: Span = Span::from_secs(300);
@@ -20,7 +20,7 @@
 
 fn request(body: u8) -> Fingerprint {
     let workspace = "cordillera".parse().expect("a name");
-    Fingerprint::of(&workspace, "POST", "/v1/completions", &[body])
+    Fingerprint::for_request(&workspace, "POST", "/v1/completions", &[body])
 }
 
 fn entry(number: u8) -> Suspicions {
@@ -28,7 +28,7 @@
 }
 
 fn exchange(from: &Suspicions, to: &mut Suspicions) {
-    let delta = from.delta(NOW, &to.known());
+    let delta = from.delta(NOW, &to.known_facts());
     to.merge(NOW, delta);
 }
 
@@ -38,11 +38,14 @@
 fn twins_count_once() {
     let (mut one, mut other) = (entry(0), entry(1));
     for _ in 0..10 {
-        one.crashed(NOW, request(1), crash(1));
-        other.crashed(NOW, request(1), crash(1));
+        one.record_crash(NOW, request(1), crash(1));
+        other.record_crash(NOW, request(1), crash(1));
     }
     exchange(&other, &mut one);
-    assert_eq!(one.standing(NOW, request(1)), Standing::Suspect(crash(1)));
+    assert_eq!(
+        one.state(NOW, request(1)),
+        SuspicionState::Suspect(crash(1))
+    );
 }
 
 // An innocent neighbour of a crash is retried alone and finishes: it must not stay suspected,
@@ -50,26 +53,26 @@
 #[test]
 fn innocent_cleared() {
     let (mut one, mut other) = (entry(0), entry(1));
-    one.crashed(NOW, request(1), crash(1));
+    one.record_crash(NOW, request(1), crash(1));
     exchange(&one, &mut other);
-    other.finished(NOW, request(1));
+    other.record_completion(NOW, request(1));
     exchange(&other, &mut one);
-    assert_eq!(one.standing(NOW, request(1)), Standing::Clear);
-    assert_eq!(other.standing(NOW, request(1)), Standing::Clear);
+    assert_eq!(one.state(NOW, request(1)), SuspicionState::Clear);
+    assert_eq!(other.state(NOW, request(1)), SuspicionState::Clear);
 }
 
 // After two crashes a request is held back, until an operator lifts it or it expires.
 #[test]
 fn quarantine_lifted() {
     let mut one = entry(0);
-    one.crashed(NOW, request(1), crash(1));
-    one.crashed(NOW, request(1), crash(2));
-    one.finished(NOW, request(1));
-    assert_eq!(one.standing(NOW, request(1)), Standing::Quarantined);
+    one.record_crash(NOW, request(1), crash(1));
+    one.record_crash(NOW, request(1), crash(2));
+    one.record_completion(NOW, request(1));
+    assert_eq!(one.state(NOW, request(1)), SuspicionState::Quarantined);
     let later = NOW + HOLD.times(2);
-    assert_eq!(one.standing(later, request(1)), Standing::Clear);
+    assert_eq!(one.state(later, request(1)), SuspicionState::Clear);
     assert!(one.lift(NOW, request(1)));
-    assert_eq!(one.standing(NOW, request(1)), Standing::Clear);
+    assert_eq!(one.state(NOW, request(1)), SuspicionState::Clear);
     one.expire(later);
     assert!(one.is_empty());
 }
@@ -82,15 +85,15 @@
         for (at, body, number) in facts.into_iter().take(40) {
             let at = usize::from(at) % 3;
             match number % 4 {
-                0 => entries[at].finished(NOW, request(body % 5)),
-                n => entries[at].crashed(NOW, request(body % 5), crash(u64::from(n))),
+                0 => entries[at].record_completion(NOW, request(body % 5)),
+                n => entries[at].record_crash(NOW, request(body % 5), crash(u64::from(n))),
             }
         }
         let whole = (0..3).flat_map(|a| (0..3).map(move |b| (a, b)));
         let all = turns.into_iter().chain(whole.clone()).chain(whole);
         for (from, to) in all {
             let (from, to) = (usize::from(from) % 3, usize::from(to) % 3);
-            let delta = entries[from].delta(NOW, &Known::default());
+            let delta = entries[from].delta(NOW, &KnownFacts::default());
             entries[to].merge(NOW, delta);
         }
         let first = entries[0].list(NOW);
--- a/crates/requests/tests/world/agent.rs
+++ b/crates/requests/tests/world/agent.rs
@@ -3,9 +3,10 @@
 use std::collections::BTreeMap;
 
 use snipemast_core::prelude::*;
-use snipemast_requests::ledger::Place;
+use snipemast_requests::ledger::ReadPosition;
 use snipemast_requests::{
-    Arrival, Arrived, Failure, Frame, Input, Ledger, LedgerLimits, Link, Part, Refused, Tag, Target,
+    Arrival, ArrivalOutcome, Failure, Frame, Input, Ledger, LedgerLimits, Link, Part,
+    RefusalReason, Tag, Target,
 };
 
 use super::{Conn, Event, Step, ToAgent, World, BEAT, DEADLINE, HOP, SILENCE};
@@ -33,7 +34,7 @@
 pub(crate) struct Agent {
     pub(crate) process: ProcessId,
     pub(crate) ledger: Ledger,
-    readers: BTreeMap<usize, (DispatchId, Place)>,
+    readers: BTreeMap<usize, (DispatchId, ReadPosition)>,
     dispatches: BTreeMap<DispatchId, usize>,
     server_dead: bool,
     crashes: u64,
@@ -50,7 +51,7 @@
     LedgerLimits {
         entries: ENTRIES,
         bytes: 1 << 20,
-        answer: 1 << 20,
+        answer_bytes: 1 << 20,
     }
 }
 
@@ -83,7 +84,7 @@
         self.ledger.set_limits(LedgerLimits {
             entries: self.ledger.len(),
             bytes: 0,
-            answer: 1 << 20,
+            answer_bytes: 1 << 20,
         });
     }
 
@@ -182,7 +183,7 @@
             suspect: false,
         };
         match self.agents[number].ledger.arrive(self.now, &arrival) {
-            Arrived::Run => {
+            ArrivalOutcome::Run => {
                 if self.agents[number].drained {
                     self.broken = Some("a draining agent took new work");
                 }
@@ -196,23 +197,23 @@
                 let restarted = self.agents[number].process.incarnation != incarnation;
                 self.relay(number, &target.id, 0, conn.filter(|_| !restarted));
             }
-            Arrived::Attach => self.relay(number, &target.id, 0, conn),
-            Arrived::Refused(reason) => self.refuse(&target.id, reason, conn),
+            ArrivalOutcome::Attach => self.relay(number, &target.id, 0, conn),
+            ArrivalOutcome::Refused(reason) => self.refuse(&target.id, reason, conn),
         }
     }
 
     fn resume(&mut self, number: usize, target: Target, offset: u64, conn: Option<usize>) {
         if target.agent != self.agents[number].process {
-            self.refuse(&target.id, Refused::Incarnation, conn);
-        } else if !self.agents[number].ledger.knows(&target.id) {
-            self.refuse(&target.id, Refused::Unknown, conn);
+            self.refuse(&target.id, RefusalReason::Incarnation, conn);
+        } else if !self.agents[number].ledger.is_known(&target.id) {
+            self.refuse(&target.id, RefusalReason::Unknown, conn);
         } else {
             self.relay(number, &target.id, offset, conn);
         }
     }
 
-    fn refuse(&mut self, id: &DispatchId, reason: Refused, conn: Option<usize>) {
-        let frame = Frame::new(Tag::of(id), Part::Refused { reason });
+    fn refuse(&mut self, id: &DispatchId, reason: RefusalReason, conn: Option<usize>) {
+        let frame = Frame::new(Tag::for_dispatch(id), Part::Refused { reason });
         self.answer(conn, |link| Input::Frame(link, frame));
     }
 
@@ -221,9 +222,9 @@
             return;
         };
         let padding = Vec::new();
-        let accepted = Frame::new(Tag::of(id), Part::Accepted { padding });
+        let accepted = Frame::new(Tag::for_dispatch(id), Part::Accepted { padding });
         self.answer(Some(conn), |link| Input::Frame(link, accepted));
-        let place = Place {
+        let place = ReadPosition {
             head: false,
             offset,
         };
@@ -268,7 +269,7 @@
             let Some((id, place)) = agent.readers.get_mut(&conn) else {
                 return;
             };
-            let Some(frame) = agent.ledger.frame(id, *place, 16) else {
+            let Some(frame) = agent.ledger.next_frame(id, *place, 16) else {
                 return;
             };
             let mut ended = false;
@@ -299,7 +300,7 @@
             self.agents[agent].readers.remove(&conn);
             return;
         }
-        let beat = Frame::new(Tag::of(&id), Part::Beat);
+        let beat = Frame::new(Tag::for_dispatch(&id), Part::Beat);
         self.answer(Some(conn), |link| Input::Frame(link, beat));
         self.at(BEAT, Event::Beat(conn));
     }
@@ -320,7 +321,9 @@
             return;
         }
         if self.agents[number].server_dead {
-            self.agents[number].ledger.refuse(&id, Refused::Unreachable);
+            self.agents[number]
+                .ledger
+                .refuse(&id, RefusalReason::Unreachable);
             return self.pump(number);
         }
         if self.agents[number].stalled && stage > 0 {
@@ -339,7 +342,7 @@
                 after = THINK;
                 self.reach(Step::AtWork, send);
             }
-            1 => ledger.head(&id, 200, Vec::new()),
+            1 => ledger.set_head(&id, 200, Vec::new()),
             _ if stage <= PIECES + 1 => {
                 ledger.append(&id, &piece(stage - 2));
             }
--- a/crates/requests/tests/world/entry.rs
+++ b/crates/requests/tests/world/entry.rs
@@ -2,7 +2,8 @@
 
 use snipemast_core::prelude::*;
 use snipemast_requests::{
-    Frame, Input, Loss, Output, Outputs, Part, Plan, Refused, RequestMachine, Settled, Tag, Target,
+    AttemptStatus, Frame, Input, Loss, Output, Outputs, Part, Plan, RefusalReason, RequestMachine,
+    Tag, Target,
 };
 
 use super::caller::Word;
@@ -19,9 +20,9 @@
             stream: self.kind.stream,
             keyed: self.kind.keyed && !self.kind.idempotent,
             deadline: self.now + DEADLINE,
-            attempts: 3,
-            silence: SILENCE,
-            body: 1 << 20,
+            max_attempts: 3,
+            max_silence: SILENCE,
+            max_body: 1 << 20,
         };
         self.sends
             .push(Send::new(entry, self.now, RequestMachine::new(plan)));
@@ -46,7 +47,7 @@
         }
         let machine = &self.sends[send].machine;
         if !machine.is_done() {
-            let wake = machine.wake();
+            let wake = machine.next_wake();
             if self.sends[send].armed.is_none_or(|armed| wake < armed) {
                 self.sends[send].armed = Some(wake);
                 self.at(now.until(wake), Event::Wake(send));
@@ -160,7 +161,7 @@
     pub(crate) fn cross(&mut self, send: usize) {
         let foreign = self.next_id(1);
         let link = self.sends[send].machine.link();
-        let tag = Tag::of(&foreign);
+        let tag = Tag::for_dispatch(&foreign);
         let parts = [
             Part::Head {
                 status: 500,
@@ -176,17 +177,17 @@
                 load: LoadReport::default(),
             },
             Part::Refused {
-                reason: Refused::Draining,
+                reason: RefusalReason::Draining,
             },
         ];
         for part in parts {
             let frame = Input::Frame(link, Frame::new(tag, part));
             self.at(HOP, Event::ToEntry(send, frame));
         }
-        let barred = Input::Settled(link, foreign.clone(), Settled::Barred);
+        let barred = Input::Settled(link, foreign.clone(), AttemptStatus::Barred);
         self.at(HOP, Event::ToEntry(send, barred));
         // And once more while the entry settles, should it do so next.
-        let barred = Input::Settled(link + 1, foreign, Settled::Barred);
+        let barred = Input::Settled(link + 1, foreign, AttemptStatus::Barred);
         self.at(SILENCE_AND_HOP, Event::ToEntry(send, barred));
         // The answer to an earlier call of the same request, on a connection that was given up.
         let stale = Input::Lost(link.wrapping_sub(1), Loss::Unsent);
--- a/crates/requests/tests/world/keys.rs
+++ b/crates/requests/tests/world/keys.rs
@@ -5,8 +5,8 @@
 use snipemast_core::prelude::*;
 use snipemast_requests::claim::Round;
 use snipemast_requests::{
-    ClaimKey, ClaimStep, ClaimValue, Claimed, Claimer, Fingerprint, Input, Keeper, KeeperAnswer,
-    KeeperAsk, Table, Target,
+    ClaimKey, ClaimResult, ClaimStep, ClaimValue, Claimer, Fingerprint, Input, Keeper,
+    KeeperAnswer, KeeperAsk, Table, Target,
 };
 
 use super::{Event, World, HOLD, HOP};
@@ -27,7 +27,7 @@
     let keeper = |host: HostId| {
         let process = ProcessId::new(host, Incarnation::new(1));
         let mut keeper = Keeper::new(process, Moment::ZERO, HOLD, 64);
-        keeper.apply(Moment::ZERO, &table());
+        keeper.apply_table(Moment::ZERO, &table());
         keeper
     };
     hosts().into_iter().map(keeper).collect()
@@ -43,7 +43,7 @@
         let value = ClaimValue {
             target,
             address: SocketAddr::from(([127, 0, 0, 1], 1)),
-            body: Fingerprint::of(&workspace, "POST", "/", b"body"),
+            body: Fingerprint::for_request(&workspace, "POST", "/", b"body"),
         };
         let mut claimer = Claimer::new(key, number, value, &hosts(), HOLD);
         let step = claimer.begin();
@@ -78,7 +78,7 @@
             ClaimStep::Wait => {}
             ClaimStep::Done(claimed, value, number) => {
                 self.sends[send].claimer = None;
-                let held = matches!(claimed, Claimed::Held(_));
+                let held = matches!(claimed, ClaimResult::Held(_));
                 assert!(!held || value.is_some(), "a held claim names its value");
                 self.feed(send, Input::Claimed(claimed, number));
             }
@@ -117,7 +117,7 @@
         let incarnation = Incarnation::new(self.incarnations[keeper]);
         let process = ProcessId::new(hosts()[keeper].clone(), incarnation);
         self.keepers[keeper] = Keeper::new(process, self.now, HOLD, 64);
-        self.keepers[keeper].apply(self.now, &table());
+        self.keepers[keeper].apply_table(self.now, &table());
         self.at(HOP.times(100), Event::CopyShards(keeper));
     }
 
@@ -127,14 +127,14 @@
         }
         let incarnation = Incarnation::new(self.incarnations[keeper]);
         let to = ProcessId::new(hosts()[keeper].clone(), incarnation);
-        for (shard, host) in self.keepers[keeper].missing() {
+        for (shard, host) in self.keepers[keeper].missing_copies() {
             let from = hosts().iter().position(|h| *h == host).expect("a keeper");
             let ask = KeeperAsk::Copy {
                 shard,
                 to: to.clone(),
             };
             if let KeeperAnswer::Copied { claims } = self.keepers[from].handle(self.now, ask) {
-                self.keepers[keeper].copied(self.now, shard, &host, claims);
+                self.keepers[keeper].merge_copy(self.now, shard, &host, claims);
             }
         }
     }
--- a/crates/routing/src/demand.rs
+++ b/crates/routing/src/demand.rs
@@ -9,7 +9,7 @@
 use snipemast_core::prelude::*;
 
 use crate::bucket::Pace;
-use crate::hash::stable;
+use crate::hash::stable_hash;
 
 /// The most items of a summary, so that its size has a bound.
 pub const ITEMS: usize = 64;
@@ -51,12 +51,12 @@
 impl Topic {
     /// The limits of a workspace.
     pub fn workspace(workspace: &WorkspaceId) -> Self {
-        Self(stable(&("workspace", workspace)))
+        Self(stable_hash(&("workspace", workspace)))
     }
 
     /// The capacity of a pool.
     pub fn pool(family: u64) -> Self {
-        Self(stable(&("pool", family)))
+        Self(stable_hash(&("pool", family)))
     }
 }
 
@@ -124,22 +124,22 @@
     }
 
     /// Takes the time that a summary needs to reach every other, which grows with their number.
-    pub fn set_pace(&mut self, pace: Span) {
+    pub fn set_interval(&mut self, pace: Span) {
         self.pace = pace;
     }
 
     /// How often a summary should be told.
-    pub fn pace(&self) -> Span {
+    pub fn interval(&self) -> Span {
         self.pace
     }
 
     /// Counts what a request asks for, whether or not it is let in.
-    pub fn note(&mut self, now: Moment, topic: Topic, amount: f64) {
+    pub fn record(&mut self, now: Moment, topic: Topic, amount: f64) {
         self.own.entry(topic).or_default().add(now, amount);
     }
 
     /// The entry's summary, to be told to every other about once a second.
-    pub fn summary(&mut self, now: Moment) -> Summary {
+    pub fn next_summary(&mut self, now: Moment) -> Summary {
         self.own
             .retain(|_, pace| pace.per_second(now) > 1.0 / SCALE);
         let mut items: Vec<_> = self
@@ -158,7 +158,7 @@
             rates: rates(&items),
         });
         self.told.truncate(TOLD);
-        self.settle(now);
+        self.set_aside_silent(now);
         Summary {
             entry: self.entry.clone(),
             number: self.number,
@@ -201,7 +201,7 @@
     /// themselves, the fleet would let in a multiple of it; so a side keeps to the part that its
     /// own entries had when all were last heard, until the others are heard again or known to be
     /// gone.
-    pub fn settle(&mut self, now: Moment) {
+    pub fn set_aside_silent(&mut self, now: Moment) {
         let live = self.others.values().filter(|o| o.lost.is_none());
         let heard = live.map(|o| o.heard).min().unwrap_or(Moment::NEVER);
         self.settled = self.settled_by(heard);
@@ -249,7 +249,7 @@
             .collect();
         let own = self.last_told().map_or(0.0, |told| rate(told, topic));
         all.push((&self.entry.host, own));
-        all.sort_by_key(|(host, _)| stable(&(topic.0, host)));
+        all.sort_by_key(|(host, _)| stable_hash(&(topic.0, host)));
         let (sum, count) = (all.iter().map(|(_, r)| r).sum::<f64>(), all.len() as f64);
         let whole = f64::from(whole) * self.free(topic);
         let mut before = 0.0;
--- a/crates/routing/src/hash.rs
+++ b/crates/routing/src/hash.rs
@@ -7,7 +7,7 @@
 pub use snipemast_core::hash::{below, mix};
 
 /// A hash that every process computes alike.
-pub fn stable(value: &impl Hash) -> u64 {
+pub fn stable_hash(value: &impl Hash) -> u64 {
     let mut hasher = Xxh3Default::new();
     value.hash(&mut hasher);
     hasher.finish()
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -37,7 +37,7 @@
 
 /// How a request at a backend server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum RequestEnd {
     /// It was answered.
     Answered,
     /// The server failed it, or its connection went silent.
@@ -90,9 +90,9 @@
     }
 
     /// Notes how a request ended; true where the failures in a row are now too many.
-    pub fn ended(&mut self, now: Moment, how: Ended, policy: &HealthPolicy) -> bool {
+    pub fn ended(&mut self, now: Moment, how: RequestEnd, policy: &HealthPolicy) -> bool {
         match how {
-            Ended::Answered => {
+            RequestEnd::Answered => {
                 self.progress = now;
                 self.row = 0;
                 self.ejections = if now > self.until + policy.longest {
@@ -102,11 +102,11 @@
                 };
                 false
             }
-            Ended::Failed => {
+            RequestEnd::Failed => {
                 self.row += 1;
                 self.row >= policy.failures
             }
-            Ended::Neutral => false,
+            RequestEnd::Neutral => false,
         }
     }
 
--- a/crates/routing/src/lane.rs
+++ b/crates/routing/src/lane.rs
@@ -54,9 +54,9 @@
 
 /// What a lane says to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Door {
+pub enum Decision {
     /// It may run.
-    Open,
+    Run,
     /// It waits; the lane calls this ticket.
     Wait(Ticket),
     /// It is not let in.
@@ -65,7 +65,7 @@
 
 /// What becomes of a request that waited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Called {
+pub enum Dequeued {
     /// It may run.
     Run(Ticket),
     /// It is refused.
@@ -74,11 +74,11 @@
 
 /// The pool as it is now.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Room {
+pub struct PoolCapacity {
     /// The slots that are this entry's part.
-    pub share: f64,
+    pub own_slots: f64,
     /// The slots of the pool that stand free, by what reports say.
-    pub free: f64,
+    pub free_slots: f64,
 }
 
 #[derive(Debug, Default)]
@@ -146,7 +146,7 @@
     }
 
     /// Takes a request at the door.
-    pub fn arrive(&mut self, now: Moment, arrival: Arrival, room: Room) -> Door {
+    pub fn arrive(&mut self, now: Moment, arrival: Arrival, room: PoolCapacity) -> Decision {
         self.drain = self.drained(room);
         let weights = self.queue.weights().max(arrival.weight);
         self.queue
@@ -157,16 +157,16 @@
             self.start(&arrival.workspace, arrival.weight);
             self.queue
                 .charge(&arrival.workspace, arrival.weight, arrival.tokens);
-            return Door::Open;
+            return Decision::Run;
         }
         match self.refusal(now, &arrival) {
-            Some(refusal) => Door::Refused(refusal),
-            None => Door::Wait(self.enqueue(arrival)),
+            Some(refusal) => Decision::Refused(refusal),
+            None => Decision::Wait(self.enqueue(arrival)),
         }
     }
 
     /// Takes out what may run now, and what it is too late for; call again until it is empty.
-    pub fn call(&mut self, now: Moment, room: Room) -> Option<Called> {
+    pub fn dequeue(&mut self, now: Moment, room: PoolCapacity) -> Option<Dequeued> {
         // Before anything starts: work past its deadline would hold a slot that work in time
         // needs, and under a burst of such work all of the pool's output would be of no use.
         self.late.extend(self.queue.expire(now));
@@ -176,18 +176,18 @@
                 reason: Reason::Deadline,
                 retry: self.retry(0.0),
             };
-            return Some(Called::Refused(late.ticket, refusal));
+            return Some(Dequeued::Refused(late.ticket, refusal));
         }
         if !self.has_room(room) {
             return None;
         }
         let waiting = self.queue.pop()?;
         self.start(&waiting.workspace, 0.0);
-        Some(Called::Run(waiting.ticket))
+        Some(Dequeued::Run(waiting.ticket))
     }
 
     /// Forgets a request that waited: its caller left or it is past its deadline.
-    pub fn give_up(&mut self, ticket: Ticket) {
+    pub fn abandon(&mut self, ticket: Ticket) {
         if let Some(waiting) = self.queue.remove(ticket) {
             self.tidy(&waiting.workspace);
         }
@@ -234,8 +234,8 @@
         seconds(ahead * tokens / (self.drain * part).max(1e-3))
     }
 
-    fn has_room(&self, room: Room) -> bool {
-        let bound = room.share * self.policy.fill + room.free * self.policy.grab;
+    fn has_room(&self, room: PoolCapacity) -> bool {
+        let bound = room.own_slots * self.policy.fill + room.free_slots * self.policy.grab;
         f64::from(self.running) < bound.max(1.0)
     }
 
@@ -243,8 +243,8 @@
     ///
     /// A workspace within its share should not feel another's flood. Its request does not wait
     /// for a slot to come free; it goes into the small reserve at once.
-    fn is_owed(&self, arrival: &Arrival, room: Room) -> bool {
-        let bound = room.share * self.policy.fill;
+    fn is_owed(&self, arrival: &Arrival, room: PoolCapacity) -> bool {
+        let bound = room.own_slots * self.policy.fill;
         let reserve = bound * (1.0 + self.policy.reserve);
         if f64::from(self.running) >= reserve {
             return false;
@@ -327,8 +327,8 @@
     }
 
     /// Tokens a second: what runs at once, over the time that a token takes.
-    fn drained(&self, room: Room) -> f64 {
-        let at_once = (room.share * self.policy.fill)
+    fn drained(&self, room: PoolCapacity) -> f64 {
+        let at_once = (room.own_slots * self.policy.fill)
             .max(f64::from(self.running))
             .max(1.0);
         at_once / self.pace.max(1e-6)
--- a/crates/routing/src/limiter.rs
+++ b/crates/routing/src/limiter.rs
@@ -16,7 +16,7 @@
 
 /// This entry's part of a workspace's limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Part {
+pub struct LimitShare {
     /// The part of its rates.
     pub share: f64,
     /// The requests of it that may be in flight here.
@@ -61,7 +61,7 @@
         now: Moment,
         workspace: &WorkspaceId,
         limits: &Limits,
-        part: Part,
+        part: LimitShare,
         tokens: f64,
     ) -> Result<(), Refusal> {
         let account = self.account(workspace);
@@ -72,7 +72,7 @@
     }
 
     /// Counts a request as ended, and gives back or charges what its tokens were off by.
-    pub fn ended(&mut self, now: Moment, workspace: &WorkspaceId, asked: f64, got: f64) {
+    pub fn finish(&mut self, now: Moment, workspace: &WorkspaceId, asked: f64, got: f64) {
         if let Some(account) = self.accounts.get_mut(workspace) {
             account.running = account.running.saturating_sub(1);
             if let Some(bucket) = &mut account.tokens {
@@ -82,8 +82,8 @@
     }
 
     /// Gives back what a request was charged that did not run after all.
-    pub fn give_back(&mut self, now: Moment, workspace: &WorkspaceId, tokens: f64) {
-        self.ended(now, workspace, tokens, 0.0);
+    pub fn refund(&mut self, now: Moment, workspace: &WorkspaceId, tokens: f64) {
+        self.finish(now, workspace, tokens, 0.0);
         if let Some(account) = self.accounts.get_mut(workspace) {
             if let Some(bucket) = &mut account.requests {
                 bucket.correct(now, -1.0);
@@ -92,7 +92,12 @@
     }
 
     /// Notes a refusal so that status shows it; true where it is the first in a while.
-    pub fn note(&mut self, now: Moment, workspace: &WorkspaceId, refusal: Refusal) -> bool {
+    pub fn record_refusal(
+        &mut self,
+        now: Moment,
+        workspace: &WorkspaceId,
+        refusal: Refusal,
+    ) -> bool {
         let account = self.account(workspace);
         let before = account
             .held
@@ -108,7 +113,7 @@
     }
 
     /// The workspaces whose requests were held back lately, and why.
-    pub fn held(&self, now: Moment) -> Vec<(WorkspaceId, HeldBack)> {
+    pub fn held_back(&self, now: Moment) -> Vec<(WorkspaceId, HeldBack)> {
         let mut held = Vec::new();
         for (workspace, account) in &self.accounts {
             for (&reason, pace) in &account.held {
@@ -155,7 +160,7 @@
         resize(now, &mut self.tokens, limits.tokens.map(token));
     }
 
-    fn charge(&mut self, now: Moment, part: Part, tokens: f64) -> Result<(), Refusal> {
+    fn charge(&mut self, now: Moment, part: LimitShare, tokens: f64) -> Result<(), Refusal> {
         if part.concurrency.is_some_and(|most| self.running >= most) {
             // How long the running ones take is not known here; a second is the usual bound of
             // how stale the split among entries is.
--- a/crates/routing/src/pick.rs
+++ b/crates/routing/src/pick.rs
@@ -3,9 +3,9 @@
 use snipemast_core::prelude::*;
 
 use crate::hash::{below, mix};
-use crate::pool::{Means, Near, Pool, Tier};
+use crate::pool::{Means, Pool, Proximity, Tier};
 use crate::prefix::{Hints, Prefix};
-use crate::query::{Choice, Policy, Query, Slot};
+use crate::query::{Choice, Query, RoutingPolicy, ServerIndex};
 use crate::server::Server;
 
 /// The time without progress that counts as a stall where nothing is known of the pool yet.
@@ -24,7 +24,7 @@
 
 /// Everything that one choice looks at.
 pub(crate) struct View<'a> {
-    pub(crate) policy: &'a Policy,
+    pub(crate) policy: &'a RoutingPolicy,
     pub(crate) servers: &'a [Option<Server>],
     pub(crate) steps: &'a [f64],
     pub(crate) hints: &'a Hints,
@@ -63,7 +63,7 @@
     pub(crate) fn choose(&self, draw: u64) -> Found {
         let mut found = Found::default();
         for fitness in [Fitness::Sound, Fitness::Any] {
-            for near in Near::ALL {
+            for near in Proximity::ALL {
                 found.choice = self.in_tier(near, draw, fitness, &mut found.stalled);
                 if found.choice.is_some() {
                     return found;
@@ -75,7 +75,7 @@
 
     fn in_tier(
         &self,
-        near: Near,
+        near: Proximity,
         draw: u64,
         fitness: Fitness,
         stalled: &mut Option<u32>,
@@ -97,7 +97,7 @@
     /// A candidate from the next tier, where this one spills.
     fn farther(
         &self,
-        near: Near,
+        near: Proximity,
         tier: &Tier,
         draw: u64,
         stalled: &mut Option<u32>,
@@ -106,9 +106,9 @@
             return None;
         }
         let next = match near {
-            Near::Zone => Near::Region,
-            Near::Region => Near::Far,
-            Near::Far => return None,
+            Proximity::Zone => Proximity::Region,
+            Proximity::Region => Proximity::Far,
+            Proximity::Far => return None,
         };
         let tier = &self.pool.tiers[next as usize];
         let drawn = self.by_draws(next, tier, mix(draw), Fitness::Sound, stalled);
@@ -121,7 +121,7 @@
     /// The least loaded of some drawn servers; unfit ones are drawn again a few times.
     fn by_draws(
         &self,
-        near: Near,
+        near: Proximity,
         tier: &Tier,
         draw: u64,
         fitness: Fitness,
@@ -153,7 +153,7 @@
     /// The first fit server from a random place on: draws can miss the few that are left.
     fn by_scan(
         &self,
-        near: Near,
+        near: Proximity,
         tier: &Tier,
         draw: u64,
         fitness: Fitness,
@@ -169,7 +169,7 @@
     /// A server that holds the prefix, or would by rendezvous hashing, unless it is too full.
     fn by_prefix(
         &self,
-        near: Near,
+        near: Proximity,
         tier: &Tier,
         prefix: Prefix,
         fitness: Fitness,
@@ -237,7 +237,7 @@
         true
     }
 
-    fn score(&self, at: u32, near: Near, tier: &Tier) -> Option<Scored> {
+    fn score(&self, at: u32, near: Proximity, tier: &Tier) -> Option<Scored> {
         let server = self.servers[at as usize].as_ref()?;
         let load = estimate(server, self.now, self.policy, &tier.means);
         let pace = self.pace(server, &tier.means);
@@ -245,9 +245,9 @@
         let one = 1.0 / server.slots();
         Some(Scored {
             choice: Choice {
-                slot: Slot(at),
+                server: ServerIndex(at),
                 load,
-                near,
+                proximity: near,
             },
             score: (load + one) * pace + COLD * (1.0 - ramp),
         })
@@ -270,7 +270,7 @@
 }
 
 /// The requests that run or wait at a server, a slot.
-fn estimate(server: &Server, now: Moment, policy: &Policy, means: &Means) -> f64 {
+fn estimate(server: &Server, now: Moment, policy: &RoutingPolicy, means: &Means) -> f64 {
     let mean = means.others * server.slots();
     server.load.estimate(now, mean, policy.fade) / server.slots()
 }
--- a/crates/routing/src/pool.rs
+++ b/crates/routing/src/pool.rs
@@ -9,7 +9,7 @@
 
 /// How near a server is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Near {
+pub enum Proximity {
     /// In the entry's own availability zone.
     Zone,
     /// In another availability zone of its region.
@@ -18,10 +18,10 @@
     Far,
 }
 
-impl Near {
+impl Proximity {
     pub(crate) const ALL: [Self; TIERS] = [Self::Zone, Self::Region, Self::Far];
 
-    pub(crate) fn of(place: &Place, server: &Server) -> Self {
+    pub(crate) fn of(place: &Location, server: &Server) -> Self {
         if server.facts.region != place.region {
             Self::Far
         } else if server.facts.zone != place.zone {
@@ -34,7 +34,7 @@
 
 /// Where an entry stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// Its availability zone.
     pub zone: ZoneId,
     /// Its region.
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -4,7 +4,7 @@
 
 use snipemast_core::prelude::*;
 
-use crate::hash::stable;
+use crate::hash::stable_hash;
 
 /// How many servers are remembered for one prefix.
 const HOLDERS: usize = 4;
@@ -19,7 +19,7 @@
     /// The workspace is part of it: many workspaces that share one long prefix spread over as many
     /// servers, and none learns from timings what another has asked.
     pub fn new(workspace: &WorkspaceId, text: &[u8]) -> Self {
-        Self(stable(&(workspace, text)))
+        Self(stable_hash(&(workspace, text)))
     }
 }
 
--- a/crates/routing/src/query.rs
+++ b/crates/routing/src/query.rs
@@ -3,13 +3,13 @@
 use snipemast_core::prelude::*;
 
 use crate::health::HealthPolicy;
-use crate::pool::{Near, SpillPolicy};
+use crate::pool::{Proximity, SpillPolicy};
 use crate::prefix::{Prefix, PrefixPolicy};
 use crate::wanted::Wanted;
 
 /// How servers are weighed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Policy {
+pub struct RoutingPolicy {
     /// How many servers are drawn and compared.
     pub draws: usize,
     /// The age at which half of a report's word on other entries is believed.
@@ -24,7 +24,7 @@
     pub prefix: PrefixPolicy,
 }
 
-impl Default for Policy {
+impl Default for RoutingPolicy {
     fn default() -> Self {
         Self {
             draws: 2,
@@ -39,7 +39,7 @@
 
 /// A server's position in the table; it is reused after the server left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Slot(pub(crate) u32);
+pub struct ServerIndex(pub(crate) u32);
 
 /// What is asked of the choice.
 #[derive(Debug, Clone, Copy)]
@@ -101,11 +101,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Choice {
     /// The server.
-    pub slot: Slot,
+    pub server: ServerIndex,
     /// Requests that run or wait there, a slot, as far as one can tell.
     pub load: f64,
     /// How near it is.
-    pub near: Near,
+    pub proximity: Proximity,
 }
 
 /// Why no server was chosen.
@@ -121,16 +121,16 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Notice {
     /// A server was ejected.
-    Ejected(ServerId, Cause),
+    Ejected(ServerId, EjectionCause),
     /// A server came back from its ejection.
     Returned(ServerId),
     /// Requests begin to spill out of a tier, or stop.
-    Spilled(Near, bool),
+    Spilled(Proximity, bool),
 }
 
 /// Why a server was ejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cause {
+pub enum EjectionCause {
     /// It failed requests in a row.
     Failures,
     /// It has work and shows no progress.
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -4,25 +4,25 @@
 
 use snipemast_core::prelude::*;
 
-use crate::hash::{mix, stable};
-use crate::health::{Ended, Health};
+use crate::hash::{mix, stable_hash};
+use crate::health::{Health, RequestEnd};
 use crate::load::Load;
 use crate::pick::View;
-use crate::pool::{Place, Pool};
+use crate::pool::{Location, Pool};
 use crate::prefix::{Hints, Prefix, PrefixPolicy};
-use crate::query::{Cause, Choice, NoServer, Notice, Policy, Query, Slot};
-use crate::server::{Facts, Server};
-use crate::subset::Seat;
+use crate::query::{Choice, EjectionCause, NoServer, Notice, Query, RoutingPolicy, ServerIndex};
+use crate::server::{Server, ServerFacts};
+use crate::subset::Subset;
 use crate::wanted::Wanted;
 
 /// One entry's table of servers, and the choice among them.
 #[derive(Debug)]
 pub struct Router {
-    pub(crate) policy: Policy,
+    pub(crate) policy: RoutingPolicy,
     pub(crate) servers: Vec<Option<Server>>,
     pub(crate) pools: HashMap<Wanted, Pool>,
-    pub(crate) place: Place,
-    pub(crate) seat: Option<Seat>,
+    pub(crate) place: Location,
+    pub(crate) seat: Option<Subset>,
     pub(crate) hosts: BTreeMap<HostId, u32>,
     groups: BTreeMap<GroupId, u32>,
     pub(crate) group_steps: Vec<f64>,
@@ -34,9 +34,9 @@
 
 impl Router {
     /// An empty table for an entry at this place; the seed makes its draws its own.
-    pub fn new(place: Place, seed: u64) -> Self {
+    pub fn new(place: Location, seed: u64) -> Self {
         Self {
-            policy: Policy::default(),
+            policy: RoutingPolicy::default(),
             servers: Vec::new(),
             pools: HashMap::new(),
             place,
@@ -53,14 +53,14 @@
 
     /// Weighs servers by this policy.
     #[must_use]
-    pub fn with_policy(mut self, policy: Policy) -> Self {
+    pub fn with_policy(mut self, policy: RoutingPolicy) -> Self {
         self.policy = policy;
         self.hints = Hints::new(policy.prefix.hints);
         self
     }
 
     /// Takes the entry's seat among those of its zone, or none for all servers.
-    pub fn sit(&mut self, seat: Option<Seat>) {
+    pub fn set_subset(&mut self, seat: Option<Subset>) {
         if self.seat != seat {
             self.seat = seat;
             self.relist();
@@ -71,10 +71,10 @@
     ///
     /// `fresh` says that the server itself is new, not merely this entry's knowledge of it: a
     /// restarted entry must not treat the whole fleet as cold.
-    pub fn upsert(&mut self, now: Moment, facts: Facts, fresh: bool) -> Slot {
+    pub fn upsert(&mut self, now: Moment, facts: ServerFacts, fresh: bool) -> ServerIndex {
         if let Some(&at) = self.hosts.get(&facts.agent.host) {
             if self.refresh_facts(now, at, &facts) {
-                return Slot(at);
+                return ServerIndex(at);
             }
             self.remove(&facts.agent.host);
         }
@@ -85,16 +85,16 @@
             load: Load::new(),
             health: Health::new(now, fresh),
             suspect: false,
-            seed: stable(&facts.info.server),
+            seed: stable_hash(&facts.info.server),
             group,
             facts,
         });
         self.relist();
-        Slot(at)
+        ServerIndex(at)
     }
 
     /// Takes new facts of a known process; false where it is another process.
-    fn refresh_facts(&mut self, now: Moment, at: u32, facts: &Facts) -> bool {
+    fn refresh_facts(&mut self, now: Moment, at: u32, facts: &ServerFacts) -> bool {
         let Some(server) = self.servers[at as usize].as_mut() else {
             return false;
         };
@@ -127,14 +127,14 @@
     }
 
     /// Notes whether membership doubts that a server is alive.
-    pub fn suspect(&mut self, host: &HostId, suspect: bool) {
+    pub fn set_suspect(&mut self, host: &HostId, suspect: bool) {
         if let Some(server) = self.by_host(host) {
             server.suspect = suspect;
         }
     }
 
     /// Takes a load report.
-    pub fn report(&mut self, now: Moment, host: &HostId, report: &LoadReport) {
+    pub fn record_load(&mut self, now: Moment, host: &HostId, report: &LoadReport) {
         let Some(server) = self.by_host(host) else {
             return;
         };
@@ -151,21 +151,21 @@
     ///
     /// Such events come late and with gaps, so they only ever hint: a gap in their numbers drops
     /// all hints of that server, and an answer that shows no cached tokens drops that one.
-    pub fn cached(&mut self, host: &HostId, number: u64, prefix: Prefix, held: bool) {
+    pub fn record_cache_event(&mut self, host: &HostId, number: u64, prefix: Prefix, held: bool) {
         if let Some(&at) = self.hosts.get(host) {
             self.hints.note(at, number, prefix, held);
         }
     }
 
     /// Takes an answer's word on whether its prefix was found in the cache.
-    pub fn reconcile(&mut self, slot: Slot, prefix: Prefix, hit: bool) {
+    pub fn reconcile(&mut self, slot: ServerIndex, prefix: Prefix, hit: bool) {
         if !hit {
             self.hints.forget(slot.0, prefix);
         }
     }
 
     /// Counts a request as sent.
-    pub fn sent(&mut self, now: Moment, slot: Slot) {
+    pub fn record_sent(&mut self, now: Moment, slot: ServerIndex) {
         if let Some(server) = self.server_mut(slot) {
             if server.load.own() == 0 {
                 server.health.begin(now);
@@ -175,21 +175,27 @@
     }
 
     /// Notes the first sign of an answer, after this long.
-    pub fn first(&mut self, now: Moment, slot: Slot, took: Span) {
+    pub fn record_first(&mut self, now: Moment, slot: ServerIndex, took: Span) {
         if let Some(server) = self.server_mut(slot) {
             server.health.first(now, took);
         }
     }
 
     /// Notes that an answer moved on.
-    pub fn moved(&mut self, now: Moment, slot: Slot) {
+    pub fn record_progress(&mut self, now: Moment, slot: ServerIndex) {
         if let Some(server) = self.server_mut(slot) {
             server.health.begin(now);
         }
     }
 
     /// Counts a request as ended; `agent` guards against a slot that was reused meanwhile.
-    pub fn ended(&mut self, now: Moment, slot: Slot, agent: &ProcessId, how: Ended) {
+    pub fn record_end(
+        &mut self,
+        now: Moment,
+        slot: ServerIndex,
+        agent: &ProcessId,
+        how: RequestEnd,
+    ) {
         let policy = self.policy.health;
         let Some(server) = self.server_mut(slot) else {
             return;
@@ -199,7 +205,7 @@
         }
         server.load.ended(now);
         if server.health.ended(now, how, &policy) {
-            self.eject(now, slot.0, Cause::Failures);
+            self.eject(now, slot.0, EjectionCause::Failures);
         }
     }
 
@@ -211,12 +217,12 @@
     }
 
     /// What happened since the last call that an operator should see.
-    pub fn notices(&mut self) -> Vec<Notice> {
+    pub fn take_notices(&mut self) -> Vec<Notice> {
         std::mem::take(&mut self.notices)
     }
 
     /// The agent of a server.
-    pub fn agent(&self, slot: Slot) -> Option<&ProcessId> {
+    pub fn agent(&self, slot: ServerIndex) -> Option<&ProcessId> {
         self.servers
             .get(slot.0 as usize)?
             .as_ref()
@@ -236,7 +242,7 @@
         Some((slots, load))
     }
 
-    /// Chooses a server; the caller says [`sent`](Self::sent) when it goes there.
+    /// Chooses a server; the caller says [`record_sent`](Self::record_sent) when it goes there.
     pub fn choose(&mut self, now: Moment, query: &Query<'_>) -> Result<Choice, NoServer> {
         self.refresh(now, query.wanted);
         self.count = self.count.wrapping_add(1);
@@ -253,12 +259,12 @@
         };
         let found = view.choose(draw);
         if let Some(stalled) = found.stalled {
-            self.eject(now, stalled, Cause::Stalled);
+            self.eject(now, stalled, EjectionCause::Stalled);
         }
         found.choice.ok_or(NoServer::Unfit)
     }
 
-    fn eject(&mut self, now: Moment, at: u32, cause: Cause) {
+    fn eject(&mut self, now: Moment, at: u32, cause: EjectionCause) {
         if !self.may_eject(now, at) {
             return;
         }
@@ -270,7 +276,7 @@
         }
     }
 
-    fn server_mut(&mut self, slot: Slot) -> Option<&mut Server> {
+    fn server_mut(&mut self, slot: ServerIndex) -> Option<&mut Server> {
         self.servers.get_mut(slot.0 as usize)?.as_mut()
     }
 
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -8,7 +8,7 @@
 
 /// A backend server's word about itself, as its agent announced it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Facts {
+pub struct ServerFacts {
     /// Its agent.
     pub agent: ProcessId,
     /// Its availability zone.
@@ -21,7 +21,7 @@
     pub draining: bool,
 }
 
-impl Facts {
+impl ServerFacts {
     /// Whether lists that are built from other facts still hold.
     pub(crate) fn is_listed_like(&self, other: &Self) -> bool {
         self.zone == other.zone && self.region == other.region && self.info == other.info
@@ -31,7 +31,7 @@
 /// A backend server in the table.
 #[derive(Debug)]
 pub(crate) struct Server {
-    pub(crate) facts: Facts,
+    pub(crate) facts: ServerFacts,
     pub(crate) load: Load,
     pub(crate) health: Health,
     /// Whether membership has doubts that it is alive.
@@ -49,7 +49,7 @@
 
     pub(crate) fn wanted(&self) -> Vec<Wanted> {
         let offers = self.facts.info.offers.iter();
-        let mut all: Vec<_> = offers.flat_map(Wanted::all_of).collect();
+        let mut all: Vec<_> = offers.flat_map(Wanted::offered_by).collect();
         all.sort();
         all.dedup();
         all
--- a/crates/routing/src/status.rs
+++ b/crates/routing/src/status.rs
@@ -10,7 +10,7 @@
     #[derive(Default)]
     pub struct LimitStatus {
         /// The workspaces that were held back lately.
-        pub held: Vec<Held>,
+        pub held: Vec<HeldWorkspace>,
         /// The pools that requests run in or wait for.
         pub lanes: Vec<LaneStatus>,
         /// The backend servers that are ejected.
@@ -20,7 +20,7 @@
     }
 
     /// One workspace that is held back for one reason.
-    pub struct Held {
+    pub struct HeldWorkspace {
         /// The workspace.
         pub workspace: WorkspaceId,
         /// What holds it back.
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -8,21 +8,21 @@
 
 /// An entry's place among the entries that share servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seat {
+pub struct Subset {
     /// The position, from 0.
     pub number: usize,
     /// How many servers the entry keeps to, where there are more.
     pub size: usize,
 }
 
-impl Seat {
+impl Subset {
     /// A seat that keeps to this many servers.
     pub const fn new(number: usize, size: usize) -> Self {
         Self { number, size }
     }
 
     /// Cuts a list of servers, in an order that all entries share, down to the seat's own.
-    pub fn cut(self, servers: &mut Vec<u32>) {
+    pub fn narrow(self, servers: &mut Vec<u32>) {
         let parts = servers.len() / self.size.max(1);
         if parts < 2 {
             return;
--- a/crates/routing/src/upkeep.rs
+++ b/crates/routing/src/upkeep.rs
@@ -5,7 +5,7 @@
 use snipemast_core::prelude::*;
 
 use crate::pick::{group_steps, means};
-use crate::pool::{Near, TIERS};
+use crate::pool::{Proximity, TIERS};
 use crate::query::Notice;
 use crate::router::Router;
 use crate::wanted::Wanted;
@@ -44,7 +44,7 @@
             let Some(server) = &self.servers[at as usize] else {
                 continue;
             };
-            let near = Near::of(&self.place, server) as usize;
+            let near = Proximity::of(&self.place, server) as usize;
             for wanted in server.wanted() {
                 let pool = self.pools.entry(wanted).or_default();
                 pool.tiers[near].list.push(at);
@@ -55,7 +55,7 @@
                 tier.spilling = spilling.get(wanted).is_some_and(|s| s[n]);
                 let all = tier.list.len() as f64;
                 if let Some(seat) = self.seat {
-                    seat.cut(&mut tier.list);
+                    seat.narrow(&mut tier.list);
                 }
                 let seed = |at: &u32| self.servers[*at as usize].as_ref().map_or(0, |s| s.seed);
                 tier.seeds = tier.list.iter().map(seed).collect();
@@ -84,7 +84,7 @@
             }
         }
         group_steps(&mut self.group_steps, &self.servers, pool);
-        for (near, tier) in Near::ALL.into_iter().zip(&mut pool.tiers) {
+        for (near, tier) in Proximity::ALL.into_iter().zip(&mut pool.tiers) {
             let listed = tier.list.iter();
             let servers = listed.filter_map(|&at| self.servers[at as usize].as_ref());
             tier.means = means(servers, now);
--- a/crates/routing/src/wanted.rs
+++ b/crates/routing/src/wanted.rs
@@ -4,7 +4,7 @@
 
 use snipemast_core::prelude::*;
 
-use crate::hash::stable;
+use crate::hash::stable_hash;
 
 data! {
     /// What a backend server must offer to answer a request.
@@ -48,7 +48,7 @@
     }
 
     /// Everything that an offer answers for.
-    pub fn all_of(offer: &Offer) -> Vec<Self> {
+    pub fn offered_by(offer: &Offer) -> Vec<Self> {
         match offer {
             Offer::Model {
                 model,
@@ -70,8 +70,8 @@
     /// A hash of the model or service, the same for every adapter and version of a model.
     pub fn family(&self) -> u64 {
         match self {
-            Self::Model { model, .. } => stable(model),
-            Self::Service(service) => stable(service),
+            Self::Model { model, .. } => stable_hash(model),
+            Self::Service(service) => stable_hash(service),
         }
     }
 }
--- a/crates/routing/src/wish.rs
+++ b/crates/routing/src/wish.rs
@@ -67,7 +67,7 @@
     }
 
     /// Notes a request for something that is loaded nowhere, and says when to come back.
-    pub fn ask(&mut self, now: Moment, wanted: &Wanted) -> Refusal {
+    pub fn record_request(&mut self, now: Moment, wanted: &Wanted) -> Refusal {
         let policy = self.policy;
         self.entries
             .retain(|_, e| now.since(e.last) <= policy.forget);
@@ -98,12 +98,12 @@
     }
 
     /// Forgets what is loaded now.
-    pub fn loaded(&mut self, wanted: &Wanted) {
+    pub fn mark_loaded(&mut self, wanted: &Wanted) {
         self.entries.remove(wanted);
     }
 
     /// The loads to ask for now, the longest waiting first, within the platform's budget.
-    pub fn orders(&self, now: Moment) -> Vec<Wish> {
+    pub fn due_loads(&self, now: Moment) -> Vec<Wish> {
         let live = |e: &Entry| now.since(e.last) <= self.policy.forget;
         let mut live: Vec<_> = self.entries.iter().filter(|(_, e)| live(e)).collect();
         live.sort_by_key(|(_, e)| e.first);
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -9,12 +9,13 @@
 use snipemast_core::prelude::*;
 use snipemast_routing::fair::{FairQueue, Waiting};
 use snipemast_routing::{
-    Arrival, Called, Departure, Door, Lane, LanePolicy, Priority, Reason, Room, Ticket,
+    Arrival, Decision, Departure, Dequeued, Lane, LanePolicy, PoolCapacity, Priority, Reason,
+    Ticket,
 };
 
-const ROOM: Room = Room {
-    share: 10.0,
-    free: 0.0,
+const ROOM: PoolCapacity = PoolCapacity {
+    own_slots: 10.0,
+    free_slots: 0.0,
 };
 
 fn lane() -> Lane {
@@ -148,24 +149,27 @@
     let doors: Vec<_> = (0..100)
         .map(|_| lane.arrive(CALM, arrival("flood", late()), ROOM))
         .collect();
-    assert_eq!(doors.iter().filter(|d| **d == Door::Open).count(), 10);
-    assert_eq!(lane.arrive(CALM, arrival("calm", late()), ROOM), Door::Open);
+    assert_eq!(doors.iter().filter(|d| **d == Decision::Run).count(), 10);
+    assert_eq!(
+        lane.arrive(CALM, arrival("calm", late()), ROOM),
+        Decision::Run
+    );
     // The reserve is a bound too: no stream of neighbours may fill the servers without end.
     let more: Vec<_> = (0..20)
         .map(|n| lane.arrive(CALM, arrival(&format!("calm-{n}"), late()), ROOM))
         .collect();
-    assert_eq!(more.iter().filter(|d| **d == Door::Open).count(), 1);
+    assert_eq!(more.iter().filter(|d| **d == Decision::Run).count(), 1);
 }
 
 #[test]
 fn work_conserving() {
     // A workspace alone may use all that others leave, beyond its own entry's part too.
     let mut lane = lane();
-    let room = Room {
-        share: 10.0,
-        free: 30.0,
+    let room = PoolCapacity {
+        own_slots: 10.0,
+        free_slots: 30.0,
     };
-    let open = (0..100).filter(|_| lane.arrive(CALM, arrival("a", late()), room) == Door::Open);
+    let open = (0..100).filter(|_| lane.arrive(CALM, arrival("a", late()), room) == Decision::Run);
     assert_eq!(open.count(), 40);
 }
 
@@ -185,7 +189,7 @@
         lane.arrive(CALM, arrival("a", late()), ROOM);
     }
     let deadline = CALM + Span::from_secs(3);
-    let Door::Refused(refusal) = lane.arrive(CALM, arrival("a", deadline), ROOM) else {
+    let Decision::Refused(refusal) = lane.arrive(CALM, arrival("a", deadline), ROOM) else {
         panic!("it can't come in time");
     };
     assert_eq!(refusal.reason, Reason::Deadline);
@@ -210,18 +214,18 @@
     for _ in 0..30 {
         lane.arrive(CALM, arrival("a", soon), ROOM);
     }
-    let Door::Wait(fresh) = lane.arrive(CALM, arrival("a", late()), ROOM) else {
+    let Decision::Wait(fresh) = lane.arrive(CALM, arrival("a", late()), ROOM) else {
         panic!("it waits");
     };
     lane.depart(&departure("a", None));
     let now = CALM + Span::from_secs(2);
-    let called: Vec<_> = std::iter::from_fn(|| lane.call(now, ROOM)).collect();
+    let called: Vec<_> = std::iter::from_fn(|| lane.dequeue(now, ROOM)).collect();
     let refused = called
         .iter()
-        .filter(|c| matches!(c, Called::Refused(..)))
+        .filter(|c| matches!(c, Dequeued::Refused(..)))
         .count();
     assert_eq!(refused, 30);
-    assert_eq!(called.last(), Some(&Called::Run(fresh)));
+    assert_eq!(called.last(), Some(&Dequeued::Run(fresh)));
 }
 
 #[test]
@@ -235,7 +239,7 @@
         .map(|_| lane.arrive(CALM, arrival("a", late()), ROOM))
         .collect();
     assert_eq!(lane.waiting(), 5);
-    assert!(matches!(doors.last(), Some(Door::Refused(r)) if r.reason == Reason::Queue));
+    assert!(matches!(doors.last(), Some(Decision::Refused(r)) if r.reason == Reason::Queue));
 }
 
 #[test]
@@ -245,11 +249,11 @@
     for _ in 0..10 {
         lane.arrive(CALM, arrival("a", late()), ROOM);
     }
-    let Door::Wait(ticket) = lane.arrive(CALM, arrival("a", late()), ROOM) else {
+    let Decision::Wait(ticket) = lane.arrive(CALM, arrival("a", late()), ROOM) else {
         panic!("it waits");
     };
-    lane.give_up(ticket);
+    lane.abandon(ticket);
     lane.depart(&departure("a", None));
-    assert_eq!(lane.call(CALM, ROOM), None);
+    assert_eq!(lane.dequeue(CALM, ROOM), None);
     assert_eq!((lane.waiting(), lane.running()), (0, 9));
 }
--- a/crates/routing/tests/affinity.rs
+++ b/crates/routing/tests/affinity.rs
@@ -6,7 +6,7 @@
 
 use common::{facts, host, router, service, workspace, CALM};
 use snipemast_core::prelude::*;
-use snipemast_routing::{Prefix, Query, Router, Slot};
+use snipemast_routing::{Prefix, Query, Router, ServerIndex};
 
 fn pool(count: usize) -> Router {
     let mut router = router();
@@ -16,13 +16,16 @@
     router
 }
 
-fn choose(router: &mut Router, prefix: Prefix) -> Slot {
+fn choose(router: &mut Router, prefix: Prefix) -> ServerIndex {
     let wanted = service("a");
     let query = Query::new(&wanted).with_prefix(Some(prefix));
-    router.choose(CALM, &query).expect("a server is there").slot
+    router
+        .choose(CALM, &query)
+        .expect("a server is there")
+        .server
 }
 
-fn at(router: &Router, slot: Slot) -> HostId {
+fn at(router: &Router, slot: ServerIndex) -> HostId {
     router.agent(slot).expect("it has an agent").host.clone()
 }
 
@@ -62,7 +65,7 @@
     let mut counts = vec![0; 8];
     for _ in 0..200 {
         let slot = choose(&mut router, Prefix(1));
-        router.sent(CALM, slot);
+        router.record_sent(CALM, slot);
         let n: usize = at(&router, slot).as_str()[5..].parse().expect("a number");
         counts[n] += 1;
     }
@@ -72,10 +75,10 @@
 #[test]
 fn hint_followed() {
     let mut router = pool(8);
-    router.cached(&host(3), 1, Prefix(9), true);
+    router.record_cache_event(&host(3), 1, Prefix(9), true);
     let slot = choose(&mut router, Prefix(9));
     assert_eq!(at(&router, slot), host(3));
-    router.cached(&host(3), 2, Prefix(9), false);
+    router.record_cache_event(&host(3), 2, Prefix(9), false);
     let elsewhere = choose(&mut pool(8), Prefix(9));
     assert_eq!(choose(&mut router, Prefix(9)), elsewhere);
 }
@@ -87,10 +90,10 @@
     let mut router = pool(8);
     let usual = choose(&mut router, Prefix(9));
     let other = if at(&router, usual) == host(3) { 4 } else { 3 };
-    router.cached(&host(other), 1, Prefix(9), true);
+    router.record_cache_event(&host(other), 1, Prefix(9), true);
     let hinted = choose(&mut router, Prefix(9));
     assert_eq!(at(&router, hinted), host(other));
-    router.cached(&host(other), 5, Prefix(77), true);
+    router.record_cache_event(&host(other), 5, Prefix(77), true);
     assert_eq!(choose(&mut router, Prefix(9)), usual);
 }
 
@@ -100,8 +103,8 @@
     let mut router = pool(8);
     let usual = choose(&mut router, Prefix(9));
     let other = if at(&router, usual) == host(3) { 4 } else { 3 };
-    router.cached(&host(other), 2, Prefix(9), false);
-    router.cached(&host(other), 1, Prefix(9), true);
+    router.record_cache_event(&host(other), 2, Prefix(9), false);
+    router.record_cache_event(&host(other), 1, Prefix(9), true);
     assert_eq!(choose(&mut router, Prefix(9)), usual);
 }
 
@@ -111,7 +114,7 @@
     let mut router = pool(8);
     let usual = choose(&mut router, Prefix(9));
     let other = if at(&router, usual) == host(3) { 4 } else { 3 };
-    router.cached(&host(other), 1, Prefix(9), true);
+    router.record_cache_event(&host(other), 1, Prefix(9), true);
     let hinted = choose(&mut router, Prefix(9));
     router.reconcile(hinted, Prefix(9), false);
     assert_eq!(choose(&mut router, Prefix(9)), usual);
@@ -123,11 +126,11 @@
     let mut router = pool(8);
     let usual = choose(&mut router, Prefix(9));
     let other = if at(&router, usual) == host(3) { 4 } else { 3 };
-    router.cached(&host(other), 1, Prefix(9), true);
+    router.record_cache_event(&host(other), 1, Prefix(9), true);
     let back = LoadReport {
         restarts: 1,
         ..LoadReport::default()
     };
-    router.report(CALM, &host(other), &back);
+    router.record_load(CALM, &host(other), &back);
     assert_eq!(choose(&mut router, Prefix(9)), usual);
 }
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -5,7 +5,7 @@
 use common::{facts, host, router, service, CALM};
 use quickcheck::{QuickCheck, TestResult};
 use snipemast_core::prelude::*;
-use snipemast_routing::{Choice, Near, NoServer, Query, Router, Seat, Wanted};
+use snipemast_routing::{Choice, NoServer, Proximity, Query, Router, Subset, Wanted};
 
 fn choose(router: &mut Router, now: Moment, wanted: &Wanted) -> Result<Choice, NoServer> {
     router.choose(now, &Query::new(wanted))
@@ -16,11 +16,14 @@
     let mut counts = Vec::new();
     for _ in 0..count {
         let choice = choose(router, now, wanted).expect("a server is there");
-        let agent = router.agent(choice.slot).expect("it has an agent").clone();
+        let agent = router
+            .agent(choice.server)
+            .expect("it has an agent")
+            .clone();
         let number: usize = agent.host.as_str()[5..].parse().expect("a number");
         counts.resize(counts.len().max(number + 1), 0);
         counts[number] += 1;
-        router.sent(now, choice.slot);
+        router.record_sent(now, choice.server);
     }
     counts
 }
@@ -58,7 +61,7 @@
         for _ in 0..20 {
             match router.choose(CALM, &query) {
                 Ok(choice) => {
-                    let agent = router.agent(choice.slot).expect("it has an agent");
+                    let agent = router.agent(choice.server).expect("it has an agent");
                     if !(0..12).any(|n| fits(n) && facts(n as usize, "a").agent == *agent) {
                         return TestResult::failed();
                     }
@@ -117,7 +120,7 @@
         ..LoadReport::default()
     };
     for n in 0..4 {
-        router.report(CALM, &host(n), &report);
+        router.record_load(CALM, &host(n), &report);
     }
     let counts = spread(&mut router, CALM, &service("a"), 40);
     assert!(counts.iter().all(|&c| (7..=13).contains(&c)), "{counts:?}");
@@ -136,13 +139,13 @@
         waiting: 40,
         ..LoadReport::default()
     };
-    router.report(CALM, &host(0), &full);
+    router.record_load(CALM, &host(0), &full);
     let idle = LoadReport {
         age: Span::from_secs(1),
         ..LoadReport::default()
     };
-    router.report(CALM, &host(0), &idle);
-    router.report(CALM, &host(1), &LoadReport::default());
+    router.record_load(CALM, &host(0), &idle);
+    router.record_load(CALM, &host(1), &LoadReport::default());
     let counts = spread(&mut router, CALM, &service("a"), 20);
     assert_eq!(counts[0], 0);
 }
@@ -155,19 +158,19 @@
     let slot = router.upsert(CALM, facts(0, "a"), false);
     let sent = CALM;
     for _ in 0..10 {
-        router.sent(sent, slot);
+        router.record_sent(sent, slot);
     }
     let agent = facts(0, "a").agent;
     let later = sent + Span::from_millis(600);
     for _ in 0..10 {
-        router.ended(later, slot, &agent, snipemast_routing::Ended::Answered);
+        router.record_end(later, slot, &agent, snipemast_routing::RequestEnd::Answered);
     }
     let report = LoadReport {
         running: 10,
         age: Span::from_millis(400),
         ..LoadReport::default()
     };
-    router.report(later, &host(0), &report);
+    router.record_load(later, &host(0), &report);
     let choice = choose(&mut router, later, &service("a")).expect("a server is there");
     assert!(choice.load < 0.01, "{}", choice.load);
 }
@@ -185,7 +188,7 @@
             step,
             ..LoadReport::default()
         };
-        router.report(CALM, &host(n), &report);
+        router.record_load(CALM, &host(n), &report);
     }
     let counts = spread(&mut router, CALM, &service("a"), 30);
     assert!(counts[0] >= 6, "{counts:?}");
@@ -210,7 +213,7 @@
             step,
             ..LoadReport::default()
         };
-        router.report(CALM, &host(n), &report);
+        router.record_load(CALM, &host(n), &report);
     }
     let counts = spread(&mut router, CALM, &service("a"), 30);
     assert!(counts[0] + counts[1] < 8, "{counts:?}");
@@ -223,7 +226,7 @@
     let mut counts = [0; 600];
     for entry in 0..350 {
         let mut list: Vec<u32> = (0..600).collect();
-        Seat::new(entry, 24).cut(&mut list);
+        Subset::new(entry, 24).narrow(&mut list);
         assert_eq!(list.len(), 24);
         list.iter().for_each(|s| counts[*s as usize] += 1);
     }
@@ -264,7 +267,7 @@
         now = now + Span::from_secs(1);
         for n in 0..4 {
             let running = if n < 2 { running } else { 0 };
-            router.report(
+            router.record_load(
                 now,
                 &host(n),
                 &LoadReport {
@@ -274,12 +277,12 @@
             );
         }
         let choice = choose(&mut router, now, &service("a")).expect("a server is there");
-        choice.near
+        choice.proximity
     };
-    assert_eq!(near_at(24), Near::Zone);
-    assert_eq!(near_at(30), Near::Region);
-    assert_eq!(near_at(24), Near::Region);
-    assert_eq!(near_at(20), Near::Zone);
+    assert_eq!(near_at(24), Proximity::Zone);
+    assert_eq!(near_at(30), Proximity::Region);
+    assert_eq!(near_at(24), Proximity::Region);
+    assert_eq!(near_at(20), Proximity::Zone);
 }
 
 #[test]
@@ -289,10 +292,10 @@
     let mut router = router();
     for n in 0..3 {
         router.upsert(CALM, facts(n, "a"), false);
-        router.suspect(&host(n), true);
+        router.set_suspect(&host(n), true);
     }
     assert!(choose(&mut router, CALM, &service("a")).is_ok());
-    router.suspect(&host(1), false);
+    router.set_suspect(&host(1), false);
     let counts = spread(&mut router, CALM, &service("a"), 10);
     assert_eq!(counts[1], 10);
 }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 use quickcheck::Gen;
 use snipemast_core::prelude::*;
-use snipemast_routing::{Facts, Place, Router, Wanted};
+use snipemast_routing::{Location, Router, ServerFacts, Wanted};
 
 /// A moment after everything has warmed up.
 pub(crate) const CALM: Moment = Moment::from_millis(100_000);
@@ -16,7 +16,7 @@
 
 /// An empty router in the zone `near`.
 pub(crate) fn router() -> Router {
-    let place = Place {
+    let place = Location {
         zone: "near".parse().expect("a name"),
         region: "here".parse().expect("a name"),
     };
@@ -29,11 +29,11 @@
 }
 
 /// Server `n`, with 32 slots, which offers one service.
-pub(crate) fn facts(n: usize, service: &str) -> Facts {
+pub(crate) fn facts(n: usize, service: &str) -> ServerFacts {
     let offer = Offer::Service {
         service: service.parse().expect("a name"),
     };
-    Facts {
+    ServerFacts {
         agent: ProcessId::new(host(n), Incarnation::new(1)),
         zone: "near".parse().expect("a name"),
         region: "here".parse().expect("a name"),
--- a/crates/routing/tests/health.rs
+++ b/crates/routing/tests/health.rs
@@ -4,11 +4,11 @@
 
 use common::{facts, host, router, service, CALM};
 use snipemast_core::prelude::*;
-use snipemast_routing::{Cause, Ended, Notice, Query, Router, Slot};
+use snipemast_routing::{EjectionCause, Notice, Query, RequestEnd, Router, ServerIndex};
 
 const COUNT: usize = 6;
 
-fn pool() -> (Router, Vec<Slot>) {
+fn pool() -> (Router, Vec<ServerIndex>) {
     let mut router = router();
     let slots = (0..COUNT)
         .map(|n| router.upsert(CALM, facts(n, "a"), false))
@@ -16,19 +16,19 @@
     (router, slots)
 }
 
-fn fail(router: &mut Router, now: Moment, slot: Slot, times: usize) {
+fn fail(router: &mut Router, now: Moment, slot: ServerIndex, times: usize) {
     let agent = router.agent(slot).expect("it has an agent").clone();
     for _ in 0..times {
-        router.sent(now, slot);
-        router.ended(now, slot, &agent, Ended::Failed);
+        router.record_sent(now, slot);
+        router.record_end(now, slot, &agent, RequestEnd::Failed);
     }
 }
 
 /// How many of some choices fall on a server, without anything sent.
-fn drawn(router: &mut Router, now: Moment, slot: Slot) -> usize {
+fn drawn(router: &mut Router, now: Moment, slot: ServerIndex) -> usize {
     let wanted = service("a");
     let choices = (0..200).filter_map(|_| router.choose(now, &Query::new(&wanted)).ok());
-    choices.filter(|c| c.slot == slot).count()
+    choices.filter(|c| c.server == slot).count()
 }
 
 #[test]
@@ -38,8 +38,8 @@
     let (mut router, slots) = pool();
     fail(&mut router, CALM, slots[0], 5);
     assert_eq!(drawn(&mut router, CALM, slots[0]), 0);
-    let ejected = Notice::Ejected("server-0".parse().expect("a name"), Cause::Failures);
-    assert!(router.notices().contains(&ejected));
+    let ejected = Notice::Ejected("server-0".parse().expect("a name"), EjectionCause::Failures);
+    assert!(router.take_notices().contains(&ejected));
     let later = CALM + Span::from_secs(8);
     assert!(drawn(&mut router, later, slots[0]) > 0);
 }
@@ -61,14 +61,14 @@
     // request that it draws waits until its deadline.
     let (mut router, slots) = pool();
     for &slot in &slots {
-        router.first(CALM, slot, Span::from_millis(100));
-        router.sent(CALM, slot);
+        router.record_first(CALM, slot, Span::from_millis(100));
+        router.record_sent(CALM, slot);
     }
     let later = CALM + Span::from_millis(1_100);
     for &slot in &slots[1..] {
-        router.moved(later, slot);
+        router.record_progress(later, slot);
     }
-    router.report(later, &host(0), &LoadReport::default());
+    router.record_load(later, &host(0), &LoadReport::default());
     drawn(&mut router, later, slots[0]);
     assert_eq!(drawn(&mut router, later, slots[0]), 0);
     assert_eq!(router.ejected(later).len(), 1);
@@ -80,8 +80,8 @@
     // every server that thinks.
     let (mut router, slots) = pool();
     for &slot in &slots {
-        router.first(CALM, slot, Span::from_secs(3));
-        router.sent(CALM, slot);
+        router.record_first(CALM, slot, Span::from_secs(3));
+        router.record_sent(CALM, slot);
     }
     let later = CALM + Span::from_secs(4);
     drawn(&mut router, later, slots[0]);
@@ -98,13 +98,13 @@
         ..LoadReport::default()
     };
     for n in 1..COUNT {
-        router.report(CALM, &host(n), &busy);
+        router.record_load(CALM, &host(n), &busy);
     }
     let back = LoadReport {
         restarts: 1,
         ..LoadReport::default()
     };
-    router.report(CALM, &host(0), &back);
+    router.record_load(CALM, &host(0), &back);
     assert_eq!(drawn(&mut router, CALM, slots[0]), 0);
     let later = CALM + Span::from_secs(5);
     assert!(drawn(&mut router, later, slots[0]) > 20);
@@ -119,14 +119,14 @@
         running: 31,
         ..LoadReport::default()
     };
-    router.report(CALM, &host(0), &full);
+    router.record_load(CALM, &host(0), &full);
     for n in 1..COUNT {
         let back = LoadReport {
             restarts: 1,
             running: 10,
             ..LoadReport::default()
         };
-        router.report(CALM, &host(n), &back);
+        router.record_load(CALM, &host(n), &back);
     }
     assert_eq!(drawn(&mut router, CALM, slots[0]), 0);
 }
@@ -137,12 +137,12 @@
     // late end of the first must not count against the second.
     let (mut router, slots) = pool();
     let gone = facts(0, "a").agent;
-    router.sent(CALM, slots[0]);
+    router.record_sent(CALM, slots[0]);
     router.remove(&host(0));
     let slot = router.upsert(CALM, facts(9, "a"), false);
     assert_eq!(slot, slots[0]);
     for _ in 0..10 {
-        router.ended(CALM, slot, &gone, Ended::Failed);
+        router.record_end(CALM, slot, &gone, RequestEnd::Failed);
     }
     assert!(router.ejected(CALM).is_empty());
 }
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -6,9 +6,9 @@
 use quickcheck::QuickCheck;
 use snipemast_config::document::Limits;
 use snipemast_core::prelude::*;
-use snipemast_routing::{Demands, Limiter, Part, Reason, Topic, Wanted, WishPolicy, Wishes};
+use snipemast_routing::{Demands, LimitShare, Limiter, Reason, Topic, Wanted, WishPolicy, Wishes};
 
-const WHOLE: Part = Part {
+const WHOLE: LimitShare = LimitShare {
     share: 1.0,
     concurrency: None,
 };
@@ -38,16 +38,16 @@
 fn exchange(all: &mut [Demands], rates: &[f64], second: u64, hears: impl Fn(usize, usize) -> bool) {
     let now = secs(second);
     for (demands, rate) in all.iter_mut().zip(rates) {
-        demands.note(now, topic(), *rate);
+        demands.record(now, topic(), *rate);
     }
-    let told: Vec<_> = all.iter_mut().map(|d| d.summary(now)).collect();
+    let told: Vec<_> = all.iter_mut().map(|d| d.next_summary(now)).collect();
     for (n, demands) in all.iter_mut().enumerate() {
         for (from, summary) in told.iter().enumerate() {
             if hears(n, from) {
                 demands.merge(now, summary);
             }
         }
-        demands.settle(now);
+        demands.set_aside_silent(now);
     }
 }
 
@@ -146,9 +146,9 @@
     // A summary that was overtaken, or an earlier incarnation's, brings an old demand back.
     let mut here = Demands::new(entry(0));
     let mut there = Demands::new(entry(1));
-    there.note(CALM, topic(), 1_000.0);
-    let old = there.summary(CALM);
-    let new = there.summary(secs(60));
+    there.record(CALM, topic(), 1_000.0);
+    let old = there.next_summary(CALM);
+    let new = there.next_summary(secs(60));
     here.merge(CALM, &new);
     here.merge(CALM, &old);
     assert_eq!(here.total(CALM, topic()), 0.0);
@@ -213,7 +213,7 @@
 #[test]
 fn in_flight_bound() {
     let limits = Limits::default();
-    let part = Part {
+    let part = LimitShare {
         share: 1.0,
         concurrency: Some(2),
     };
@@ -224,7 +224,7 @@
         admit(&mut limiter).map_err(|r| r.reason),
         Err(Reason::Concurrency)
     );
-    limiter.ended(CALM, &workspace("w"), 1.0, 1.0);
+    limiter.finish(CALM, &workspace("w"), 1.0, 1.0);
     assert!(admit(&mut limiter).is_ok());
 }
 
@@ -243,17 +243,20 @@
     };
     let mut wishes = Wishes::new(policy);
     for n in 0..5 {
-        let refusal = wishes.ask(secs(n as u64), &wanted(n));
+        let refusal = wishes.record_request(secs(n as u64), &wanted(n));
         assert_eq!(refusal.reason, Reason::Unloaded);
     }
     let orders: Vec<_> = wishes
-        .orders(secs(5))
+        .due_loads(secs(5))
         .into_iter()
         .map(|w| w.wanted)
         .collect();
     assert_eq!(orders, [wanted(0), wanted(1)]);
-    assert_eq!(wishes.ask(secs(20), &wanted(0)).retry, Span::from_secs(40));
-    wishes.loaded(&wanted(0));
-    assert_eq!(wishes.orders(secs(20))[0].wanted, wanted(1));
-    assert!(wishes.orders(secs(1_000)).is_empty());
+    assert_eq!(
+        wishes.record_request(secs(20), &wanted(0)).retry,
+        Span::from_secs(40)
+    );
+    wishes.mark_loaded(&wanted(0));
+    assert_eq!(wishes.due_loads(secs(20))[0].wanted, wanted(1));
+    assert!(wishes.due_loads(secs(1_000)).is_empty());
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -11,7 +11,7 @@
 
 use crate::codec::{decode, encode_into, CodecError};
 
-pub use snipemast_requests::{Failure, Frame, Part, Refused, Tag};
+pub use snipemast_requests::{Failure, Frame, Part, RefusalReason, Tag};
 
 /// The result of reading a frame.
 pub type Result<T> = std::result::Result<T, FrameError>;
@@ -86,7 +86,10 @@
     /// The bytes of a stream's first frame.
     pub fn accepted(id: &DispatchId) -> Vec<u8> {
         let padding = vec![0; PADDING];
-        Self::encode(&Frame::new(Tag::of(id), Part::Accepted { padding }))
+        Self::encode(&Frame::new(
+            Tag::for_dispatch(id),
+            Part::Accepted { padding },
+        ))
     }
 }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -39,7 +39,8 @@
 pub use frame::{Frame, FrameReader, FrameWriter, Part};
 pub use gossip::Packed;
 pub use message::{
-    Announce, Call, Cancel, Dispatch, Header, ResumeFrom, Settle, Settled, Settlement, Suspected,
+    Announce, AttemptStatus, Call, Cancel, Dispatch, Header, ResumeFrom, Settle, Settlement,
+    Suspected,
 };
 pub use peer::{Peer, PeerError, PeerErrorKind, Stream};
 pub use pipe::{pipe, PipeReader, PipeWriter};
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -5,8 +5,8 @@
 use snipemast_core::data;
 use snipemast_core::prelude::*;
 
-pub use snipemast_requests::suspicion::{Entry as SuspicionEntry, Known};
-pub use snipemast_requests::{Header, Settled};
+pub use snipemast_requests::suspicion::{KnownFacts, SuspicionEntry};
+pub use snipemast_requests::{AttemptStatus, Header};
 
 /// Paths of the messages on each process's HTTP server.
 pub mod path {
@@ -111,13 +111,13 @@
         /// The attempt.
         pub id: DispatchId,
         /// What became of it.
-        pub settled: Settled,
+        pub settled: AttemptStatus,
     }
 
     /// What an entry knows of requests that crash servers, and what it tells another.
     pub struct Suspected {
         /// How much of each source it knows.
-        pub known: Known,
+        pub known: KnownFacts,
         /// What it tells.
         pub delta: Vec<SuspicionEntry>,
     }
