--- a/crates/benches/benches/control.rs
+++ b/crates/benches/benches/control.rs
@@ -14,8 +14,8 @@
 use snipemast_config::Patch;
 use snipemast_control::machine::{Command, Submission};
 use snipemast_control::{
-    Boot, ClusterId, DiskStorage, Input, Machine, Node, Output, Seat, StateMachine, Storage,
-    Ticket, Timing, VoterId, Voters, Write,
+    ClusterId, ConfigMachine, DiskStorage, Input, Location, Node, NodeParams, Output, StateMachine,
+    Storage, Ticket, Timing, VoterId, Voters, Write,
 };
 use snipemast_core::prelude::*;
 
@@ -45,7 +45,7 @@
 /// One patch on the configuration of two years, by the state machine alone.
 fn measure_apply(figures: &mut Figures) {
     begin("apply");
-    let mut machine = Machine::default();
+    let mut machine = ConfigMachine::default();
     let workspaces = (0..WORKSPACES).map(|i| {
         let name = format!("w-{i}");
         let workspace = json!({ "keys": [KeyHash::of(&name)], "weight": i % 9 + 1 });
@@ -104,7 +104,7 @@
     let without = restart(
         changes,
         Timing {
-            snapshot: u64::MAX,
+            snapshot_entries: u64::MAX,
             ..Timing::default()
         },
     );
@@ -117,7 +117,7 @@
 /// A voter alone on a data folder.
 struct Alone {
     disk: DiskStorage,
-    node: Node<Machine>,
+    node: Node<ConfigMachine>,
     now: Moment,
     writes: Vec<Write>,
     number: u64,
@@ -125,22 +125,22 @@
 
 impl Alone {
     fn open(folder: &Path, timing: Timing) -> Self {
-        let seat = Seat {
+        let seat = Location {
             host: "host-1".parse().expect("a valid name"),
             zone: "zone-1".parse().expect("a valid name"),
             address: ([127, 0, 0, 1], 1).into(),
         };
         let (disk, opened) = DiskStorage::open(folder, &seat, VoterId(1)).expect("it opens");
-        let boot = Boot {
+        let boot = NodeParams {
             id: VoterId(1),
             start: 1,
             cluster: ClusterId(1),
-            formed: Voters::new([(VoterId(1), seat)].into()),
+            first_voters: Voters::new([(VoterId(1), seat)].into()),
             stored: opened.stored,
             timing,
             seed: 1,
         };
-        let node = Node::new(boot, Machine::default(), Moment::ZERO).expect("it starts");
+        let node = Node::new(boot, ConfigMachine::default(), Moment::ZERO).expect("it starts");
         let mut alone = Self {
             disk,
             node,
--- a/crates/benches/src/config_costs.rs
+++ b/crates/benches/src/config_costs.rs
@@ -13,7 +13,7 @@
 use snipemast_config::check::check;
 use snipemast_config::merge::merge;
 use snipemast_config::{Config, KeyHash, Patch, Snapshot, Verdict};
-use snipemast_control::machine::{Machine, Submission};
+use snipemast_control::machine::{ConfigMachine, Submission};
 use snipemast_core::prelude::*;
 use snipemast_entry::Entry;
 use snipemast_settings::EntrySettings;
@@ -81,7 +81,7 @@
 }
 
 fn measure_apply(figures: &mut Figures, rounds: usize) {
-    let mut machine = Machine::default();
+    let mut machine = ConfigMachine::default();
     let mut submit = |n: usize, set: Value| {
         let submission = Submission::new(patch(n, machine.config().version, set));
         let start = Instant::now();
--- a/crates/benches/src/voters.rs
+++ b/crates/benches/src/voters.rs
@@ -16,7 +16,7 @@
 
 use snipemast_config::{KeyHash, Patch, Verdict};
 use snipemast_control::machine::{Command, Reply, Submission};
-use snipemast_control::{Machine, Seat, Timing};
+use snipemast_control::{ConfigMachine, Location, Timing};
 use snipemast_core::prelude::*;
 use snipemast_entry::voter::{LogPlace, SubmitError, Voter, VoterOptions};
 use snipemast_wire::{listen, spawn, Listening};
@@ -55,7 +55,7 @@
         let listening = listen(any, slot.clone()).await.expect("port 0 binds");
         let bytes = Arc::new(AtomicU64::new(0));
         let address = relay(listening.address(), Arc::clone(&bytes)).await;
-        let seat = Seat {
+        let seat = Location {
             host: format!("host-{number}").parse().expect("a valid name"),
             zone: format!("zone-{}", number % 3)
                 .parse()
@@ -82,10 +82,10 @@
     pub async fn start(&self) {
         loop {
             let version = Arc::clone(&self.version);
-            let watch = move |machine: &Machine| {
+            let watch = move |machine: &ConfigMachine| {
                 version.store(machine.config().version.get(), Ordering::Release);
             };
-            let machine = Machine::default();
+            let machine = ConfigMachine::default();
             let journal = journal(&self.options.seat.host);
             if let Ok(voter) = Voter::start(self.options.clone(), machine, journal, watch) {
                 *self.slot.0.lock() = Some(Arc::new(voter));
--- a/crates/control/src/apply.rs
+++ b/crates/control/src/apply.rs
@@ -39,7 +39,7 @@
     ///
     /// A machine that numbers its states jumps ahead here, by more than can have been lost, so
     /// that no number stands for two states.
-    fn replaced(&mut self, index: Index) {
+    fn majority_replaced(&mut self, index: Index) {
         let _ = index;
     }
 }
--- a/crates/control/src/change.rs
+++ b/crates/control/src/change.rs
@@ -4,7 +4,7 @@
 
 use crate::apply::StateMachine;
 use crate::entry::Payload;
-use crate::node::{Node, Note, Refusal, Ticket};
+use crate::node::{Node, NodeEvent, Refusal, Ticket};
 use crate::role::{Progress, Role};
 use crate::voters::{ChangeError, VoterChange, VoterId, Voters};
 
@@ -43,7 +43,7 @@
 
     fn check_learner(&self, progress: Option<&Progress>) -> Result<(), ChangeError> {
         let (held, acked) = progress.map_or((Index(0), None), |p| (p.matched, p.acked));
-        let alive = acked.is_some_and(|a| self.now < a + self.timing.election);
+        let alive = acked.is_some_and(|a| self.now < a + self.timing.election_timeout);
         let needed = self.commit;
         if held >= needed && alive {
             Ok(())
@@ -53,7 +53,7 @@
     }
 
     fn append_change(&mut self, ticket: Ticket, voters: Voters) {
-        let (last, now) = (self.log.last(), self.now);
+        let (last, now) = (self.log.last_index(), self.now);
         let id = self.id;
         if let Some(office) = self.office() {
             for peer in voters.others(id) {
@@ -77,7 +77,7 @@
         if let Some(office) = self.office() {
             office.peers.retain(|peer, _| current.contains(peer));
         }
-        self.note(Note::Changed(voters));
+        self.note(NodeEvent::VotersChanged(voters));
     }
 
     /// The first entry of an office is committed: the leader may give orders.
@@ -89,7 +89,7 @@
             return;
         };
         office.ready = true;
-        self.note(Note::Fenced(Fence(term.get())));
+        self.note(NodeEvent::LeaderReady(Fence(term.get())));
     }
 
     /// A leader that a committed change has removed ends its office.
--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -15,13 +15,13 @@
 use snipemast_core::data;
 use snipemast_core::prelude::*;
 
-use crate::entry::{Hard, LogEntry, Snapshot, Stored, Write};
+use crate::entry::{Hard, LogEntry, Snapshot, StoredState, Write};
 use crate::files::{damaged, encode, load, replace, replace_bytes};
 use crate::force;
 use crate::identity::{inode, Identity};
 use crate::record;
 use crate::storage::{broken, Result, Storage, StorageError};
-use crate::voters::{ClusterId, Seat, VoterId, Voters};
+use crate::voters::{ClusterId, Location, VoterId, Voters};
 
 const LOCK: &str = "lock";
 const LOG: &str = "log";
@@ -55,9 +55,9 @@
 
 /// What a data folder held when it was opened.
 #[derive(Debug, Clone)]
-pub struct Opened {
+pub struct Recovery {
     /// What the voter had kept.
-    pub stored: Stored,
+    pub stored: StoredState,
     /// How many bytes a crash had left torn at the end of the log.
     pub torn: usize,
     /// An operator had a lost majority replaced by this voter alone.
@@ -66,15 +66,15 @@
 
 impl DiskStorage {
     /// Opens the data folder of the voter with this seat, or makes one under the id `fresh`.
-    pub fn open(folder: &Path, seat: &Seat, fresh: VoterId) -> Result<(Self, Opened)> {
+    pub fn open(folder: &Path, location: &Location, fresh: VoterId) -> Result<(Self, Recovery)> {
         fs::create_dir_all(folder).map_err(broken(folder))?;
         let lock = take_lock(folder)?;
         let inode = inode(&lock, folder)?;
-        let mut identity = identify(folder, &seat.host, fresh, inode)?;
+        let mut identity = identify(folder, &location.host, fresh, inode)?;
         let (mut stored, torn) = read(folder, &identity)?;
-        let forced = force::apply(folder, &mut identity, &mut stored, seat, fresh)?;
+        let forced = force::apply(folder, &mut identity, &mut stored, location, fresh)?;
         if forced {
-            identity.host = seat.host.clone();
+            identity.host = location.host.clone();
             identity.inode = inode;
             identity.keep(folder)?;
         }
@@ -94,7 +94,7 @@
         };
         Ok((
             storage,
-            Opened {
+            Recovery {
                 stored,
                 torn,
                 forced,
@@ -108,9 +108,9 @@
     }
 
     /// Joins a cluster for good, as one of its first voters or, with no voters, as a learner.
-    pub fn join(&mut self, cluster: ClusterId, formed: Voters) -> Result<()> {
+    pub fn join(&mut self, cluster: ClusterId, first_voters: Voters) -> Result<()> {
         self.identity.cluster = Some(cluster);
-        self.identity.formed = formed;
+        self.identity.first_voters = first_voters;
         self.identity.keep(&self.folder)
     }
 
@@ -136,7 +136,7 @@
         self.log.sync_data().map_err(broken(&path))
     }
 
-    fn replace(&mut self, stored: &Stored) -> Result<()> {
+    fn replace(&mut self, stored: &StoredState) -> Result<()> {
         if let Some(snapshot) = &stored.snapshot {
             replace(&self.folder, SNAPSHOT, snapshot.as_ref())?;
         }
@@ -194,11 +194,11 @@
 ///
 /// Failure guarded against: the log is lost and its voter goes on as if it had never voted. A
 /// folder on which a process has started before must have its log.
-fn read(folder: &Path, identity: &Identity) -> Result<(Stored, usize)> {
+fn read(folder: &Path, identity: &Identity) -> Result<(StoredState, usize)> {
     let snapshot: Option<Snapshot> = load(&folder.join(SNAPSHOT))?;
-    let mut stored = Stored {
+    let mut stored = StoredState {
         snapshot: snapshot.map(Arc::new),
-        ..Stored::default()
+        ..StoredState::default()
     };
     let path = folder.join(LOG);
     if !path.exists() {
@@ -224,7 +224,7 @@
 }
 
 /// Takes an item into what is stored; nothing where entries leave a gap.
-fn take(stored: &mut Stored, item: Item) -> Option<()> {
+fn take(stored: &mut StoredState, item: Item) -> Option<()> {
     match item {
         Item::Hard(hard) => stored.hard = hard,
         Item::Entries(entries) => {
@@ -240,7 +240,7 @@
 }
 
 /// Puts a log with only what is needed in the place of the log.
-fn write_log(folder: &Path, stored: &Stored) -> Result<()> {
+fn write_log(folder: &Path, stored: &StoredState) -> Result<()> {
     let mut items = vec![Item::Hard(stored.hard)];
     if !stored.entries.is_empty() {
         items.push(Item::Entries(stored.entries.clone()));
--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -7,7 +7,7 @@
 use crate::apply::StateMachine;
 use crate::entry::{Hard, Payload, Write};
 use crate::message::{Message, Position};
-use crate::node::{Node, Note, Refusal};
+use crate::node::{Node, NodeEvent, Refusal};
 use crate::role::{Office, Progress, Role};
 use crate::voters::VoterId;
 
@@ -17,8 +17,8 @@
 impl<M: StateMachine> Node<M> {
     /// Waits for a leader for one election timeout and a little more by chance.
     pub(crate) fn rest(&mut self) {
-        let spread = self.chance.span(self.timing.spread);
-        self.alarm = self.now + self.timing.election + spread;
+        let spread = self.chance.span_below(self.timing.election_jitter);
+        self.alarm = self.now + self.timing.election_timeout + spread;
     }
 
     /// Asks the voters whether they would elect it.
@@ -27,8 +27,10 @@
     /// and deposes a leader that all others hear. No term is raised before a majority says
     /// that it hears no leader.
     pub(crate) fn stand(&mut self) {
-        let part = self.timing.election.as_micros() / RETRY_PART;
-        self.alarm = self.now + Span::from_micros(part) + self.chance.span(self.timing.spread);
+        let part = self.timing.election_timeout.as_micros() / RETRY_PART;
+        self.alarm = self.now
+            + Span::from_micros(part)
+            + self.chance.span_below(self.timing.election_jitter);
         self.leader = None;
         if self.is_alone() {
             return self.campaign();
@@ -113,7 +115,7 @@
     /// later leader without that entry overwrites it. Only entries of its own term are
     /// counted; what stands before them is committed with them.
     fn take_office(&mut self) {
-        let (last, now) = (self.log.last(), self.now);
+        let (last, now) = (self.log.last_index(), self.now);
         let peers = self.log.voters().others(self.id);
         let peers = peers.into_iter().map(|p| (p, Progress::new(last, now)));
         self.role = Role::Leader(Box::new(Office {
@@ -124,7 +126,7 @@
             waiting: Default::default(),
         }));
         self.leader = Some(self.id);
-        self.note(Note::Elected(self.hard.term));
+        self.note(NodeEvent::Elected(self.hard.term));
         self.append_own(Payload::Office { leader: self.id });
     }
 
@@ -147,7 +149,7 @@
         self.role = Role::Follower;
         self.leader = None;
         self.rest();
-        self.note(Note::Ended(self.hard.term));
+        self.note(NodeEvent::SteppedDown(self.hard.term));
         for ticket in waiting.into_values() {
             self.answer(ticket, Err(Refusal::Unknown));
         }
@@ -160,7 +162,7 @@
             return;
         };
         let contact = self.contact(office).unwrap_or(office.began);
-        if self.now > contact + self.timing.election {
+        if self.now > contact + self.timing.election_timeout {
             self.end_office();
         }
     }
@@ -177,7 +179,7 @@
 
     /// Whether it hears a leader, or is one: then it helps nobody to depose it.
     pub(crate) fn is_sheltered(&self) -> bool {
-        self.is_leader() || self.now < self.heard + self.timing.election
+        self.is_leader() || self.now < self.heard + self.timing.election_timeout
     }
 
     fn swear(&mut self, term: Term, vote: Option<VoterId>) {
@@ -186,7 +188,7 @@
     }
 
     fn last_position(&self) -> Position {
-        Position::new(self.log.last_term(), self.log.last())
+        Position::new(self.log.last_term(), self.log.last_index())
     }
 
     fn other_voters(&self) -> Vec<VoterId> {
--- a/crates/control/src/entry.rs
+++ b/crates/control/src/entry.rs
@@ -63,7 +63,7 @@
 
 /// What a disk holds of one voter.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Stored {
+pub struct StoredState {
     /// The term and the vote.
     pub hard: Hard,
     /// The last snapshot.
@@ -80,7 +80,7 @@
     /// Keep these entries; whatever stood at the first one's place and after it is gone.
     Append(Vec<LogEntry>),
     /// Keep a snapshot and these entries in place of everything before.
-    Replace(Box<Stored>),
+    Replace(Box<StoredState>),
 }
 
 impl LogEntry {
@@ -106,7 +106,7 @@
     }
 }
 
-impl Stored {
+impl StoredState {
     /// Does what a disk was asked, in memory.
     pub fn apply(&mut self, write: &Write) {
         match write {
--- a/crates/control/src/force.rs
+++ b/crates/control/src/force.rs
@@ -13,11 +13,11 @@
 
 use snipemast_core::prelude::*;
 
-use crate::entry::{LogEntry, Payload, Stored};
+use crate::entry::{LogEntry, Payload, StoredState};
 use crate::files::sync_folder;
 use crate::identity::Identity;
 use crate::storage::{broken, Result, StorageError};
-use crate::voters::{ClusterId, Seat, VoterId, Voters};
+use crate::voters::{ClusterId, Location, VoterId, Voters};
 
 /// What the operator must write after the last place of the log.
 pub const PHRASE: &str = "changes after this may be lost";
@@ -28,7 +28,7 @@
 const FILE: &str = "force";
 
 /// The last place of a stored log.
-pub fn last_index(stored: &Stored) -> Index {
+pub fn last_index(stored: &StoredState) -> Index {
     let covered = stored.snapshot.as_ref().map_or(Index(0), |s| s.index);
     stored
         .entries
@@ -51,8 +51,8 @@
 pub(crate) fn apply(
     folder: &Path,
     identity: &mut Identity,
-    stored: &mut Stored,
-    seat: &Seat,
+    stored: &mut StoredState,
+    location: &Location,
     fresh: VoterId,
 ) -> Result<bool> {
     let path = folder.join(FILE);
@@ -67,7 +67,7 @@
     }
     identity.voter = fresh;
     identity.cluster = Some(ClusterId(fresh.get()));
-    let voters = Voters::new([(fresh, seat.clone())].into());
+    let voters = Voters::new([(fresh, location.clone())].into());
     stored.hard.term = Term(stored.hard.term.get() + TERM_STEP);
     stored.hard.vote = None;
     stored.entries.push(LogEntry {
--- a/crates/control/src/forming.rs
+++ b/crates/control/src/forming.rs
@@ -5,7 +5,7 @@
 
 use snipemast_core::data;
 
-use crate::voters::{ClusterId, Seat, VoterId, Voters};
+use crate::voters::{ClusterId, Location, VoterId, Voters};
 
 data! {
     /// Who asks who a control host is.
@@ -15,15 +15,17 @@
     }
 
     /// Who a control host is.
-    pub struct Known {
+    pub struct ControlHost {
         /// Its id, from its data folder.
         pub voter: VoterId,
         /// Where it is.
-        pub seat: Seat,
+        #[serde(rename = "seat")]
+        pub location: Location,
         /// Its cluster, once that is formed.
         pub cluster: Option<ClusterId>,
         /// The voters that the cluster was formed with.
-        pub formed: Voters,
+        #[serde(rename = "formed")]
+        pub first_voters: Voters,
     }
 }
 
@@ -35,17 +37,17 @@
 /// Failures guarded against: two hosts form two clusters (only the lowest address forms one); a
 /// host whose disk was wiped forms a new cluster beside the old one (none is formed unless every
 /// listed host is new, and a host that is not among its voters only learns).
-pub fn decide(
+pub fn choose_cluster(
     first: bool,
     own: SocketAddr,
     addresses: &[SocketAddr],
-    known: &BTreeMap<SocketAddr, Known>,
+    known: &BTreeMap<SocketAddr, ControlHost>,
 ) -> Option<(ClusterId, Voters)> {
     let me = known[&own].voter;
     let formed = known.values().find_map(|k| Some((k.cluster?, k)));
     if let Some((cluster, other)) = formed {
-        let voters = if other.formed.is_voter(me) {
-            other.formed.clone()
+        let voters = if other.first_voters.is_voter(me) {
+            other.first_voters.clone()
         } else {
             Voters::default()
         };
@@ -57,6 +59,6 @@
     }
     let seats = addresses
         .iter()
-        .map(|a| (known[a].voter, known[a].seat.clone()));
+        .map(|a| (known[a].voter, known[a].location.clone()));
     Some((ClusterId(me.get()), Voters::new(seats.collect())))
 }
--- a/crates/control/src/identity.rs
+++ b/crates/control/src/identity.rs
@@ -35,7 +35,8 @@
         /// The cluster that it belongs to, once that is formed.
         pub cluster: Option<ClusterId>,
         /// The voters that the cluster was formed with, or none for a learner.
-        pub formed: Voters,
+        #[serde(rename = "formed")]
+        pub first_voters: Voters,
     }
 }
 
@@ -49,7 +50,7 @@
             inode,
             starts: 0,
             cluster: None,
-            formed: Voters::default(),
+            first_voters: Voters::default(),
         }
     }
 
--- a/crates/control/src/install.rs
+++ b/crates/control/src/install.rs
@@ -7,7 +7,7 @@
 use crate::apply::StateMachine;
 use crate::entry::{Snapshot, Write};
 use crate::message::{Message, Position, SnapshotHead};
-use crate::node::{Node, Note};
+use crate::node::{Node, NodeEvent};
 use crate::voters::VoterId;
 
 /// A snapshot that is arriving.
@@ -32,7 +32,7 @@
 
     /// Sends the next piece of the snapshot under way.
     pub(crate) fn send_piece(&mut self, to: VoterId) {
-        let chunk = self.timing.chunk.as_bytes() as usize;
+        let chunk = self.timing.chunk_size.as_bytes() as usize;
         let sent = self.now;
         let Some(progress) = self.office().and_then(|o| o.peers.get_mut(&to)) else {
             return;
@@ -61,7 +61,7 @@
         sent: Moment,
     ) {
         if !self.hear_leader(from, term) {
-            return self.refuse(from, self.log.last(), sent);
+            return self.refuse(from, self.log.last_index(), sent);
         }
         let index = head.last.index;
         if index <= self.commit {
@@ -111,7 +111,7 @@
         let last = head.last;
         let sound = crc32fast::hash(&bytes) == head.checksum;
         if !sound || self.machine.restore(&bytes).is_err() {
-            self.note(Note::Unreadable(last.index));
+            self.note(NodeEvent::SnapshotUnreadable(last.index));
             return false;
         }
         self.fence = self.fence.max(head.fence);
@@ -130,7 +130,7 @@
         self.applied = last.index;
         let stored = Box::new(self.to_stored());
         self.write(Write::Replace(stored));
-        self.note(Note::Snapshot(last.index));
+        self.note(NodeEvent::SnapshotSaved(last.index));
         true
     }
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -41,11 +41,11 @@
 mod role;
 
 pub use apply::{RestoreError, StateMachine};
-pub use disk::{DiskStorage, Opened};
-pub use entry::{Hard, LogEntry, Payload, Snapshot, Stored, Write};
-pub use machine::Machine;
+pub use disk::{DiskStorage, Recovery};
+pub use entry::{Hard, LogEntry, Payload, Snapshot, StoredState, Write};
+pub use machine::ConfigMachine;
 pub use message::{Envelope, Message};
-pub use node::{Boot, Input, Node, Note, Output, Refusal, Ticket};
+pub use node::{Input, Node, NodeEvent, NodeParams, Output, Refusal, Ticket};
 pub use storage::{MemoryStorage, Storage, StorageError};
-pub use timing::{Chance, Timing};
-pub use voters::{ChangeError, ClusterId, Seat, VoterChange, VoterId, Voters};
+pub use timing::{SplitMix64, Timing};
+pub use voters::{ChangeError, ClusterId, Location, VoterChange, VoterId, Voters};
--- a/crates/control/src/log.rs
+++ b/crates/control/src/log.rs
@@ -4,7 +4,7 @@
 
 use snipemast_core::prelude::*;
 
-use crate::entry::{LogEntry, Snapshot, Stored};
+use crate::entry::{LogEntry, Snapshot, StoredState};
 use crate::voters::Voters;
 
 /// The last snapshot and the entries kept in memory.
@@ -23,14 +23,14 @@
 
 impl Log {
     /// The log that a disk holds, formed with these voters if it holds no snapshot.
-    pub fn new(stored: Stored, formed: Voters) -> Self {
-        let Stored {
+    pub fn new(stored: StoredState, first_voters: Voters) -> Self {
+        let StoredState {
             snapshot, entries, ..
         } = stored;
         let at = snapshot
             .as_ref()
             .map_or((Index(0), Term(0)), |s| (s.index, s.term));
-        let voters = snapshot.as_ref().map_or(formed, |s| s.voters.clone());
+        let voters = snapshot.as_ref().map_or(first_voters, |s| s.voters.clone());
         let mut log = Self {
             snapshot,
             entries: Vec::new(),
@@ -75,7 +75,7 @@
     }
 
     /// The last place.
-    pub fn last(&self) -> Index {
+    pub fn last_index(&self) -> Index {
         self.entries.last().map_or(self.base.0, |e| e.index)
     }
 
@@ -152,7 +152,7 @@
 
     /// Whether a log that ends so holds all that this one may have committed.
     pub fn is_covered_by(&self, term: Term, index: Index) -> bool {
-        (term, index) >= (self.last_term(), self.last())
+        (term, index) >= (self.last_term(), self.last_index())
     }
 
     /// Takes a snapshot of one's own state and drops entries but the last `keep` before it.
@@ -186,8 +186,8 @@
     }
 
     /// All that a disk must hold to bring this log back.
-    pub fn to_stored(&self, hard: crate::entry::Hard) -> Stored {
-        Stored {
+    pub fn to_stored(&self, hard: crate::entry::Hard) -> StoredState {
+        StoredState {
             hard,
             snapshot: self.snapshot.clone(),
             entries: self.entries.clone(),
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -20,7 +20,7 @@
 use crate::apply::{self, RestoreError, StateMachine};
 
 pub use command::{Command, CommandError, Reply, Submission};
-pub use history::{Bounds, Entry, History, HistoryError};
+pub use history::{Bounds, History, HistoryEntry, HistoryError};
 pub use verdicts::{PatchDigest, Verdicts};
 
 /// How many versions are passed over when a lost majority is replaced: more than could have
@@ -29,13 +29,13 @@
 
 /// The configuration in force and what led to it.
 #[derive(Debug, Default)]
-pub struct Machine {
+pub struct ConfigMachine {
     config: Arc<Config>,
     history: History,
     verdicts: Verdicts,
 }
 
-impl Machine {
+impl ConfigMachine {
     /// Starts from a configuration.
     pub fn new(config: Config) -> Self {
         let config = Arc::new(config);
@@ -83,7 +83,7 @@
             Ok(change) => {
                 let version = change.config.version;
                 self.config = Arc::new(change.config);
-                let entry = Entry::new(patch, author.clone(), *time, change.delta);
+                let entry = HistoryEntry::new(patch, author.clone(), *time, change.delta);
                 self.history.push(entry, &self.config);
                 Verdict::Accepted { version }
             }
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The whole state, to be restored by [`Machine::from_state`].
+    /// The whole state, to be restored by [`ConfigMachine::from_state`].
     pub fn state(&self) -> State {
         State {
             config: self.config.as_ref().clone(),
@@ -148,7 +148,7 @@
         /// The configuration before the oldest entry of the history.
         pub base: Config,
         /// The last versions.
-        pub history: Vec<Entry>,
+        pub history: Vec<HistoryEntry>,
         /// The verdicts that are remembered.
         pub verdicts: Verdicts,
     }
@@ -179,7 +179,7 @@
     }
 }
 
-impl StateMachine for Machine {
+impl StateMachine for ConfigMachine {
     fn apply(&mut self, _: Index, command: &[u8]) -> Vec<u8> {
         let reply = match Command::from_bytes(command) {
             Ok(command) => self.run(&command),
@@ -202,11 +202,12 @@
     /// Failure guarded against: versions that were accepted and then lost with their majority
     /// are still in force at some entry, and the same numbers are given out again. It shows as
     /// two contents under one number. The numbers go on well above the lost ones.
-    fn replaced(&mut self, _: Index) {
+    fn majority_replaced(&mut self, _: Index) {
         let from = self.config.version;
         let delta = Delta::new(from, Version::new(from.get() + LOST_VERSIONS));
         let next = delta.apply(&self.config).expect("the delta starts here");
         self.config = Arc::new(next);
-        self.history.push(Entry::replaced(delta), &self.config);
+        self.history
+            .push(HistoryEntry::replaced(delta), &self.config);
     }
 }
--- a/crates/control/src/machine/history.rs
+++ b/crates/control/src/machine/history.rs
@@ -51,7 +51,7 @@
 
 data! {
     /// One version: how it came about.
-    pub struct Entry {
+    pub struct HistoryEntry {
         /// The version.
         pub version: Version,
         /// The patch that made it; none where a lost majority was replaced.
@@ -67,7 +67,7 @@
     }
 }
 
-impl Entry {
+impl HistoryEntry {
     /// The entry of an accepted patch.
     pub fn new(patch: &Patch, author: Option<OperatorId>, time: WallTime, delta: Delta) -> Self {
         Self {
@@ -120,7 +120,7 @@
 pub struct History {
     bounds: Bounds,
     whole: VecDeque<Arc<Config>>,
-    entries: VecDeque<Entry>,
+    entries: VecDeque<HistoryEntry>,
     newest: Arc<Config>,
 }
 
@@ -142,7 +142,7 @@
     }
 
     /// Adds the version that follows.
-    pub fn push(&mut self, entry: Entry, config: &Arc<Config>) {
+    pub fn push(&mut self, entry: HistoryEntry, config: &Arc<Config>) {
         self.entries.push_back(entry);
         self.newest = Arc::clone(config);
         let last = self.whole.back().map_or(0, |c| c.version.get());
@@ -174,12 +174,12 @@
     }
 
     /// The entries, oldest first.
-    pub fn entries(&self) -> impl DoubleEndedIterator<Item = &Entry> {
+    pub fn entries(&self) -> impl DoubleEndedIterator<Item = &HistoryEntry> {
         self.entries.iter()
     }
 
     /// A version, whole.
-    pub fn at(&self, version: Version) -> Result<Arc<Config>> {
+    pub fn config_at(&self, version: Version) -> Result<Arc<Config>> {
         if version == self.newest.version {
             return Ok(Arc::clone(&self.newest));
         }
@@ -206,8 +206,8 @@
     /// What leads from one version to another, in either direction.
     pub fn diff(&self, from: Version, to: Version) -> Result<Delta> {
         Ok(Delta::between(
-            self.at(from)?.as_ref(),
-            self.at(to)?.as_ref(),
+            self.config_at(from)?.as_ref(),
+            self.config_at(to)?.as_ref(),
         ))
     }
 
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -13,12 +13,12 @@
 use snipemast_core::prelude::*;
 
 use crate::apply::{self, StateMachine};
-use crate::entry::{Hard, LogEntry, Payload, Snapshot, Stored, Write};
+use crate::entry::{Hard, LogEntry, Payload, Snapshot, StoredState, Write};
 use crate::log::Log;
 use crate::message::{Envelope, Message};
 use crate::role::{Office, Role};
 use crate::roster::Health;
-use crate::timing::{Chance, Timing};
+use crate::timing::{SplitMix64, Timing};
 use crate::voters::{ChangeError, ClusterId, VoterChange, VoterId, Voters};
 
 number_ids! {
@@ -28,7 +28,7 @@
 
 /// What a voter is started with.
 #[derive(Debug, Clone)]
-pub struct Boot {
+pub struct NodeParams {
     /// Its id, from its data folder.
     pub id: VoterId,
     /// Which start of its data folder this is.
@@ -36,9 +36,9 @@
     /// Its cluster.
     pub cluster: ClusterId,
     /// The voters that the cluster was formed with, or none for a learner.
-    pub formed: Voters,
+    pub first_voters: Voters,
     /// What its disk holds.
-    pub stored: Stored,
+    pub stored: StoredState,
     /// Timeouts and bounds.
     pub timing: Timing,
     /// Seeds its chance.
@@ -93,7 +93,7 @@
         answer: Result<Vec<u8>, Refusal>,
     },
     /// Note an event.
-    Note(Note),
+    Event(NodeEvent),
 }
 
 data! {
@@ -118,19 +118,19 @@
 
 /// Something worth an event.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Note {
+pub enum NodeEvent {
     /// This voter was elected.
     Elected(Term),
     /// Its office is in the log: it may give orders with this fencing number.
-    Fenced(Fence),
+    LeaderReady(Fence),
     /// Its term of office ended.
-    Ended(Term),
+    SteppedDown(Term),
     /// The voters changed.
-    Changed(Voters),
+    VotersChanged(Voters),
     /// A snapshot was taken or installed.
-    Snapshot(Index),
+    SnapshotSaved(Index),
     /// An operator replaced a lost majority.
-    Replaced(Index),
+    MajorityReplaced(Index),
     /// A voter lost what it had said was synced; it counts for nothing any more.
     Regressed(VoterId),
     /// Two processes speak under one id; the one that started first is not heard.
@@ -138,7 +138,7 @@
     /// A leader contradicts what is committed; its message was dropped.
     Contradicted(Index),
     /// A snapshot that the machine can't read was dropped.
-    Unreadable(Index),
+    SnapshotUnreadable(Index),
 }
 
 impl fmt::Display for Refusal {
@@ -163,7 +163,7 @@
     pub(crate) start: u64,
     pub(crate) cluster: ClusterId,
     pub(crate) timing: Timing,
-    pub(crate) chance: Chance,
+    pub(crate) chance: SplitMix64,
     pub(crate) now: Moment,
     pub(crate) hard: Hard,
     pub(crate) log: Log,
@@ -204,9 +204,9 @@
     /// Failure guarded against: a follower granted a leader its lease, crashed, and votes for
     /// another right after its restart, so that two leaders speak at once. A start counts as
     /// having heard a leader, so no vote is given for one election timeout.
-    pub fn new(boot: Boot, mut machine: M, now: Moment) -> apply::Result<Self> {
+    pub fn new(boot: NodeParams, mut machine: M, now: Moment) -> apply::Result<Self> {
         let hard = boot.stored.hard;
-        let log = Log::new(boot.stored, boot.formed);
+        let log = Log::new(boot.stored, boot.first_voters);
         let mut fence = Fence(0);
         if let Some(snapshot) = log.snapshot() {
             machine.restore(&snapshot.state)?;
@@ -217,12 +217,12 @@
             start: boot.start,
             cluster: boot.cluster,
             timing: boot.timing,
-            chance: Chance::new(boot.seed),
+            chance: SplitMix64::new(boot.seed),
             now,
             hard,
             commit: log.covered(),
             applied: log.covered(),
-            durable: log.last(),
+            durable: log.last_index(),
             log,
             machine,
             fence,
@@ -262,7 +262,7 @@
     }
 
     /// When [`Input::Tick`] is due.
-    pub fn wake(&self) -> Moment {
+    pub fn next_tick(&self) -> Moment {
         match &self.role {
             Role::Leader(office) => office.beat,
             _ if self.log.voters().is_voter(self.id) => self.alarm,
@@ -317,12 +317,12 @@
     }
 
     /// How far the log is committed, as far as it knows.
-    pub fn commit(&self) -> Index {
+    pub fn commit_index(&self) -> Index {
         self.commit
     }
 
     /// How far the log is applied to the machine.
-    pub fn applied(&self) -> Index {
+    pub fn applied_index(&self) -> Index {
         self.applied
     }
 
@@ -357,12 +357,12 @@
     }
 
     /// How far its own disk is synced.
-    pub fn durable(&self) -> Index {
+    pub fn durable_index(&self) -> Index {
         self.durable
     }
 
     /// What its disk must hold once every write is synced.
-    pub fn to_stored(&self) -> Stored {
+    pub fn to_stored(&self) -> StoredState {
         self.log.to_stored(self.hard)
     }
 
@@ -393,7 +393,7 @@
             return;
         }
         if self.is_outdated(from, envelope.start) {
-            self.note(Note::Outdated(from));
+            self.note(NodeEvent::Outdated(from));
             return;
         }
         if !self.meet_term(&envelope) {
@@ -461,11 +461,11 @@
                 if let Some(first) = entries.first() {
                     self.forget_from(first.index);
                 }
-                self.pending.push_back((self.writes, self.log.last()));
+                self.pending.push_back((self.writes, self.log.last_index()));
             }
             Write::Replace(_) => {
                 self.sworn = self.writes;
-                self.pending.push_back((self.writes, self.log.last()));
+                self.pending.push_back((self.writes, self.log.last_index()));
             }
         }
         let number = self.writes;
@@ -546,8 +546,8 @@
         self.outputs.0.push(Output::Answer { ticket, answer });
     }
 
-    pub(crate) fn note(&mut self, note: Note) {
-        self.outputs.0.push(Output::Note(note));
+    pub(crate) fn note(&mut self, note: NodeEvent) {
+        self.outputs.0.push(Output::Event(note));
     }
 
     pub(crate) fn office(&mut self) -> Option<&mut Office> {
@@ -586,8 +586,8 @@
                 Vec::new()
             }
             Payload::Replaced(_) => {
-                self.machine.replaced(index);
-                self.note(Note::Replaced(index));
+                self.machine.majority_replaced(index);
+                self.note(NodeEvent::MajorityReplaced(index));
                 Vec::new()
             }
         };
@@ -600,7 +600,7 @@
 
     fn take_snapshot(&mut self) {
         let since = self.applied.get() - self.log.covered().get();
-        if since < self.timing.snapshot {
+        if since < self.timing.snapshot_entries {
             return;
         }
         let term = self.log.term_at(self.applied).expect("it was just applied");
@@ -611,9 +611,9 @@
             fence: self.fence,
             state: self.machine.snapshot(),
         });
-        self.log.compact(snapshot, self.timing.keep);
+        self.log.compact(snapshot, self.timing.retained_entries);
         let stored = Box::new(self.to_stored());
         self.write(Write::Replace(stored));
-        self.note(Note::Snapshot(self.applied));
+        self.note(NodeEvent::SnapshotSaved(self.applied));
     }
 }
--- a/crates/control/src/replicate.rs
+++ b/crates/control/src/replicate.rs
@@ -5,7 +5,7 @@
 use crate::apply::StateMachine;
 use crate::entry::{LogEntry, Payload, Write};
 use crate::message::{Message, Position};
-use crate::node::{Node, Note, Refusal, Ticket};
+use crate::node::{Node, NodeEvent, Refusal, Ticket};
 use crate::role::Role;
 use crate::voters::VoterId;
 
@@ -38,7 +38,7 @@
         if self.now >= contact + self.timing.lease {
             return Err(Refusal::NoQuorum);
         }
-        if office.waiting.len() >= self.timing.waiting as usize {
+        if office.waiting.len() >= self.timing.max_waiting as usize {
             return Err(Refusal::Busy);
         }
         Ok(())
@@ -46,7 +46,7 @@
 
     /// Adds an entry of this leader to its log and sends it on.
     pub(crate) fn append_own(&mut self, payload: Payload) -> Index {
-        let index = self.log.last().next();
+        let index = self.log.last_index().next();
         let entry = LogEntry {
             index,
             term: self.hard.term,
@@ -119,7 +119,7 @@
         let bound = if busy {
             0
         } else {
-            self.timing.chunk.as_bytes() as usize
+            self.timing.chunk_size.as_bytes() as usize
         };
         self.send_append(to, previous, bound);
     }
@@ -158,7 +158,7 @@
         sent: Moment,
     ) {
         if !self.hear_leader(from, term) {
-            return self.refuse(from, self.log.last(), sent);
+            return self.refuse(from, self.log.last_index(), sent);
         }
         if let Some(hint) = self.mismatch(previous) {
             return self.refuse(from, hint, sent);
@@ -178,7 +178,7 @@
 
     /// Says where the logs may agree, and in which term this voter is.
     pub(crate) fn refuse(&mut self, to: VoterId, hint: Index, sent: Moment) {
-        let last = self.log.last();
+        let last = self.log.last_index();
         self.send_synced(to, Message::Mismatched { hint, last, sent });
     }
 
@@ -199,8 +199,8 @@
             // What is committed agrees with every leader's log.
             return None;
         }
-        if previous.index > self.log.last() {
-            return Some(self.log.last());
+        if previous.index > self.log.last_index() {
+            return Some(self.log.last_index());
         }
         let term = self.log.term_at(previous.index);
         if term == Some(previous.term) {
@@ -223,7 +223,7 @@
         let fresh = entries[first..].to_vec();
         let index = fresh[0].index;
         if index <= self.commit {
-            self.note(Note::Contradicted(index));
+            self.note(NodeEvent::Contradicted(index));
             return false;
         }
         self.log.append(fresh.clone());
@@ -234,7 +234,7 @@
     /// Says that the log is synced up to here, now or as soon as it is.
     pub(crate) fn acknowledge(&mut self, to: VoterId, index: Index, sent: Moment) {
         let message = Message::Matched { index, sent };
-        if self.durable() >= index && self.is_sworn() {
+        if self.durable_index() >= index && self.is_sworn() {
             self.send(to, message);
         } else {
             self.send_synced(to, message);
@@ -246,7 +246,7 @@
     /// Failure guarded against: a slow disk keeps back the answers to heartbeats, and a leader
     /// whom everyone hears steps down. Only a term that is not synced yet keeps them back.
     fn answer_beat(&mut self, to: VoterId, index: Index, sent: Moment) {
-        let index = index.min(self.durable());
+        let index = index.min(self.durable_index());
         let message = Message::Matched { index, sent };
         if self.is_sworn() {
             self.send(to, message);
@@ -256,7 +256,7 @@
     }
 
     pub(crate) fn on_matched(&mut self, from: VoterId, term: Term, index: Index, sent: Moment) {
-        let (now, last) = (self.now, self.log.last());
+        let (now, last) = (self.now, self.log.last_index());
         let Some(progress) = self.progress(from, term) else {
             return;
         };
@@ -302,7 +302,7 @@
             progress.matched = Index(0);
             progress.acked = None;
         }
-        self.note(Note::Regressed(peer));
+        self.note(NodeEvent::Regressed(peer));
     }
 
     /// What this leader knows of a follower that answers it in its term.
@@ -319,7 +319,7 @@
 
     /// Goes on with a follower that still lacks entries or the news of a commit.
     fn send_more(&mut self, to: VoterId) {
-        let (last, commit) = (self.log.last(), self.commit);
+        let (last, commit) = (self.log.last_index(), self.commit);
         let Some(progress) = self.office().and_then(|o| o.peers.get_mut(&to)) else {
             return;
         };
@@ -331,7 +331,7 @@
 
     /// Commits what a majority of the voters has synced, and tells the followers.
     pub(crate) fn advance_commit(&mut self) {
-        let own = (self.id, self.durable());
+        let own = (self.id, self.durable_index());
         let Role::Leader(office) = &self.role else {
             return;
         };
--- a/crates/control/src/roster.rs
+++ b/crates/control/src/roster.rs
@@ -8,7 +8,7 @@
 
 use snipemast_core::prelude::*;
 
-use crate::voters::{Seat, VoterChange, VoterId, Voters};
+use crate::voters::{Location, VoterChange, VoterId, Voters};
 
 /// How long a voter must be silent before a learner takes its place: longer than a restart of its
 /// process or a lost packet keeps it silent, and well below the time within which a second host
@@ -40,7 +40,7 @@
     /// How the others are.
     pub health: &'a BTreeMap<VoterId, Health>,
     /// Who asks to join.
-    pub joining: &'a BTreeMap<VoterId, Seat>,
+    pub joining: &'a BTreeMap<VoterId, Location>,
 }
 
 impl Roster<'_> {
@@ -58,7 +58,7 @@
             return None;
         }
         let others = || self.voters.voters.iter().filter(|(id, _)| **id != self.own);
-        let dead = others().find(|(id, seat)| self.is_succeeded(**id, seat));
+        let dead = others().find(|(id, location)| self.is_succeeded(**id, location));
         let silent = || others().find(|(id, _)| self.is_silent(**id));
         let (id, _) = dead.or_else(silent)?;
         Some(VoterChange::Remove { id: *id })
@@ -68,8 +68,8 @@
     fn promotion(&self) -> Option<VoterChange> {
         let votes = &self.voters.voters;
         let short = votes.len() < self.target;
-        let missing = votes.iter().any(|(id, seat)| {
-            *id != self.own && (self.is_silent(*id) || self.is_succeeded(*id, seat))
+        let missing = votes.iter().any(|(id, location)| {
+            *id != self.own && (self.is_silent(*id) || self.is_succeeded(*id, location))
         });
         let due = short || (missing && votes.len() == self.target);
         if !due {
@@ -87,9 +87,9 @@
 
     fn newcomer(&self) -> Option<VoterChange> {
         let new = self.joining.iter().find(|(id, _)| !self.voters.knows(**id));
-        new.map(|(id, seat)| VoterChange::Learn {
+        new.map(|(id, location)| VoterChange::Learn {
             id: *id,
-            seat: seat.clone(),
+            location: location.clone(),
         })
     }
 
@@ -100,11 +100,11 @@
     }
 
     /// Whether a learner or voter that joined later has its address: then its disk is gone.
-    fn is_succeeded(&self, id: VoterId, seat: &Seat) -> bool {
+    fn is_succeeded(&self, id: VoterId, location: &Location) -> bool {
         let all = self.voters.voters.iter().chain(&self.voters.learners);
         let mut others = all.filter(|(other, _)| **other != id);
         others.any(|(other, s)| {
-            s.address == seat.address && !self.is_silent(*other) && self.is_silent(id)
+            s.address == location.address && !self.is_silent(*other) && self.is_silent(id)
         })
     }
 
--- a/crates/control/src/voters.rs
+++ b/crates/control/src/voters.rs
@@ -26,7 +26,7 @@
 
 data! {
     /// Where a voter or learner is.
-    pub struct Seat {
+    pub struct Location {
         /// Its host.
         pub host: HostId,
         /// Its availability zone.
@@ -39,9 +39,9 @@
     #[derive(Default, Hash)]
     pub struct Voters {
         /// Whose disks count towards a quorum.
-        pub voters: BTreeMap<VoterId, Seat>,
+        pub voters: BTreeMap<VoterId, Location>,
         /// Who copies the log and has no vote yet.
-        pub learners: BTreeMap<VoterId, Seat>,
+        pub learners: BTreeMap<VoterId, Location>,
     }
 
     /// One change of the voters, taken alone.
@@ -51,7 +51,8 @@
             /// Its id.
             id: VoterId,
             /// Where it is.
-            seat: Seat,
+            #[serde(rename = "seat")]
+            location: Location,
         },
         /// A learner that has caught up becomes a voter.
         Promote {
@@ -92,7 +93,7 @@
     }
 }
 
-impl std::hash::Hash for Seat {
+impl std::hash::Hash for Location {
     fn hash<H: std::hash::Hasher>(&self, state: &mut H) {
         (&self.host, &self.zone, &self.address).hash(state);
     }
@@ -101,7 +102,7 @@
 impl fmt::Display for VoterChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Learn { id, seat } => write!(f, "{} learns as {id}", seat.host),
+            Self::Learn { id, location } => write!(f, "{} learns as {id}", location.host),
             Self::Promote { id } => write!(f, "{id} becomes a voter"),
             Self::Remove { id } => write!(f, "{id} leaves"),
         }
@@ -129,7 +130,7 @@
 
 impl Voters {
     /// These voters and no learner.
-    pub fn new(voters: BTreeMap<VoterId, Seat>) -> Self {
+    pub fn new(voters: BTreeMap<VoterId, Location>) -> Self {
         Self {
             voters,
             learners: BTreeMap::new(),
@@ -147,7 +148,7 @@
     }
 
     /// Where a voter or learner is.
-    pub fn seat(&self, id: VoterId) -> Option<&Seat> {
+    pub fn location(&self, id: VoterId) -> Option<&Location> {
         self.voters.get(&id).or_else(|| self.learners.get(&id))
     }
 
@@ -181,8 +182,8 @@
             return None;
         }
         let mut zones = BTreeMap::new();
-        for seat in self.voters.values() {
-            *zones.entry(&seat.zone).or_insert(0) += 1;
+        for location in self.voters.values() {
+            *zones.entry(&location.zone).or_insert(0) += 1;
         }
         zones
             .into_iter()
@@ -200,12 +201,12 @@
             VoterChange::Learn { id, .. } if self.knows(*id) => {
                 return Err(ChangeError::Known(*id));
             }
-            VoterChange::Learn { id, seat } => {
-                next.learners.insert(*id, seat.clone());
+            VoterChange::Learn { id, location } => {
+                next.learners.insert(*id, location.clone());
             }
             VoterChange::Promote { id } => {
-                let seat = next.learners.remove(id).ok_or(ChangeError::Unknown(*id))?;
-                next.voters.insert(*id, seat);
+                let location = next.learners.remove(id).ok_or(ChangeError::Unknown(*id))?;
+                next.voters.insert(*id, location);
             }
             VoterChange::Remove { id } if !self.knows(*id) => {
                 return Err(ChangeError::Unknown(*id));
--- a/crates/control/tests/explore.rs
+++ b/crates/control/tests/explore.rs
@@ -52,7 +52,7 @@
     /// A settled world with a leader.
     fn new(budget: Budget) -> Self {
         let timing = Timing {
-            snapshot: 1_000,
+            snapshot_entries: 1_000,
             ..timing()
         };
         let mut world = World::with_timing(3, timing);
--- a/crates/control/tests/log.rs
+++ b/crates/control/tests/log.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use snipemast_control::{Note, Payload, Refusal, VoterId};
+use snipemast_control::{NodeEvent, Payload, Refusal, VoterId};
 use snipemast_core::prelude::*;
 
 use support::World;
@@ -90,7 +90,9 @@
     world.places.get_mut(&leader).unwrap().node = sleeper;
     let ticket = world.ask(leader, "stale");
     assert!(world.answers[&ticket].is_err());
-    assert!(world.notes.contains(&(leader, Note::Ended(Term(1)))));
+    assert!(world
+        .notes
+        .contains(&(leader, NodeEvent::SteppedDown(Term(1)))));
     world.heal();
 }
 
@@ -149,7 +151,7 @@
         world.run(300);
     }
     assert_eq!(world.leader(), Some(leader));
-    assert!(world.node(other).durable() < world.node(leader).commit());
+    assert!(world.node(other).durable_index() < world.node(leader).commit_index());
     world.heal();
 }
 
@@ -180,7 +182,8 @@
     }
     world.notes.clear();
     world.heal();
-    let installed = |n: &(VoterId, Note)| n.0 == other && matches!(n.1, Note::Snapshot(_));
+    let installed =
+        |n: &(VoterId, NodeEvent)| n.0 == other && matches!(n.1, NodeEvent::SnapshotSaved(_));
     assert!(world.notes.iter().any(installed));
 }
 
--- a/crates/control/tests/matrix.rs
+++ b/crates/control/tests/matrix.rs
@@ -7,7 +7,7 @@
 use snipemast_control::{Envelope, Message, Payload, VoterChange, VoterId, Voters, Write};
 use snipemast_core::prelude::*;
 
-use support::{seat, World};
+use support::{location, World};
 
 /// How long a fault lasts.
 const WHILE: Span = Span::from_millis(150);
@@ -141,7 +141,7 @@
         let leaver = |w: &World| VoterId(w.leader().map_or(1, |l| l.get() % 3 + 1));
         let learn = VoterChange::Learn {
             id,
-            seat: seat(4, "zone-4"),
+            location: location(4, "zone-4"),
         };
         self.change(learn);
         self.change(VoterChange::Promote { id });
--- a/crates/control/tests/roster.rs
+++ b/crates/control/tests/roster.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 
 use snipemast_control::roster::{Health, Roster, ABANDONED, SILENT};
-use snipemast_control::{Seat, VoterChange, VoterId, Voters};
+use snipemast_control::{Location, VoterChange, VoterId, Voters};
 use snipemast_core::prelude::*;
 
 const LEADER: VoterId = VoterId(1);
 
-fn seat(number: u8) -> Seat {
+fn location(number: u8) -> Location {
     let zone = ["a", "b", "c"][usize::from(number - 1) % 3];
-    Seat {
+    Location {
         host: HostId::new(format!("core-{number}")).unwrap(),
         zone: ZoneId::new(zone).unwrap(),
         address: format!("10.0.{number}.1:7000").parse().unwrap(),
@@ -18,16 +18,20 @@
 }
 
 fn three() -> Voters {
-    Voters::new((1..=3).map(|n| (VoterId(n), seat(n as u8))).collect())
+    Voters::new((1..=3).map(|n| (VoterId(n), location(n as u8))).collect())
 }
 
 fn health(silent: Span, current: bool) -> Health {
     Health { silent, current }
 }
 
-fn next(voters: &Voters, health: &[(u64, Health)], joining: &[(u64, Seat)]) -> Option<VoterChange> {
+fn next(
+    voters: &Voters,
+    health: &[(u64, Health)],
+    joining: &[(u64, Location)],
+) -> Option<VoterChange> {
     let health = health.iter().map(|(id, h)| (VoterId(*id), *h)).collect();
-    let joining: BTreeMap<VoterId, Seat> = joining
+    let joining: BTreeMap<VoterId, Location> = joining
         .iter()
         .map(|(id, s)| (VoterId(*id), s.clone()))
         .collect();
@@ -49,7 +53,7 @@
 #[test]
 fn new_learner_stays() {
     let mut voters = three();
-    voters.learners.insert(VoterId(9), seat(3));
+    voters.learners.insert(VoterId(9), location(3));
     let lost = ABANDONED.times(2);
     let heard = [
         (2, health(HEARD, true)),
@@ -66,13 +70,13 @@
     let mut voters = three();
     let silent = health(SILENT, true);
     let well = health(HEARD, true);
-    let joining = [(9, seat(3))];
+    let joining = [(9, location(3))];
     let learn = next(&voters, &[(2, well), (3, silent)], &joining).unwrap();
     assert_eq!(
         learn,
         VoterChange::Learn {
             id: VoterId(9),
-            seat: seat(3)
+            location: location(3)
         }
     );
     voters = voters.with_change(&learn).unwrap();
@@ -97,7 +101,7 @@
 #[test]
 fn spare_learner_waits() {
     let mut voters = three();
-    voters.learners.insert(VoterId(9), seat(4));
+    voters.learners.insert(VoterId(9), location(4));
     let well = health(HEARD, true);
     assert_eq!(next(&voters, &[(2, well), (3, well), (9, well)], &[]), None);
 }
@@ -106,7 +110,7 @@
 #[test]
 fn short_cluster_grows() {
     let mut voters = three();
-    voters.learners.insert(VoterId(9), seat(4));
+    voters.learners.insert(VoterId(9), location(4));
     let well = health(HEARD, true);
     let health = [(2, well), (3, well), (9, well)];
     let health = health.iter().map(|(id, h)| (VoterId(*id), *h)).collect();
@@ -124,7 +128,7 @@
 #[test]
 fn abandoned_learner_leaves() {
     let mut voters = three();
-    voters.learners.insert(VoterId(9), seat(4));
+    voters.learners.insert(VoterId(9), location(4));
     let well = health(HEARD, true);
     let heard = [(2, well), (3, well), (9, health(ABANDONED, false))];
     assert_eq!(
--- a/crates/control/tests/schedules.rs
+++ b/crates/control/tests/schedules.rs
@@ -7,7 +7,7 @@
 use snipemast_control::{VoterChange, VoterId, Voters};
 use snipemast_core::prelude::*;
 
-use support::{seat, World};
+use support::{location, World};
 
 /// One act of a schedule.
 #[derive(Debug, Clone)]
@@ -92,12 +92,12 @@
         Act::CutOff(id) => world.cut_off(&[VoterId(*id)]),
         Act::Mend => world.cuts.clear(),
         Act::Learn(id) => {
-            let seat = seat(*id, &format!("zone-{id}"));
+            let location = location(*id, &format!("zone-{id}"));
             change(
                 world,
                 VoterChange::Learn {
                     id: VoterId(*id),
-                    seat,
+                    location,
                 },
             );
         }
--- a/crates/control/tests/steps.rs
+++ b/crates/control/tests/steps.rs
@@ -4,23 +4,23 @@
 
 use snipemast_control::message::Position;
 use snipemast_control::{
-    Boot, ClusterId, Envelope, Hard, Input, LogEntry, Message, Node, Output, Payload, Stored,
-    VoterId,
+    ClusterId, Envelope, Hard, Input, LogEntry, Message, Node, NodeParams, Output, Payload,
+    StoredState, VoterId,
 };
 use snipemast_core::prelude::*;
 
 use support::{timing, voters, Ledger};
 
-fn node(id: u64, stored: Stored) -> Node<Ledger> {
+fn node(id: u64, stored: StoredState) -> Node<Ledger> {
     node_at(id, stored, Moment::ZERO)
 }
 
-fn node_at(id: u64, stored: Stored, now: Moment) -> Node<Ledger> {
-    let boot = Boot {
+fn node_at(id: u64, stored: StoredState, now: Moment) -> Node<Ledger> {
+    let boot = NodeParams {
         id: VoterId(id),
         start: 1,
         cluster: ClusterId(7),
-        formed: voters(3),
+        first_voters: voters(3),
         stored,
         timing: timing(),
         seed: 1,
@@ -69,16 +69,16 @@
 // overwrites them, and then the old write is synced. It must not pass for the new entries.
 #[test]
 fn overwritten_sync() {
-    let mut node = node(2, Stored::default());
+    let mut node = node(2, StoredState::default());
     let now = Moment::from_millis(1);
     let outputs = node.handle(now, append(1, 1, vec![entry(1, 1), entry(2, 1)]));
     let old = last_write(&outputs);
     let outputs = node.handle(now, append(3, 2, vec![entry(1, 2), entry(2, 2)]));
     let new = last_write(&outputs);
     node.handle(now, Input::Synced { write: old });
-    assert_eq!(node.durable(), Index(0));
+    assert_eq!(node.durable_index(), Index(0));
     node.handle(now, Input::Synced { write: new });
-    assert_eq!(node.durable(), Index(2));
+    assert_eq!(node.durable_index(), Index(2));
 }
 
 // A leader comes back and is elected with an entry of an old term that only now reaches a
@@ -86,7 +86,7 @@
 // an entry of the leader's own term stands on a majority after it.
 #[test]
 fn old_term_waits() {
-    let stored = Stored {
+    let stored = StoredState {
         hard: Hard {
             term: Term(3),
             vote: None,
@@ -113,13 +113,13 @@
         sent: now,
     };
     node.handle(now, says(2, 1, 4, matched(2)));
-    assert_eq!(node.commit(), Index(0));
+    assert_eq!(node.commit_index(), Index(0));
     node.handle(now, says(2, 1, 4, matched(3)));
-    assert_eq!(node.commit(), Index(3));
+    assert_eq!(node.commit_index(), Index(3));
 }
 
-fn stored_two() -> Stored {
-    Stored {
+fn stored_two() -> StoredState {
+    StoredState {
         hard: Hard {
             term: Term(2),
             vote: None,
@@ -180,7 +180,7 @@
 // with what is synced, or the leader steps down though everyone hears it.
 #[test]
 fn beat_answered() {
-    let mut node = node(2, Stored::default());
+    let mut node = node(2, StoredState::default());
     let now = Moment::from_millis(1);
     node.handle(now, append(1, 1, vec![entry(1, 1)]));
     node.handle(now, Input::Synced { write: 1 });
--- a/crates/control/tests/storage.rs
+++ b/crates/control/tests/storage.rs
@@ -8,12 +8,12 @@
 use std::sync::Arc;
 
 use snipemast_control::{
-    force, Boot, ClusterId, DiskStorage, Hard, Input, LogEntry, Node, Opened, Payload, Snapshot,
-    Storage, StorageError, Stored, Timing, VoterId, Voters, Write,
+    force, ClusterId, DiskStorage, Hard, Input, LogEntry, Node, NodeParams, Payload, Recovery,
+    Snapshot, Storage, StorageError, StoredState, Timing, VoterId, Voters, Write,
 };
 use snipemast_core::prelude::*;
 
-use support::{seat, voters, Ledger};
+use support::{location, voters, Ledger};
 
 /// A folder that is gone after the test.
 struct Folder(PathBuf);
@@ -28,7 +28,7 @@
         Self(path)
     }
 
-    fn open(&self) -> Result<(DiskStorage, Opened), StorageError> {
+    fn open(&self) -> Result<(DiskStorage, Recovery), StorageError> {
         open(&self.0, 1, 11)
     }
 
@@ -36,7 +36,7 @@
         self.0.join(name)
     }
 
-    fn stored(&self) -> Stored {
+    fn stored(&self) -> StoredState {
         self.open().unwrap().1.stored
     }
 }
@@ -47,8 +47,8 @@
     }
 }
 
-fn open(path: &Path, host: u64, fresh: u64) -> Result<(DiskStorage, Opened), StorageError> {
-    let opened = DiskStorage::open(path, &seat(host, "zone-1"), VoterId(fresh));
+fn open(path: &Path, host: u64, fresh: u64) -> Result<(DiskStorage, Recovery), StorageError> {
+    let opened = DiskStorage::open(path, &location(host, "zone-1"), VoterId(fresh));
     opened.map_err(|report| report.current_context().clone())
 }
 
@@ -91,8 +91,8 @@
 }
 
 /// What a disk holds after each write of the sample.
-fn states() -> Vec<Stored> {
-    let mut stored = Stored::default();
+fn states() -> Vec<StoredState> {
+    let mut stored = StoredState::default();
     let mut states = vec![stored.clone()];
     for write in sample() {
         stored.apply(&write);
@@ -184,9 +184,9 @@
 fn snapshot_flipped() {
     let folder = Folder::new();
     let (mut disk, _) = folder.open().unwrap();
-    let stored = Stored {
+    let stored = StoredState {
         snapshot: Some(snapshot(4, 2)),
-        ..Stored::default()
+        ..StoredState::default()
     };
     disk.write(&[Write::Replace(Box::new(stored))]).unwrap();
     drop(disk);
@@ -208,24 +208,27 @@
         write_sample(&folder);
         let log = fs::read(folder.file("log")).unwrap();
         let (mut disk, _) = folder.open().unwrap();
-        let stored = Stored {
+        let stored = StoredState {
             snapshot: Some(snapshot(2, term)),
-            ..Stored::default()
+            ..StoredState::default()
         };
         disk.write(&[Write::Replace(Box::new(stored))]).unwrap();
         drop(disk);
         fs::write(folder.file("log"), &log).unwrap();
-        let boot = Boot {
+        let boot = NodeParams {
             id: VoterId(1),
             start: 1,
             cluster: ClusterId(1),
-            formed: Voters::default(),
+            first_voters: Voters::default(),
             stored: folder.stored(),
             timing: Timing::default(),
             seed: 1,
         };
         let node = Node::new(boot, Ledger::default(), Moment::ZERO).unwrap();
-        assert_eq!((node.log().last(), node.commit()), (Index(kept), Index(2)));
+        assert_eq!(
+            (node.log().last_index(), node.commit_index()),
+            (Index(kept), Index(2))
+        );
     }
 }
 
@@ -256,7 +259,7 @@
         StorageError::Copied(copy.0.clone())
     );
     let foreign = open(&folder.0, 2, 11).unwrap_err();
-    assert_eq!(foreign, StorageError::Foreign(seat(1, "zone-1").host));
+    assert_eq!(foreign, StorageError::Foreign(location(1, "zone-1").host));
 }
 
 // A wiped folder comes back as somebody else, and half a folder does not come back at all.
@@ -277,7 +280,7 @@
     assert_eq!(disk.identity().voter, VoterId(12));
     assert_eq!(
         (disk.identity().cluster, opened.stored),
-        (None, Stored::default())
+        (None, StoredState::default())
     );
 }
 
@@ -288,9 +291,9 @@
     let folder = Folder::new();
     let (mut disk, _) = folder.open().unwrap();
     fs::remove_dir_all(&folder.0).unwrap();
-    let stored = Stored {
+    let stored = StoredState {
         snapshot: Some(snapshot(4, 2)),
-        ..Stored::default()
+        ..StoredState::default()
     };
     assert!(disk.write(&[Write::Replace(Box::new(stored))]).is_err());
     fs::create_dir(&folder.0).unwrap();
@@ -320,11 +323,11 @@
     let (identity, stored) = (disk.identity().clone(), opened.stored);
     drop(disk);
     assert_eq!(open(&folder.0, 1, 98).unwrap().1.stored, stored);
-    let boot = Boot {
+    let boot = NodeParams {
         id: identity.voter,
         start: identity.starts,
         cluster: identity.cluster.unwrap(),
-        formed: identity.formed,
+        first_voters: identity.first_voters,
         stored,
         timing: Timing::default(),
         seed: 1,
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use snipemast_control::{
-    Boot, ClusterId, Envelope, Input, LogEntry, Node, Note, Output, Refusal, RestoreError, Seat,
-    StateMachine, Stored, Ticket, Timing, VoterChange, VoterId, Voters, Write,
+    ClusterId, Envelope, Input, Location, LogEntry, Node, NodeEvent, NodeParams, Output, Refusal,
+    RestoreError, StateMachine, StoredState, Ticket, Timing, VoterChange, VoterId, Voters, Write,
 };
 use snipemast_core::prelude::*;
 
@@ -42,7 +42,7 @@
         Ok(())
     }
 
-    fn replaced(&mut self, _: Index) {
+    fn majority_replaced(&mut self, _: Index) {
         self.replaced += 1;
     }
 }
@@ -50,7 +50,7 @@
 /// A disk: what is synced, and what was written since.
 #[derive(Debug, Clone, Default, Hash)]
 pub struct Disk {
-    pub synced: Stored,
+    pub synced: StoredState,
     pub pending: Vec<(u64, Write)>,
 }
 
@@ -62,7 +62,7 @@
     pub start: u64,
     /// Whether the disk syncs only when it is told to.
     pub slow: bool,
-    formed: Voters,
+    first_voters: Voters,
 }
 
 /// Voters, their disks, and the messages between them.
@@ -73,7 +73,7 @@
     pub bag: Vec<Envelope>,
     pub cuts: BTreeSet<(VoterId, VoterId)>,
     pub answers: BTreeMap<Ticket, Result<Vec<u8>, Refusal>>,
-    pub notes: Vec<(VoterId, Note)>,
+    pub notes: Vec<(VoterId, NodeEvent)>,
     pub timing: Option<Timing>,
     pub asked: BTreeMap<Ticket, Vec<u8>>,
     /// How far a voter's own clock is ahead of the others'.
@@ -91,18 +91,18 @@
 pub fn timing() -> Timing {
     Timing {
         heartbeat: Span::from_millis(50),
-        election: Span::from_millis(200),
-        spread: Span::from_millis(100),
+        election_timeout: Span::from_millis(200),
+        election_jitter: Span::from_millis(100),
         lease: Span::from_millis(170),
-        snapshot: 5,
-        keep: 2,
-        chunk: Size::from_bytes(16),
-        waiting: 16,
+        snapshot_entries: 5,
+        retained_entries: 2,
+        chunk_size: Size::from_bytes(16),
+        max_waiting: 16,
     }
 }
 
-pub fn seat(number: u64, zone: &str) -> Seat {
-    Seat {
+pub fn location(number: u64, zone: &str) -> Location {
+    Location {
         host: format!("host-{number}").parse().unwrap(),
         zone: zone.parse().unwrap(),
         address: ([127, 0, 0, 1], number as u16).into(),
@@ -111,8 +111,8 @@
 
 /// Voters 1 to n, each in a zone of its own.
 pub fn voters(n: u64) -> Voters {
-    let seat = |i| (VoterId(i), seat(i, &format!("zone-{i}")));
-    Voters::new((1..=n).map(seat).collect())
+    let location = |i| (VoterId(i), location(i, &format!("zone-{i}")));
+    Voters::new((1..=n).map(location).collect())
 }
 
 impl World {
@@ -133,13 +133,13 @@
     }
 
     /// Adds a process with an empty disk.
-    pub fn add(&mut self, id: VoterId, formed: Voters) {
+    pub fn add(&mut self, id: VoterId, first_voters: Voters) {
         let place = Place {
             node: None,
             disk: Disk::default(),
             start: 0,
             slow: false,
-            formed,
+            first_voters,
         };
         self.places.insert(id, place);
         self.restart(id);
@@ -154,11 +154,11 @@
         }
         place.start += 1;
         place.disk.pending.clear();
-        let boot = Boot {
+        let boot = NodeParams {
             id,
             start: place.start,
             cluster: ClusterId(7),
-            formed: place.formed.clone(),
+            first_voters: place.first_voters.clone(),
             stored: place.disk.synced.clone(),
             timing,
             seed: id.get() * 1_000 + place.start,
@@ -204,9 +204,9 @@
         let Some(node) = place.node.as_mut() else {
             return;
         };
-        let commit = node.commit();
+        let commit = node.commit_index();
         let outputs = node.handle(now, input);
-        let still = outputs.is_empty() && node.commit() == commit;
+        let still = outputs.is_empty() && node.commit_index() == commit;
         for output in outputs {
             match output {
                 Output::Write { number, write } => place.disk.pending.push((number, write)),
@@ -214,7 +214,7 @@
                 Output::Answer { ticket, answer } => {
                     assert!(self.answers.insert(ticket, answer).is_none(), "one answer");
                 }
-                Output::Note(note) => self.notes.push((id, note)),
+                Output::Event(note) => self.notes.push((id, note)),
             }
         }
         // A step that did nothing can break nothing.
@@ -356,7 +356,7 @@
 
     /// What is committed stays, and stands on a majority of synced disks when it is committed.
     fn check_commit(&mut self, node: &Node<Ledger>) {
-        for number in node.log().base().get() + 1..=node.commit().get() {
+        for number in node.log().base().get() + 1..=node.commit_index().get() {
             let Some(entry) = node.log().get(Index(number)).cloned() else {
                 continue;
             };
--- a/crates/control/tests/voters.rs
+++ b/crates/control/tests/voters.rs
@@ -3,11 +3,11 @@
 mod support;
 
 use snipemast_control::{
-    ChangeError, Input, Message, Note, Refusal, Ticket, VoterChange, VoterId, Voters,
+    ChangeError, Input, Message, NodeEvent, Refusal, Ticket, VoterChange, VoterId, Voters,
 };
 use snipemast_core::prelude::*;
 
-use support::{seat, World};
+use support::{location, World};
 
 /// Three voters, and a process that knows no cluster yet.
 fn with_newcomer(id: u64) -> World {
@@ -20,7 +20,7 @@
 fn learn(id: u64, zone: &str) -> VoterChange {
     VoterChange::Learn {
         id: VoterId(id),
-        seat: seat(id, zone),
+        location: location(id, zone),
     }
 }
 
@@ -74,7 +74,7 @@
     let leader = world.leader().unwrap();
     let promote = VoterChange::Promote { id: VoterId(4) };
     let ticket = world.change(leader, promote.clone());
-    let needed = world.node(leader).commit();
+    let needed = world.node(leader).commit_index();
     let held = Index(needed.get() - 1);
     assert_eq!(
         answer(&world, ticket),
@@ -179,7 +179,7 @@
     world.places.get_mut(&other).unwrap().disk = copy;
     world.restart(other);
     world.run(300);
-    assert!(world.notes.contains(&(leader, Note::Regressed(other))));
+    assert!(world.notes.contains(&(leader, NodeEvent::Regressed(other))));
     let third = VoterId(6 - leader.get() - other.get());
     world.cut_off(&[third]);
     world.run(20);
@@ -205,7 +205,7 @@
     world.crash(third, 0);
     let ticket = world.ask(leader, "not counted");
     world.run(150);
-    assert!(world.notes.contains(&(leader, Note::Outdated(other))));
+    assert!(world.notes.contains(&(leader, NodeEvent::Outdated(other))));
     assert_eq!(world.answers.get(&ticket), None);
 }
 
@@ -248,7 +248,7 @@
         }
     }
     assert!(!kept.is_empty());
-    let unreadable = |n: &(VoterId, Note)| matches!(n.1, Note::Unreadable(_));
+    let unreadable = |n: &(VoterId, NodeEvent)| matches!(n.1, NodeEvent::SnapshotUnreadable(_));
     assert!(!world.notes.iter().any(unreadable));
     world.heal();
 }
--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -269,7 +269,7 @@
 
     fn join(&self, body: &[u8]) -> Option<Answer> {
         let join: Join = read(body)?;
-        let leader = self.state.voter.join(join.voter, join.seat);
+        let leader = self.state.voter.join(join.voter, join.location);
         Some(rpc::answer(&Joined { leader }))
     }
 
--- a/crates/controller/src/disk.rs
+++ b/crates/controller/src/disk.rs
@@ -6,7 +6,7 @@
 
 use async_channel::Sender as Reports;
 
-use snipemast_control::{DiskStorage, Opened, Seat, Storage, VoterId, Write};
+use snipemast_control::{DiskStorage, Location, Recovery, Storage, VoterId, Write};
 
 /// How many writes are synced together at most.
 const BATCH: usize = 64;
@@ -26,12 +26,12 @@
 /// Opens a data folder, on a thread of its own: a disk may answer nothing for seconds.
 pub(crate) async fn open(
     folder: PathBuf,
-    seat: Seat,
+    location: Location,
     fresh: VoterId,
-) -> Result<(DiskStorage, Opened), String> {
+) -> Result<(DiskStorage, Recovery), String> {
     let (sender, receiver) = async_channel::bounded(1);
     let work = move || {
-        let opened = DiskStorage::open(&folder, &seat, fresh).map_err(|e| format!("{e:?}"));
+        let opened = DiskStorage::open(&folder, &location, fresh).map_err(|e| format!("{e:?}"));
         // Nobody waits any more only where the process ends.
         let _ = sender.send_blocking(opened);
     };
--- a/crates/controller/src/join.rs
+++ b/crates/controller/src/join.rs
@@ -9,7 +9,7 @@
 
 use parking_lot::Mutex;
 
-use snipemast_control::forming::{decide, Hello, Known};
+use snipemast_control::forming::{choose_cluster, ControlHost, Hello};
 use snipemast_control::{ClusterId, VoterId, Voters};
 use snipemast_core::prelude::*;
 use snipemast_net::exec::pause;
@@ -32,12 +32,12 @@
 /// Who this host is, as far as it knows.
 #[derive(Debug, Default)]
 pub(crate) struct Own {
-    known: Mutex<Option<Known>>,
+    known: Mutex<Option<ControlHost>>,
 }
 
 impl Own {
     /// Who this host is; nothing while its folder is not open.
-    pub(crate) fn known(&self) -> Option<Known> {
+    pub(crate) fn known(&self) -> Option<ControlHost> {
         self.known.lock().clone()
     }
 }
@@ -62,7 +62,7 @@
     };
     loop {
         let fresh = VoterId(rand::random());
-        let opened = disk::open(folder.clone(), voter.seat().clone(), fresh).await;
+        let opened = disk::open(folder.clone(), voter.location().clone(), fresh).await;
         let reason = match opened {
             Ok((storage, opened)) => {
                 let run = prepare(&settings, &voter, &own, storage, opened).await;
@@ -87,18 +87,18 @@
     voter: &Voter,
     own: &Own,
     mut storage: snipemast_control::DiskStorage,
-    opened: snipemast_control::Opened,
+    opened: snipemast_control::Recovery,
 ) -> Result<Folder, String> {
     let identity = storage.identity().clone();
-    let me = Known {
+    let me = ControlHost {
         voter: identity.voter,
-        seat: voter.seat().clone(),
+        location: voter.location().clone(),
         cluster: identity.cluster,
-        formed: identity.formed.clone(),
+        first_voters: identity.first_voters.clone(),
     };
     *own.known.lock() = Some(me.clone());
-    let (cluster, formed) = match identity.cluster {
-        Some(cluster) => (cluster, identity.formed.clone()),
+    let (cluster, first_voters) = match identity.cluster {
+        Some(cluster) => (cluster, identity.first_voters.clone()),
         None => {
             let found = find(settings, &me).await;
             let joined = storage.join(found.0, found.1.clone());
@@ -107,15 +107,15 @@
         }
     };
     if let Some(known) = own.known.lock().as_mut() {
-        (known.cluster, known.formed) = (Some(cluster), formed.clone());
+        (known.cluster, known.first_voters) = (Some(cluster), first_voters.clone());
     }
     let (voter, start) = (identity.voter, identity.starts);
-    let boot = boot(voter, start, cluster, formed, opened.stored);
+    let boot = boot(voter, start, cluster, first_voters, opened.stored);
     Ok(Folder { storage, boot })
 }
 
 /// Asks the seeds until there is a cluster to belong to.
-async fn find(settings: &Settings, me: &Known) -> (ClusterId, Voters) {
+async fn find(settings: &Settings, me: &ControlHost) -> (ClusterId, Voters) {
     let own = settings.internal_address();
     let mut clients: BTreeMap<SocketAddr, RpcClient> = BTreeMap::new();
     loop {
@@ -126,11 +126,14 @@
                 .entry(*seed)
                 .or_insert_with(|| RpcClient::new(*seed));
             let hello = Hello { voter: me.voter };
-            if let Ok(answer) = client.call::<_, Known>(path::HELLO, &hello, LIMIT).await {
+            if let Ok(answer) = client
+                .call::<_, ControlHost>(path::HELLO, &hello, LIMIT)
+                .await
+            {
                 known.insert(*seed, answer);
             }
         }
-        if let Some(found) = decide(settings.first, own, &seeds, &known) {
+        if let Some(found) = choose_cluster(settings.first, own, &seeds, &known) {
             return found;
         }
         pause(ROUND).await;
@@ -161,7 +164,7 @@
         asked.retain(|a| *a != settings.internal_address());
         let join = Join {
             voter: known.voter,
-            seat: known.seat,
+            location: known.location,
         };
         let mut leader = None;
         for address in asked {
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use snipemast_control::documents::{Submission, Verdict};
-use snipemast_control::{Envelope, Seat, VoterId};
+use snipemast_control::{Envelope, Location, VoterId};
 use snipemast_core::data;
 
 /// The paths of the calls.
@@ -37,7 +37,8 @@
         /// Its voter.
         pub(crate) voter: VoterId,
         /// Where it is.
-        pub(crate) seat: Seat,
+        #[serde(rename = "seat")]
+        pub(crate) location: Location,
     }
 
     /// Where to ask instead.
--- a/crates/controller/src/process.rs
+++ b/crates/controller/src/process.rs
@@ -8,7 +8,7 @@
 use event_listener::Event as Signal;
 use parking_lot::Mutex;
 
-use snipemast_control::Seat;
+use snipemast_control::Location;
 use snipemast_core::prelude::*;
 use snipemast_feed::Feed;
 use snipemast_net::exec::{pause, spawn};
@@ -67,12 +67,12 @@
     let clock = BootClock::new();
     // A majority must outlive what may be lost at once.
     let voters = 2 * settings.lost as usize + 1;
-    let seat = Seat {
+    let location = Location {
         host: settings.host.clone(),
         zone: settings.zone.clone(),
         address: inside,
     };
-    let voter = Voter::new(clock, journal.clone(), seat, voters);
+    let voter = Voter::new(clock, journal.clone(), location, voters);
     let state = Arc::new(State {
         settings: settings.clone(),
         clock,
--- a/crates/controller/src/voter.rs
+++ b/crates/controller/src/voter.rs
@@ -11,8 +11,8 @@
 use snipemast_control::documents::{Documents, Submission, Verdict};
 use snipemast_control::roster::Roster;
 use snipemast_control::{
-    Boot, ClusterId, DiskStorage, Envelope, Input, Node, Note, Output, Refusal, Seat, Ticket,
-    Timing, VoterId, Voters, Write,
+    ClusterId, DiskStorage, Envelope, Input, Location, Node, NodeEvent, NodeParams, Output,
+    Refusal, Ticket, Timing, VoterId, Voters, Write,
 };
 use snipemast_core::prelude::*;
 use snipemast_net::exec::{pause, spawn, within};
@@ -39,13 +39,13 @@
 /// entries hold whole documents and the disk is small: 32 documents of 1 MB fit into a quarter of it.
 const TIMING: Timing = Timing {
     heartbeat: Span::from_millis(200),
-    election: Span::from_millis(1_000),
-    spread: Span::from_millis(500),
+    election_timeout: Span::from_millis(1_000),
+    election_jitter: Span::from_millis(500),
     lease: Span::from_millis(850),
-    snapshot: 32,
-    keep: 8,
-    chunk: Size::from_bytes(256 << 10),
-    waiting: 64,
+    snapshot_entries: 32,
+    retained_entries: 8,
+    chunk_size: Size::from_bytes(256 << 10),
+    max_waiting: 64,
 };
 
 /// The voter of this host, while it has one.
@@ -53,7 +53,7 @@
 pub(crate) struct Voter {
     clock: BootClock,
     journal: Journal,
-    seat: Seat,
+    location: Location,
     /// How many voters the cluster is to have.
     target: usize,
     links: Links,
@@ -71,7 +71,7 @@
     writes: Writes,
     tickets: HashMap<Ticket, Sender<Result<Vec<u8>, Refusal>>>,
     next: Ticket,
-    joining: BTreeMap<VoterId, (Seat, Moment)>,
+    joining: BTreeMap<VoterId, (Location, Moment)>,
     /// Where others said that they take answers.
     callers: BTreeMap<VoterId, SocketAddr>,
     wake: Moment,
@@ -80,16 +80,21 @@
 /// A voter's data folder and what it holds.
 pub(crate) struct Folder {
     pub(crate) storage: DiskStorage,
-    pub(crate) boot: Boot,
+    pub(crate) boot: NodeParams,
 }
 
 impl Voter {
-    pub(crate) fn new(clock: BootClock, journal: Journal, seat: Seat, target: usize) -> Arc<Self> {
+    pub(crate) fn new(
+        clock: BootClock,
+        journal: Journal,
+        location: Location,
+        target: usize,
+    ) -> Arc<Self> {
         Arc::new(Self {
             clock,
             journal,
-            links: Links::new(seat.address),
-            seat,
+            links: Links::new(location.address),
+            location,
             target,
             running: Mutex::new(None),
             alarm: Signal::new(),
@@ -98,8 +103,8 @@
     }
 
     /// Where this voter is.
-    pub(crate) fn seat(&self) -> &Seat {
-        &self.seat
+    pub(crate) fn location(&self) -> &Location {
+        &self.location
     }
 
     /// Runs a node on a folder until a write fails; why it did.
@@ -154,7 +159,7 @@
         loop {
             let alarm = self.alarm.listen();
             let now = self.clock.now();
-            let wake = self.running.lock().as_ref().map(|r| r.node.wake());
+            let wake = self.running.lock().as_ref().map(|r| r.node.next_tick());
             let left = wake.map_or(SLEEP, |w| now.until(w).min(SLEEP));
             if left == Span::default() {
                 self.drive(Input::Tick);
@@ -170,17 +175,17 @@
         let Some(running) = guard.as_mut() else {
             return;
         };
-        let before = (running.node.applied(), running.node.leader());
+        let before = (running.node.applied_index(), running.node.leader());
         let outputs = running.node.handle(self.clock.now(), input);
         for output in outputs {
             self.perform(running, output);
         }
-        let wake = running.node.wake();
+        let wake = running.node.next_tick();
         if wake < running.wake {
             self.alarm.notify(1);
         }
         running.wake = wake;
-        if before != (running.node.applied(), running.node.leader()) {
+        if before != (running.node.applied_index(), running.node.leader()) {
             self.changed.notify(usize::MAX);
         }
     }
@@ -190,9 +195,9 @@
             Output::Write { number, write } => self.write(running, number, write),
             Output::Send(envelope) => {
                 // A voter that only learns finds the leader by where it was called from.
-                let seat = running.node.voters().seat(envelope.to);
+                let location = running.node.voters().location(envelope.to);
                 let caller = running.callers.get(&envelope.to).copied();
-                if let Some(address) = seat.map(|s| s.address).or(caller) {
+                if let Some(address) = location.map(|s| s.address).or(caller) {
                     self.links.send(address, envelope);
                 }
             }
@@ -202,7 +207,7 @@
                     let _ = sender.try_send(answer);
                 }
             }
-            Output::Note(note) => self.record(&note),
+            Output::Event(note) => self.record(&note),
         }
     }
 
@@ -296,8 +301,8 @@
         let guard = self.running.lock();
         let node = &guard.as_ref()?.node;
         let leader = node.leader()?;
-        let seat = node.voters().seat(leader)?;
-        Some((seat.address, leader == node.id()))
+        let location = node.voters().location(leader)?;
+        Some((location.address, leader == node.id()))
     }
 
     /// Where the voters and learners are.
@@ -332,16 +337,16 @@
     }
 
     /// Takes a request to join; where the leader is, if that is elsewhere.
-    pub(crate) fn join(&self, voter: VoterId, seat: Seat) -> Option<SocketAddr> {
+    pub(crate) fn join(&self, voter: VoterId, location: Location) -> Option<SocketAddr> {
         let mut guard = self.running.lock();
         let running = guard.as_mut()?;
         if running.node.is_leader() {
             let until = self.clock.now() + JOINING;
-            running.joining.insert(voter, (seat, until));
+            running.joining.insert(voter, (location, until));
             return None;
         }
         let leader = running.node.leader()?;
-        Some(running.node.voters().seat(leader)?.address)
+        Some(running.node.voters().location(leader)?.address)
     }
 
     /// Looks after the voters while it leads, one change after another.
@@ -370,7 +375,7 @@
             return None;
         }
         let joining = running.joining.iter();
-        let joining = joining.map(|(id, (seat, _))| (*id, seat.clone()));
+        let joining = joining.map(|(id, (location, _))| (*id, location.clone()));
         let roster = Roster {
             own: node.id(),
             target: self.target,
@@ -386,40 +391,40 @@
         self.changed.listen()
     }
 
-    fn record(&self, note: &Note) {
+    fn record(&self, note: &NodeEvent) {
         let journal = &self.journal;
-        let host = &self.seat.host;
+        let host = &self.location.host;
         match note {
-            Note::Elected(term) => {
+            NodeEvent::Elected(term) => {
                 journal.record(Event::LeaderElected, host, format_args!("term {term}"))
             }
-            Note::Fenced(fence) => {
+            NodeEvent::LeaderReady(fence) => {
                 journal.record(Event::LeaderElected, host, format_args!("fence {fence}"))
             }
-            Note::Ended(term) => {
+            NodeEvent::SteppedDown(term) => {
                 journal.record(Event::LeaderEnded, host, format_args!("term {term}"))
             }
-            Note::Changed(voters) => {
+            NodeEvent::VotersChanged(voters) => {
                 let (v, l) = (voters.voters.len(), voters.learners.len());
                 let detail = format_args!("{v} voters, {l} learners");
                 journal.record(Event::VoterChanged, host, detail);
             }
-            Note::Snapshot(index) => journal.record(Event::SnapshotWritten, host, index),
-            Note::Replaced(index) => {
+            NodeEvent::SnapshotSaved(index) => journal.record(Event::SnapshotWritten, host, index),
+            NodeEvent::MajorityReplaced(index) => {
                 let detail = format_args!("alone from {index} on, a majority was lost");
                 journal.record(Event::VoterChanged, host, detail);
             }
-            Note::Regressed(peer) => {
+            NodeEvent::Regressed(peer) => {
                 journal.record(Event::StorageRefused, peer, "it lost what it acknowledged")
             }
-            Note::Outdated(peer) => {
+            NodeEvent::Outdated(peer) => {
                 journal.record(Event::IdentityClash, peer, "an older start speaks")
             }
-            Note::Contradicted(index) => {
+            NodeEvent::Contradicted(index) => {
                 let detail = format_args!("{index} is committed otherwise");
                 journal.record(Event::StorageRefused, host, detail);
             }
-            Note::Unreadable(index) => journal.record(
+            NodeEvent::SnapshotUnreadable(index) => journal.record(
                 Event::StorageRefused,
                 host,
                 format_args!("snapshot {index}"),
@@ -436,14 +441,14 @@
     id: VoterId,
     start: u64,
     cluster: ClusterId,
-    formed: Voters,
-    stored: snipemast_control::Stored,
-) -> Boot {
-    Boot {
+    first_voters: Voters,
+    stored: snipemast_control::StoredState,
+) -> NodeParams {
+    NodeParams {
         id,
         start,
         cluster,
-        formed,
+        first_voters,
         stored,
         timing: TIMING,
         seed: id.get() ^ start,
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -9,8 +9,8 @@
 
 use snipemast_config::{Config, Verdict};
 use snipemast_control::apply::{self, StateMachine};
-use snipemast_control::machine::{Command, Machine, Reply, Submission};
-use snipemast_control::{Seat, Timing};
+use snipemast_control::machine::{Command, ConfigMachine, Reply, Submission};
+use snipemast_control::{Location, Timing};
 use snipemast_core::prelude::*;
 use snipemast_settings::ControlSettings;
 use snipemast_wire::config::{PatchAnswer, PatchAsk};
@@ -70,7 +70,7 @@
 
 /// The state machine, which the voter drives and operators look into.
 #[derive(Debug, Clone, Default)]
-struct Held(Arc<Mutex<Machine>>);
+struct Held(Arc<Mutex<ConfigMachine>>);
 
 impl StateMachine for Held {
     fn apply(&mut self, index: Index, command: &[u8]) -> Vec<u8> {
@@ -85,8 +85,8 @@
         self.0.lock().restore(bytes)
     }
 
-    fn replaced(&mut self, index: Index) {
-        self.0.lock().replaced(index);
+    fn majority_replaced(&mut self, index: Index) {
+        self.0.lock().majority_replaced(index);
     }
 }
 
@@ -99,7 +99,7 @@
     ) -> std::result::Result<Self, Report<VoterError>> {
         let options = VoterOptions {
             place: place(settings)?,
-            seat: Seat {
+            seat: Location {
                 host: shared.settings.host.clone(),
                 zone: shared.settings.zone.clone(),
                 address,
@@ -127,7 +127,7 @@
     }
 
     /// Looks into the state machine.
-    pub fn read<T>(&self, read: impl FnOnce(&Machine) -> T) -> T {
+    pub fn read<T>(&self, read: impl FnOnce(&ConfigMachine) -> T) -> T {
         read(&self.machine.0.lock())
     }
 
@@ -258,7 +258,7 @@
         } else if status.leader.is_some() && !status.ended {
             // A follower gives its leader up after one election timeout of silence.
             let timing = Timing::default();
-            let longest = timing.election.as_micros() + timing.spread.as_micros();
+            let longest = timing.election_timeout.as_micros() + timing.election_jitter.as_micros();
             (true, Some(Span::from_micros(longest)))
         } else {
             (false, shared.spread.age())
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -8,7 +8,7 @@
 use snipemast_callers::ask::bearer;
 use snipemast_callers::problem::{Problem, ProblemKind};
 use snipemast_config::{Patch, Verdict, WallTime};
-use snipemast_control::machine::{Entry, HistoryError, Machine, Submission};
+use snipemast_control::machine::{ConfigMachine, HistoryEntry, HistoryError, Submission};
 use snipemast_core::prelude::*;
 use snipemast_operators::answer::MemberLine;
 use snipemast_operators::{
@@ -64,7 +64,7 @@
             Route::DryRun => self.dry_run(conn).await,
             Route::Config { at: None } => Answer::ok(self.shared.config().as_ref()),
             Route::Config { at: Some(version) } => {
-                Answer::ok(self.look(|m| m.history().at(version))?.as_ref())
+                Answer::ok(self.look(|m| m.history().config_at(version))?.as_ref())
             }
             Route::Diff { from, to } => Answer::ok(&self.look(|m| m.history().diff(from, to))?),
             Route::Back { to } => Answer::ok(&self.back(to)?),
@@ -137,7 +137,8 @@
     }
 
     fn back(&self, to: Version) -> Result<Patch> {
-        let (now, then) = self.look(|m| Ok((Arc::clone(m.config()), m.history().at(to)?)))?;
+        let (now, then) =
+            self.look(|m| Ok((Arc::clone(m.config()), m.history().config_at(to)?)))?;
         let id = format!("back-to-{to}-from-{}", now.version);
         let id = id
             .parse()
@@ -156,7 +157,7 @@
     /// Looks into the state machine, which control hosts have.
     fn look<T>(
         &self,
-        look: impl FnOnce(&Machine) -> std::result::Result<T, HistoryError>,
+        look: impl FnOnce(&ConfigMachine) -> std::result::Result<T, HistoryError>,
     ) -> Result<T> {
         let elsewhere = || {
             let detail = "only control hosts know other versions than the one in force";
@@ -237,7 +238,7 @@
     Ok(Patch::parse(&bytes).map_err(VerdictAnswer::from))
 }
 
-fn line(entry: &Entry) -> HistoryLine {
+fn line(entry: &HistoryEntry) -> HistoryLine {
     HistoryLine {
         version: entry.version,
         patch: entry.patch.clone(),
--- a/crates/entry/src/voter.rs
+++ b/crates/entry/src/voter.rs
@@ -26,11 +26,13 @@
 use trillium::{Conn, Status};
 
 use snipemast_control::{
-    ChangeError, DiskStorage, Input, MemoryStorage, Refusal, Seat, StateMachine, Ticket, Timing,
-    VoterChange, VoterId,
+    ChangeError, DiskStorage, Input, Location, MemoryStorage, Refusal, StateMachine, Ticket,
+    Timing, VoterChange, VoterId,
 };
 use snipemast_core::prelude::*;
-use snipemast_wire::control::{path, Batch, Change, Hello, Known, Submit, Submitted, VoterStatus};
+use snipemast_wire::control::{
+    path, Batch, Change, ControlHost, Hello, Submit, Submitted, VoterStatus,
+};
 use snipemast_wire::serve::{malformed, message, reply};
 use snipemast_wire::{spawn, Peer};
 
@@ -112,7 +114,7 @@
     /// Where the log is kept.
     pub place: LogPlace,
     /// Where this host is.
-    pub seat: Seat,
+    pub seat: Location,
     /// The `own` addresses of every voter at the first start; none means this one alone.
     pub voters: Vec<SocketAddr>,
     /// Timeouts and bounds.
@@ -141,7 +143,7 @@
     inputs: SyncSender<Request>,
     waiting: Mutex<BTreeMap<Ticket, async_channel::Sender<Submitted>>>,
     status: Mutex<VoterStatus>,
-    known: Mutex<Known>,
+    known: Mutex<ControlHost>,
     /// The fencing number that orders may carry, and until when.
     office: Mutex<Option<(Fence, Moment)>>,
     tickets: AtomicU64,
@@ -217,10 +219,10 @@
     }
 
     /// Where the leader is, as far as this host knows.
-    pub fn leader(&self) -> Option<Seat> {
+    pub fn leader(&self) -> Option<Location> {
         let status = self.shared.status.lock();
         let leader = status.leader?;
-        status.voters.seat(leader).cloned()
+        status.voters.location(leader).cloned()
     }
 
     /// Whether this host leads and may speak for the cluster now.
@@ -280,7 +282,7 @@
             Submitted::Refused(Refusal::NotLeader {
                 leader: Some(leader),
             }) => {
-                let seat = self.shared.status.lock().voters.seat(leader).cloned();
+                let seat = self.shared.status.lock().voters.location(leader).cloned();
                 match seat {
                     Some(seat) => forward(&self.links.peer(leader, seat.address), work, left).await,
                     None => Submitted::Refused(Refusal::NotLeader { leader: None }),
@@ -388,14 +390,14 @@
     fn new(
         inputs: SyncSender<Request>,
         start: &form::Start,
-        seat: &Seat,
+        seat: &Location,
         journal: Journal,
     ) -> Self {
-        let known = Known {
+        let known = ControlHost {
             voter: start.voter,
-            seat: seat.clone(),
+            location: seat.clone(),
             cluster: start.cluster,
-            formed: start.formed.clone(),
+            first_voters: start.formed.clone(),
         };
         Self {
             inputs,
--- a/crates/entry/src/voter/engine.rs
+++ b/crates/entry/src/voter/engine.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender};
 use std::sync::Arc;
 
-use snipemast_control::{Envelope, Input, Node, Note, Output, StateMachine, Write};
+use snipemast_control::{Envelope, Input, Node, NodeEvent, Output, StateMachine, Write};
 use snipemast_core::prelude::*;
 use snipemast_wire::control::{Submitted, VoterStatus};
 
@@ -68,7 +68,7 @@
         (self.watch)(node.machine());
         let mut seen = 0;
         loop {
-            let input = match self.wait(node.wake()) {
+            let input = match self.wait(node.next_tick()) {
                 Request::Input(input) => input,
                 Request::Wake => Input::Tick,
                 Request::Stop => break,
@@ -76,14 +76,14 @@
             if self.shared.status.lock().ended || disk.failed.load(Ordering::Acquire) {
                 break;
             }
-            let applied = node.applied();
+            let applied = node.applied_index();
             self.step(&mut node, input, writes);
             let synced = disk.synced.load(Ordering::Acquire);
             if synced > seen {
                 seen = synced;
                 self.step(&mut node, Input::Synced { write: synced }, writes);
             }
-            if node.applied() > applied {
+            if node.applied_index() > applied {
                 (self.watch)(node.machine());
             }
             self.publish(&node);
@@ -117,13 +117,13 @@
                     let answer = answer.map_or_else(Submitted::Refused, Submitted::Verdict);
                     self.shared.settle(ticket, answer);
                 }
-                Output::Note(note) => self.record(&note),
+                Output::Event(note) => self.record(&note),
             }
         }
     }
 
     fn send<M: StateMachine>(&self, node: &Node<M>, envelope: Envelope) {
-        let seat = node.voters().seat(envelope.to);
+        let seat = node.voters().location(envelope.to);
         self.links.send(seat.map(|s| s.address), envelope);
     }
 
@@ -135,49 +135,49 @@
             voter: node.id(),
             term: node.term(),
             leader: node.leader(),
-            last: node.log().last(),
-            durable: node.durable(),
-            commit: node.commit(),
-            applied: node.applied(),
+            last: node.log().last_index(),
+            durable: node.durable_index(),
+            commit: node.commit_index(),
+            applied: node.applied_index(),
             fence: node.fence(),
             voters: node.voters().clone(),
             ended: status.ended,
         };
     }
 
-    fn record(&self, note: &Note) {
+    fn record(&self, note: &NodeEvent) {
         let journal = &self.shared.journal;
         let voter = self.shared.known.lock().voter;
         match note {
-            Note::Elected(term) => journal.record(Event::LeaderElected, voter, term),
-            Note::Fenced(fence) => {
+            NodeEvent::Elected(term) => journal.record(Event::LeaderElected, voter, term),
+            NodeEvent::LeaderReady(fence) => {
                 journal.record(Event::LeaderElected, voter, format_args!("fence {fence}"))
             }
-            Note::Ended(term) => journal.record(Event::LeaderEnded, voter, term),
-            Note::Changed(voters) => {
+            NodeEvent::SteppedDown(term) => journal.record(Event::LeaderEnded, voter, term),
+            NodeEvent::VotersChanged(voters) => {
                 let (v, l) = (voters.voters.len(), voters.learners.len());
                 let detail = format_args!("{v} voters, {l} learners");
                 journal.record(Event::VoterChanged, voter, detail);
             }
-            Note::Replaced(index) => {
+            NodeEvent::MajorityReplaced(index) => {
                 let detail = format_args!("alone from {index} on, a majority was lost");
                 journal.record(Event::VoterChanged, voter, detail);
             }
-            Note::Snapshot(index) => journal.record(Event::SnapshotWritten, voter, index),
-            Note::Regressed(peer) => {
+            NodeEvent::SnapshotSaved(index) => journal.record(Event::SnapshotWritten, voter, index),
+            NodeEvent::Regressed(peer) => {
                 journal.record(Event::StorageRefused, peer, "it lost what it acknowledged");
             }
-            Note::Outdated(peer) => {
+            NodeEvent::Outdated(peer) => {
                 journal.record(Event::IdentityClash, peer, "an older start speaks");
             }
-            Note::Contradicted(index) => {
+            NodeEvent::Contradicted(index) => {
                 journal.record(
                     Event::StorageRefused,
                     voter,
                     format_args!("{index} is committed otherwise"),
                 );
             }
-            Note::Unreadable(index) => {
+            NodeEvent::SnapshotUnreadable(index) => {
                 journal.record(
                     Event::StorageRefused,
                     voter,
--- a/crates/entry/src/voter/form.rs
+++ b/crates/entry/src/voter/form.rs
@@ -10,14 +10,14 @@
 
 use smol::Task;
 
-use snipemast_control::forming::decide;
+use snipemast_control::forming::choose_cluster;
 use snipemast_control::identity::Identity;
 use snipemast_control::{
-    Boot, ClusterId, DiskStorage, MemoryStorage, Node, Opened, StateMachine, Storage, Stored,
-    VoterId, Voters,
+    ClusterId, DiskStorage, MemoryStorage, Node, NodeParams, Recovery, StateMachine, Storage,
+    StoredState, VoterId, Voters,
 };
 use snipemast_core::prelude::*;
-use snipemast_wire::control::{path, Hello, Known, VoterStatus};
+use snipemast_wire::control::{path, ControlHost, Hello, VoterStatus};
 use snipemast_wire::Peer;
 
 use super::engine::{DiskState, Engine};
@@ -60,7 +60,7 @@
     pub(super) cluster: Option<ClusterId>,
     pub(super) formed: Voters,
     start: u64,
-    stored: Stored,
+    stored: StoredState,
 }
 
 impl Start {
@@ -70,15 +70,15 @@
             cluster: None,
             formed: Voters::default(),
             start: 1,
-            stored: Stored::default(),
+            stored: StoredState::default(),
         }
     }
 
-    pub(super) fn on_disk(identity: &Identity, opened: Opened) -> Self {
+    pub(super) fn on_disk(identity: &Identity, opened: Recovery) -> Self {
         Self {
             voter: identity.voter,
             cluster: identity.cluster,
-            formed: identity.formed.clone(),
+            formed: identity.first_voters.clone(),
             start: identity.starts,
             stored: opened.stored,
         }
@@ -156,18 +156,18 @@
     F: FnMut(&M) + Send + 'static,
 {
     let shared = Arc::clone(&engine.shared);
-    let boot = Boot {
+    let boot = NodeParams {
         id: start.voter,
         start: start.start,
         cluster: start.cluster.unwrap_or_default(),
-        formed: start.formed.clone(),
+        first_voters: start.formed.clone(),
         stored: start.stored,
         timing: options.timing,
         seed: options.fresh,
     };
     {
         let mut known = shared.known.lock();
-        (known.cluster, known.formed) = (start.cluster, start.formed);
+        (known.cluster, known.first_voters) = (start.cluster, start.formed);
     }
     let node = Node::new(boot, machine, shared.clock.now());
     let node = node.map_err(|e| {
@@ -201,12 +201,15 @@
             let hello = Hello {
                 voter: known[&own].voter,
             };
-            match peer.call::<_, Known>(path::HELLO, &hello, DEADLINE).await {
+            match peer
+                .call::<_, ControlHost>(path::HELLO, &hello, DEADLINE)
+                .await
+            {
                 Ok(answer) => drop(known.insert(peer.address(), answer)),
                 Err(_) => peer.retire(),
             }
         }
-        if let Some(found) = decide(true, own, &addresses, &known) {
+        if let Some(found) = choose_cluster(true, own, &addresses, &known) {
             return found;
         }
         smol::Timer::after(PAUSE.as_duration()).await;
--- a/crates/entry/tests/voters.rs
+++ b/crates/entry/tests/voters.rs
@@ -13,7 +13,7 @@
 
 use snipemast_config::{KeyHash, Patch, Refusal, Verdict, WallTime};
 use snipemast_control::machine::{Command, Reply, Submission};
-use snipemast_control::{Machine, Seat, Timing, VoterChange};
+use snipemast_control::{ConfigMachine, Location, Timing, VoterChange};
 use snipemast_core::prelude::*;
 use snipemast_entry::voter::{LogPlace, SubmitError, Voter, VoterOptions};
 use snipemast_wire::{listen, spawn, Listening};
@@ -54,7 +54,7 @@
         let slot = Slot::default();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let listening = listen(any, slot.clone()).await.unwrap();
-        let seat = Seat {
+        let seat = Location {
             host: format!("host-{number}").parse().unwrap(),
             zone: format!("zone-{}", number % 3).parse().unwrap(),
             address: listening.address(),
@@ -78,14 +78,17 @@
     async fn start(&self) {
         loop {
             let history = Arc::clone(&self.history);
-            let watch = move |machine: &Machine| {
+            let watch = move |machine: &ConfigMachine| {
                 let entries = machine.history().entries();
                 *history.lock() = entries.map(|e| (e.version, e.patch.clone())).collect();
             };
             let journal = journal(&self.options.seat.host);
-            if let Ok(voter) =
-                Voter::start(self.options.clone(), Machine::default(), journal, watch)
-            {
+            if let Ok(voter) = Voter::start(
+                self.options.clone(),
+                ConfigMachine::default(),
+                journal,
+                watch,
+            ) {
                 *self.slot.0.lock() = Some(Arc::new(voter));
                 return;
             }
@@ -166,13 +169,13 @@
 fn timing() -> Timing {
     Timing {
         heartbeat: Span::from_millis(50),
-        election: Span::from_millis(250),
-        spread: Span::from_millis(150),
+        election_timeout: Span::from_millis(250),
+        election_jitter: Span::from_millis(150),
         lease: Span::from_millis(200),
-        snapshot: 20,
-        keep: 10,
-        chunk: Size::from_bytes(4 << 10),
-        waiting: 64,
+        snapshot_entries: 20,
+        retained_entries: 10,
+        chunk_size: Size::from_bytes(4 << 10),
+        max_waiting: 64,
     }
 }
 
@@ -322,7 +325,7 @@
         let id = snipemast_control::VoterId(77);
         let seat = cluster.hosts[lost].options.seat.clone();
         voter
-            .change(VoterChange::Learn { id, seat }, PATIENCE)
+            .change(VoterChange::Learn { id, location: seat }, PATIENCE)
             .await
             .unwrap();
         voter
--- a/crates/groups/tests/draft.rs
+++ b/crates/groups/tests/draft.rs
@@ -4,7 +4,7 @@
 
 use quickcheck::quickcheck;
 
-use snipemast_control::Chance;
+use snipemast_control::SplitMix64;
 use snipemast_core::prelude::*;
 use snipemast_groups::draft::{Base, Draft, Told};
 use snipemast_groups::executor::{Executor, Next, OrderSeq};
@@ -25,7 +25,7 @@
 }
 
 /// A map with some slots that hold other experts.
-fn changed(map: &ExpertMap, chance: &mut Chance) -> Arc<ExpertMap> {
+fn changed(map: &ExpertMap, chance: &mut SplitMix64) -> Arc<ExpertMap> {
     let mut next = map.clone();
     for _ in 0..chance.below(20) {
         let layer = &mut next.layers[chance.below(3) as usize];
@@ -38,7 +38,7 @@
 quickcheck! {
     /// Whoever knows the base reads the map that was meant, one switch after another.
     fn map_read(seed: u64) -> bool {
-        let mut chance = Chance::new(seed);
+        let mut chance = SplitMix64::new(seed);
         let (mut told, mut base, mut from) = (Told::default(), DEALT, Arc::new(dealt()));
         (1..6).map(MapVersion).all(|version| {
             let map = changed(&from, &mut chance);
@@ -54,7 +54,7 @@
 /// the number of the base to another map; or a process knows the base with its experts in other slots.
 #[test]
 fn other_base_unread() {
-    let mut chance = Chance::new(3);
+    let mut chance = SplitMix64::new(3);
     let mut told = Told::default();
     let version = MapVersion(1);
     let first = changed(&dealt(), &mut chance);
@@ -78,7 +78,7 @@
 #[test]
 fn unread_map_told_whole() {
     let (from, epoch) = (Arc::new(dealt()), EPOCH);
-    let map = changed(&from, &mut Chance::new(5));
+    let map = changed(&from, &mut SplitMix64::new(5));
     let draft = Draft::new(Base::Told(MapVersion(7)), &from, &map);
     let mut switch = Switch::new(2, Ballot(1));
     let now = Moment::from_millis(0);
--- a/crates/groups/tests/even.rs
+++ b/crates/groups/tests/even.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::quickcheck;
 
-use snipemast_control::Chance;
+use snipemast_control::SplitMix64;
 use snipemast_groups::even::{even, Thresholds};
 use snipemast_groups::map::{ExpertMap, Layer};
 use snipemast_groups::search::search_paced;
@@ -104,7 +104,7 @@
 quickcheck! {
     /// What a search says of the fullest rank after its changes is so.
     fn weights_stay_exact(seed: u64) -> bool {
-        let mut chance = Chance::new(seed);
+        let mut chance = SplitMix64::new(seed);
         let (ranks, experts) = (24, 40);
         let mut layer = Layer::dealt(ranks, 3, experts);
         let shares: Vec<f64> = (0..experts).map(|_| 1.0 + chance.below(300) as f64).collect();
--- a/crates/groups/tests/ordered/mod.rs
+++ b/crates/groups/tests/ordered/mod.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use snipemast_control::Chance;
+use snipemast_control::SplitMix64;
 use snipemast_core::prelude::*;
 use snipemast_groups::delivery::{deliveries, Delivery};
 use snipemast_groups::draft::Draft;
@@ -155,7 +155,7 @@
     pub(crate) now: u64,
     pub(crate) events: BTreeMap<(u64, u64), Event>,
     pub(crate) count: u64,
-    pub(crate) chance: Chance,
+    pub(crate) chance: SplitMix64,
     /// One in so many orders gets no answer.
     pub(crate) mute: u64,
     /// How long it takes until the lead has heard all ranks, and the longest way of an order, in ms.
@@ -220,7 +220,7 @@
             now: 0,
             events: BTreeMap::new(),
             count: 0,
-            chance: Chance::new(seed),
+            chance: SplitMix64::new(seed),
             mute,
             lag: 0,
             reach: 5,
--- a/crates/groups/tests/takeover.rs
+++ b/crates/groups/tests/takeover.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use ordered::{Event, World, LOOK};
-use snipemast_control::Chance;
+use snipemast_control::SplitMix64;
 use snipemast_groups::map::ExpertMap;
 use snipemast_groups::takeover::{DEPUTY, LEAD};
 
@@ -28,7 +28,7 @@
 fn frozen_lead(seed: u64, mute: u64) -> TestResult {
     let mut world = World::new(seed, mute);
     world.after(LOOK / 2, Event::Watch);
-    let mut chance = Chance::new(seed ^ 0x5eed);
+    let mut chance = SplitMix64::new(seed ^ 0x5eed);
     for second in 0..20 {
         let at = second * 3_000 + chance.below(3_000);
         let rank = if chance.below(3) == 0 { DEPUTY } else { LEAD };
@@ -47,7 +47,7 @@
     let mut world = World::new(seed, mute);
     (world.reach, world.eager) = (30, seed.is_multiple_of(2));
     world.after(LOOK / 2, Event::Watch);
-    let mut chance = Chance::new(seed ^ 0xdead);
+    let mut chance = SplitMix64::new(seed ^ 0xdead);
     for second in 0..30 {
         let at = second * 2_000 + chance.below(2_000);
         world.after(at, Event::Kill(50 + chance.below(1_200)));
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -1,6 +1,6 @@
 //! Messages between voters, and from other hosts to the control leader.
 
-pub use snipemast_control::forming::{Hello, Known};
+pub use snipemast_control::forming::{ControlHost, Hello};
 use snipemast_control::{Envelope, Refusal, VoterChange, VoterId, Voters};
 use snipemast_core::data;
 use snipemast_core::prelude::*;
--- a/tests/src/soak/load.rs
+++ b/tests/src/soak/load.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use serde_json::Value;
 
-use snipemast_control::Chance;
+use snipemast_control::SplitMix64;
 use snipemast_core::prelude::*;
 use snipemast_net::exec::{pause, within};
 use snipemast_net::{connect, Connection};
@@ -34,18 +34,18 @@
 
 /// Sends requests to one gateway after another, on connections that it keeps.
 pub async fn call_on(fleet: Arc<Fleet>, record: Arc<Mutex<Record>>, name: String, seed: u64) {
-    let mut chance = Chance::new(seed);
+    let mut chance = SplitMix64::new(seed);
     let mut kept: Option<(u8, Connection)> = None;
     let gateways: Vec<u8> = fleet.gateways().collect();
     for number in 0_u64.. {
-        pause(chance.span(THINK)).await;
+        pause(chance.span_below(THINK)).await;
         let kind = match chance.below(3) {
             0 => Kind::Once,
             1 => Kind::Safe,
             _ => Kind::Stream,
         };
         // Most requests go on an open connection, for as long as it lasts.
-        if chance.next_number().is_multiple_of(8) {
+        if chance.next_u64().is_multiple_of(8) {
             kept = None;
         }
         let gateway = match &kept {
@@ -110,9 +110,9 @@
     versions: Arc<Mutex<Versions>>,
     seed: u64,
 ) {
-    let mut chance = Chance::new(seed);
+    let mut chance = SplitMix64::new(seed);
     loop {
-        pause(chance.span(CHANGE)).await;
+        pause(chance.span_below(CHANGE)).await;
         let (number, document) = versions.lock().next(&mut chance);
         let text = document.to_string();
         loop {
@@ -129,7 +129,7 @@
 }
 
 impl Versions {
-    fn next(&mut self, chance: &mut Chance) -> (u64, Value) {
+    fn next(&mut self, chance: &mut SplitMix64) -> (u64, Value) {
         let last = self.sent.keys().next_back().copied().unwrap_or(1);
         let number = last + 1 + chance.below(3);
         let document = document::lenient(number);
@@ -140,9 +140,9 @@
 
 /// Reads the configuration at one controller after another.
 pub async fn read_on(fleet: Arc<Fleet>, record: Arc<Mutex<Record>>, seed: u64) {
-    let mut chance = Chance::new(seed);
+    let mut chance = SplitMix64::new(seed);
     loop {
-        pause(chance.span(THINK.times(4))).await;
+        pause(chance.span_below(THINK.times(4))).await;
         let host = 1 + chance.below(fleet.controllers().count() as u64) as u8;
         let sent = Instant::now();
         if let Some(document) = read(&fleet, host).await {
--- a/tests/src/soak/plan.rs
+++ b/tests/src/soak/plan.rs
@@ -1,6 +1,6 @@
 //! Which troubles a soak makes, and when, by its seed.
 
-use snipemast_control::Chance;
+use snipemast_control::SplitMix64;
 use snipemast_core::prelude::*;
 
 use snipemast_site::Behavior;
@@ -101,7 +101,7 @@
 
 /// The troubles of one soak.
 pub fn plan(seed: u64, length: Span, sizes: Sizes) -> Vec<Planned> {
-    let mut chance = Chance::new(seed);
+    let mut chance = SplitMix64::new(seed);
     let mut planned: Vec<Planned> = Vec::new();
     let end = length.as_micros().saturating_sub(CALM.as_micros());
     let mut at = 500_000;
@@ -125,23 +125,35 @@
             let at = Span::from_micros(at);
             planned.push(Planned { at, trouble });
         }
-        let series = chance.next_number().is_multiple_of(3);
-        at += chance.span(if series { SERIES } else { PAUSE }).as_micros();
+        let series = chance.next_u64().is_multiple_of(3);
+        at += chance
+            .span_below(if series { SERIES } else { PAUSE })
+            .as_micros();
     }
-    let limits = series(Chance::new(!seed), end, sizes, |chance, server| {
+    let limits = series(SplitMix64::new(!seed), end, sizes, |chance, server| {
         let rate = Rate::from_millis(500 << chance.below(5));
         let span = Span::from_millis(7_000 + chance.below(7_000));
         (Trouble::Limit(server, rate, span), span)
     });
-    let rests = series(Chance::new(seed ^ RESTS), end, sizes, |chance, server| {
-        let span = Span::from_millis(200 + chance.below(4_800));
-        let rest = Span::from_millis(700 + chance.below(3_300));
-        (Trouble::Rest(server, span, rest), span)
-    });
-    let leaves = series(Chance::new(seed ^ LEAVES), end, sizes, |chance, server| {
-        let span = Span::from_millis(3_000 + chance.below(4_000));
-        (Trouble::Leave(server, span), span)
-    });
+    let rests = series(
+        SplitMix64::new(seed ^ RESTS),
+        end,
+        sizes,
+        |chance, server| {
+            let span = Span::from_millis(200 + chance.below(4_800));
+            let rest = Span::from_millis(700 + chance.below(3_300));
+            (Trouble::Rest(server, span, rest), span)
+        },
+    );
+    let leaves = series(
+        SplitMix64::new(seed ^ LEAVES),
+        end,
+        sizes,
+        |chance, server| {
+            let span = Span::from_millis(3_000 + chance.below(4_000));
+            (Trouble::Leave(server, span), span)
+        },
+    );
     planned.extend([limits, rests, leaves].concat());
     planned
 }
@@ -153,16 +165,16 @@
 /// Troubles of servers beside all others, one of a kind at a time for each server, with how long each lasts: the plan of
 /// the others stays the same by it.
 fn series(
-    mut chance: Chance,
+    mut chance: SplitMix64,
     end: u64,
     sizes: Sizes,
-    draw: impl Fn(&mut Chance, u8) -> (Trouble, Span),
+    draw: impl Fn(&mut SplitMix64, u8) -> (Trouble, Span),
 ) -> Vec<Planned> {
     /// The longest pause between two.
     const PAUSE: Span = Span::from_secs(8);
     let mut planned = Vec::new();
     let mut until = vec![0; usize::from(sizes.servers)];
-    let mut at = chance.span(PAUSE).as_micros();
+    let mut at = chance.span_below(PAUSE).as_micros();
     while at < end {
         let server = chance.below(u64::from(sizes.servers)) as u8;
         let (trouble, span) = draw(&mut chance, server);
@@ -174,12 +186,12 @@
                 trouble,
             });
         }
-        at += chance.span(PAUSE).as_micros();
+        at += chance.span_below(PAUSE).as_micros();
     }
     planned
 }
 
-fn draw(chance: &mut Chance, sizes: Sizes) -> Trouble {
+fn draw(chance: &mut SplitMix64, sizes: Sizes) -> Trouble {
     let mut below = |bound| chance.below(bound);
     let controller = 1 + below(u64::from(sizes.controllers)) as u8;
     let gateway = GATEWAY + below(u64::from(sizes.gateways)) as u8;
