--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -7,9 +7,9 @@
 use snipemast_placement::allowances::GrantLease;
 use snipemast_placement::Choice;
 use snipemast_platform::response::Limit;
-use snipemast_registry::grants::lease;
-use snipemast_registry::limit::note_of_change;
-use snipemast_registry::{Demand, Grant, LimitEntry, LimitWord, Table};
+use snipemast_registry::grants::grant_lease;
+use snipemast_registry::limit::limit_change_event;
+use snipemast_registry::{Demand, Grant, LimitEntry, LimitUpdate, Table};
 
 use crate::send::Job;
 use crate::state::State;
@@ -35,7 +35,7 @@
         };
         let (state, server) = (&self.state, &choice.server);
         let now = state.clock.now();
-        let word = LimitWord {
+        let word = LimitUpdate {
             start: choice.start,
             rate,
             sent,
@@ -43,7 +43,7 @@
         };
         let mut registry = state.registry.lock();
         let before = registry.limit(server);
-        if !registry.note_limit(server, word) {
+        if !registry.record_limit(server, word) {
             return;
         }
         let limits = named_limits(&registry);
@@ -67,7 +67,7 @@
         let now = self.clock.now();
         let registry = self.registry.lock();
         let is_reported =
-            |word: &LimitWord| word.rate.is_some() || now < word.seen + END_REPORT_TIME;
+            |word: &LimitUpdate| word.rate.is_some() || now < word.seen + END_REPORT_TIME;
         let limits = registry.limits().filter(|(_, word)| is_reported(word));
         let mut demands: Vec<Demand> = limits
             .map(|(server, word)| Demand {
@@ -97,7 +97,7 @@
             let granted = GrantLease {
                 count: grant.count,
                 due: grant.due,
-                until: asked + lease(rate),
+                until: asked + grant_lease(rate),
             };
             Some((grant.server, granted))
         });
@@ -117,7 +117,7 @@
         rate: Option<Rate>,
         source: impl fmt::Display,
     ) {
-        let (event, detail) = note_of_change(before, rate, source);
+        let (event, detail) = limit_change_event(before, rate, source);
         self.journal.record(event, server, detail);
     }
 }
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -13,8 +13,10 @@
 use snipemast_placement::outage::ReportedChange;
 use snipemast_placement::pools::{Pools, ServerReport};
 use snipemast_platform::document;
-use snipemast_registry::source::{Source, HANDED_OUT};
-use snipemast_registry::{Cursor, Known, News, Poll, PollerKind, Standing, Table as Registry};
+use snipemast_registry::source::{Source, FETCH_TIMEOUT};
+use snipemast_registry::{
+    Cursor, KnownServer, News, Poll, PollerKind, Standing, Table as Registry,
+};
 use snipemast_routes::Table as Routes;
 
 use crate::frozen;
@@ -95,8 +97,8 @@
         let flying = flying.map(|(server, count)| (server.clone(), count));
         Poll {
             wait: self.leader_wait(),
-            flying: flying.collect(),
-            still: servers.frozen().cloned().collect(),
+            in_flight: flying.collect(),
+            silent: servers.frozen().cloned().collect(),
             demands,
             leaving,
             ..poll
@@ -149,14 +151,14 @@
         let mut registry = self.state.registry.lock();
         for entry in news.entries.drain(..) {
             let (id, standing) = (entry.announcement.id.clone(), entry.standing);
-            let (before, left_before) = (registry.limit(&id), registry.leaving(&id));
+            let (before, left_before) = (registry.limit(&id), registry.leaving_since(&id));
             let changed = registry.merge_standing(now, entry);
             let limit = registry.limit(&id);
             if limit != before {
                 let source = format_args!("told by {controller}");
                 self.state.log_limit(&id, before, limit, source);
             }
-            if left_before.is_none() && registry.leaving(&id).is_some() {
+            if left_before.is_none() && registry.leaving_since(&id).is_some() {
                 let detail = format_args!("told by {controller}");
                 self.state.journal.record(Event::LeavingTold, &id, detail);
             }
@@ -183,7 +185,7 @@
                 address: k.announcement.address,
                 zone: k.announcement.zone.clone(),
                 slots: k.announcement.slots,
-                leaving_since: registry.leaving(&k.announcement.id),
+                leaving_since: registry.leaving_since(&k.announcement.id),
             })
         });
         let announced = announced.collect();
@@ -201,7 +203,7 @@
 }
 
 /// Returns a server and its rank in a group.
-fn server_report(registry: &Registry, known: &Known) -> ServerReport {
+fn server_report(registry: &Registry, known: &KnownServer) -> ServerReport {
     ServerReport {
         server: known.announcement.id.clone(),
         service: known.announcement.service.clone(),
@@ -220,7 +222,7 @@
         let poll = Poll {
             version,
             told: entry.reported_version,
-            wanted,
+            wants_document: wanted,
             cursor: entry.cursor,
             wait: FOLLOWER_WAIT,
             ..Poll::new(self.state.settings.host.clone(), PollerKind::Gateway)
@@ -243,13 +245,13 @@
         let mut known = self.known.lock();
         if news.leader == Some(controller) {
             known.leader = news.leader;
-            let counts = news.flying.into_iter();
+            let counts = news.in_flight.into_iter();
             let slow = news.slow.into_iter().map(|s| (s.server, s.pace));
             let mut servers = self.state.servers.lock();
             servers.set_other_counts(now, news.age, counts);
             servers.set_slow(slow.collect());
             drop(servers);
-            frozen::check_reported(&self.state, &news.still);
+            frozen::check_reported(&self.state, &news.silent);
             if let Some(grants) = news.grants {
                 let entry = known.controllers.entry(controller).or_default();
                 self.state.apply_grants(entry.polled, grants);
@@ -274,10 +276,10 @@
             if !lags() {
                 return;
             }
-            futures_lite::future::or(applied, pause(HANDED_OUT)).await;
+            futures_lite::future::or(applied, pause(FETCH_TIMEOUT)).await;
             let mut known = self.known.lock();
             let late = self.state.version() < known.reported_version(controller);
-            if late && known.source.asks(self.state.clock.now()) {
+            if late && known.source.try_ask(self.state.clock.now()) {
                 known.request_document(controller);
                 return;
             }
--- a/crates/gateway/src/rests.rs
+++ b/crates/gateway/src/rests.rs
@@ -63,7 +63,7 @@
         let is_new = state
             .registry
             .lock()
-            .note_leaving(now, server, choice.start);
+            .record_leaving(now, server, choice.start);
         if is_new {
             let mut servers = state.servers.lock();
             servers.record_leaving(now, server, choice.start);
@@ -78,6 +78,6 @@
     /// Returns the leaving servers that are reported to the leader.
     pub(crate) fn unspread_leaving(&self) -> Vec<LeavingServer> {
         let now = self.clock.now();
-        self.registry.lock().unspread_leaving(now)
+        self.registry.lock().unreported_leaving(now)
     }
 }
