--- a/crates/gateway/src/frozen.rs
+++ b/crates/gateway/src/frozen.rs
@@ -45,7 +45,7 @@
     ///
     /// This guards against a server that is taken back after some time although it is still frozen.
     /// The callers of requests that are sent there give up, and the requests are processed for
-    /// nobody once the host goes on.
+    /// nobody once the host wakes up.
     pub(crate) async fn await_recovery(self, state: Arc<State>) {
         loop {
             pause(CHECK_INTERVAL).await;
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -35,7 +35,7 @@
         };
         let (state, server) = (&self.state, &choice.server);
         let now = state.clock.now();
-        let word = LimitUpdate {
+        let update = LimitUpdate {
             start: choice.start,
             rate,
             sent,
@@ -43,7 +43,7 @@
         };
         let mut registry = state.registry.lock();
         let before = registry.limit(server);
-        if !registry.record_limit(server, word) {
+        if !registry.record_limit(server, update) {
             return;
         }
         let limits = named_limits(&registry);
@@ -57,7 +57,7 @@
 /// Returns the limits that servers name.
 pub(crate) fn named_limits(registry: &Table) -> Vec<(ServerId, Rate)> {
     let named = registry.limits();
-    let named = named.filter_map(|(id, word)| Some((id.clone(), word.rate?)));
+    let named = named.filter_map(|(id, update)| Some((id.clone(), update.rate?)));
     named.collect()
 }
 
@@ -67,12 +67,12 @@
         let now = self.clock.now();
         let registry = self.registry.lock();
         let is_reported =
-            |word: &LimitUpdate| word.rate.is_some() || now < word.seen + END_REPORT_TIME;
-        let limits = registry.limits().filter(|(_, word)| is_reported(word));
+            |update: &LimitUpdate| update.rate.is_some() || now < update.seen + END_REPORT_TIME;
+        let limits = registry.limits().filter(|(_, update)| is_reported(update));
         let mut demands: Vec<Demand> = limits
-            .map(|(server, word)| Demand {
+            .map(|(server, update)| Demand {
                 server: server.clone(),
-                limit: LimitEntry::new(word, now),
+                limit: LimitEntry::new(update, now),
                 count: 0,
             })
             .collect();
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -173,7 +173,7 @@
         self.unknown.get_or_create(&HeaderLabel { header }).inc();
     }
 
-    /// Observes the length of a part of a request.
+    /// Records the duration of a part of a request.
     pub(crate) fn observe(&self, phase: Phase, span: Span) {
         let histogram = self.phases.get_or_create(&PhaseLabel { phase });
         histogram.observe(span.as_secs_f64());
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -91,13 +91,13 @@
     /// Adds to a poll what the leader sums up, grants and passes on.
     fn add_reports(&self, poll: Poll) -> Poll {
         let demands = self.state.limit_demands();
-        let leaving = self.state.unspread_leaving();
+        let leaving = self.state.unreported_leaving();
         let servers = self.state.servers.lock();
-        let flying = servers.in_flight();
-        let flying = flying.map(|(server, count)| (server.clone(), count));
+        let in_flight = servers.in_flight();
+        let in_flight = in_flight.map(|(server, count)| (server.clone(), count));
         Poll {
             wait: self.leader_wait(),
-            in_flight: flying.collect(),
+            in_flight: in_flight.collect(),
             silent: servers.frozen().cloned().collect(),
             demands,
             leaving,
@@ -218,11 +218,11 @@
         let leads = known.leader == Some(controller);
         let entry = known.controllers.entry(controller).or_default();
         entry.polled = self.state.clock.now();
-        let wanted = entry.same_zone || entry.wants_document || version == Version(0);
+        let wants_document = entry.same_zone || entry.wants_document || version == Version(0);
         let poll = Poll {
             version,
             told: entry.reported_version,
-            wants_document: wanted,
+            wants_document,
             cursor: entry.cursor,
             wait: FOLLOWER_WAIT,
             ..Poll::new(self.state.settings.host.clone(), PollerKind::Gateway)
--- a/crates/gateway/src/rests.rs
+++ b/crates/gateway/src/rests.rs
@@ -76,7 +76,7 @@
 
 impl State {
     /// Returns the leaving servers that are reported to the leader.
-    pub(crate) fn unspread_leaving(&self) -> Vec<LeavingServer> {
+    pub(crate) fn unreported_leaving(&self) -> Vec<LeavingServer> {
         let now = self.clock.now();
         self.registry.lock().unreported_leaving(now)
     }
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -74,7 +74,7 @@
     in_flight: InFlight,
 }
 
-/// A request in flight at a server; counts it out when dropped.
+/// A request in flight at a server. Dropping it removes the request from the server's count.
 #[derive(Debug)]
 struct InFlight {
     state: Arc<State>,
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -54,7 +54,7 @@
     request_counter: AtomicU64,
 }
 
-/// A request in progress; counts it out when dropped.
+/// A request in progress. Dropping it removes the request from the count.
 #[derive(Debug)]
 pub(crate) struct ActiveRequest(Arc<State>);
 
@@ -147,7 +147,7 @@
         self.journal.record(event, &pool.service, detail);
     }
 
-    /// Counts a request in.
+    /// Counts a request as in progress until the returned value is dropped.
     pub(crate) fn begin_request(self: &Arc<Self>) -> ActiveRequest {
         self.active.fetch_add(1, Ordering::Relaxed);
         ActiveRequest(Arc::clone(self))
--- a/crates/placement/src/length.rs
+++ b/crates/placement/src/length.rs
@@ -12,8 +12,8 @@
 /// two pieces.
 const START_PAUSES: u64 = 2;
 
-/// The least length of an answer, in hundredths of the estimate. Estimates are right only on
-/// average, and an answer that may still end in time gets its chance.
+/// The least length of an answer, in hundredths of the estimate. Estimates are right only
+/// in the middle, and an answer that may still end in time gets its chance.
 const SHORTEST_PERCENT: u64 = 60;
 
 /// The assumed pause while none has been seen, in hundredths of the longest promised one.
--- a/crates/placement/src/servers/health.rs
+++ b/crates/placement/src/servers/health.rs
@@ -68,8 +68,8 @@
         pool_servers.any(|s| now < s.last_piece + PIECE_AGE && s.last_piece > since)
     }
 
-    /// Begins a health check of a server that shows nothing, unless one is under way or recent.
-    /// Returns whether it does.
+    /// Begins a health check of a server that shows nothing, unless one began recently or the server
+    /// is resting or known to be frozen. Returns whether it does.
     pub fn begin_check(&mut self, now: Moment, id: &ServerId) -> bool {
         let Some(server) = self.known.get_mut(id) else {
             return false;
--- a/crates/placement/src/servers/open.rs
+++ b/crates/placement/src/servers/open.rs
@@ -105,8 +105,8 @@
     /// begins at once.
     pub fn has_free_slot(&self, now: Moment, constraints: Constraints<'_>) -> bool {
         /// As many requests as the server runs at once, in hundredths.
-        const SLOTS: u32 = 100;
-        self.has_open_server(now, constraints, SLOTS)
+        const SLOTS_PERCENT: u32 = 100;
+        self.has_open_server(now, constraints, SLOTS_PERCENT)
     }
 
     /// Whether a request that was sent to a server may move to one of the allowed servers.
