--- a/crates/requests/src/answer.rs
+++ b/crates/requests/src/answer.rs
@@ -1,4 +1,4 @@
-//! The frames of an answer, and the agent's word on an attempt.
+//! The frames of an answer, and the states that an agent reports for an attempt.
 
 use std::fmt;
 
@@ -8,17 +8,17 @@
 use snipemast_core::prelude::*;
 
 data! {
-    /// A short name of a dispatch, which every frame carries.
+    /// A hash of a dispatch's id, which every frame of its answer carries.
     ///
-    /// Failure guarded against: a connection that brings another request's answer. It shows as
-    /// a frame with a foreign tag; such a frame is dropped, so no caller gets another's bytes.
+    /// It guards against a connection that delivers another request's answer. A frame with
+    /// another tag is dropped, so no caller gets the bytes of another one's answer.
     #[derive(Copy, Hash)]
     #[serde(transparent)]
     pub struct Tag(u64);
 
-    /// A header of a call or answer.
+    /// An HTTP header of a call or answer.
     pub struct Header {
-        /// The lower-case name.
+        /// The name, in lower case.
         pub name: String,
         /// The value.
         pub value: String,
@@ -26,17 +26,17 @@
 
     /// One frame of an answer.
     pub struct Frame {
-        /// The dispatch that it answers.
+        /// The tag of the dispatch that the frame answers.
         pub tag: Tag,
-        /// What it brings.
+        /// The content of the frame.
         pub part: Part,
     }
 
-    /// What a frame brings.
+    /// The content of a frame.
     pub enum Part {
-        /// The dispatch stands in the ledger.
+        /// The agent recorded the dispatch in its ledger.
         Accepted {
-            /// Filler, which the transport may need to send a first frame at once.
+            /// Padding that the transport may need to send the first frame at once.
             #[serde(with = "serde_bytes")]
             padding: Vec<u8>,
         },
@@ -44,36 +44,36 @@
         Head {
             /// The HTTP status.
             status: u16,
-            /// The headers to pass on.
+            /// The headers to forward to the caller.
             headers: Vec<Header>,
         },
         /// A piece of the answer's body.
         Data {
-            /// The bytes of the body that came before.
+            /// The number of bytes of the body before this piece.
             offset: u64,
             /// The piece.
             #[serde(with = "serde_bytes")]
             bytes: Vec<u8>,
         },
-        /// The backend server is at work; nothing new.
+        /// The backend server still works on the answer, and there is nothing new to send.
         Beat,
-        /// The body is whole.
+        /// The body is complete.
         End {
-            /// The length of the whole body.
+            /// The length of the whole body, in bytes.
             total: u64,
             /// The CRC-32 of the whole body.
             checksum: u32,
-            /// The backend server's load, fresh.
+            /// The current load of the backend server.
             load: LoadReport,
         },
         /// The backend server failed after the dispatch had begun.
         Failed {
-            /// How.
+            /// How the backend server failed.
             reason: Failure,
         },
-        /// The agent refused: it did not run.
+        /// The agent refused the dispatch, so it did not run.
         Refused {
-            /// Why.
+            /// Why the agent refused.
             reason: RefusalReason,
         },
     }
@@ -84,15 +84,15 @@
     pub enum Failure {
         /// The connection to the backend server broke.
         Broken,
-        /// The backend server died with the dispatch in flight; its agent numbers the deaths.
+        /// The backend server died with the dispatch in flight. Its agent numbers the deaths.
         Died(u64),
         /// The backend server sent nothing for too long.
         Silent,
-        /// The answer's time ran out.
+        /// The deadline passed before the answer was complete.
         Late,
         /// The attempt was cancelled.
         Cancelled,
-        /// The bytes that were asked for are no longer kept.
+        /// The agent no longer keeps the requested bytes of the answer.
         Dropped,
     }
 
@@ -100,47 +100,47 @@
     #[derive(Copy, Hash)]
     #[serde(rename_all = "kebab-case")]
     pub enum RefusalReason {
-        /// It was addressed to another incarnation.
+        /// The message was addressed to another incarnation of the agent.
         Incarnation,
-        /// The agent drains.
+        /// The agent is draining.
         Draining,
-        /// Its deadline had passed.
+        /// The deadline had passed.
         Late,
-        /// Its id was barred by a settle.
+        /// The id was barred when the attempt was settled.
         Barred,
-        /// Its id is older than ids that were already forgotten.
+        /// The id is older than ids that were already forgotten.
         Expired,
         /// The ledger is full.
         Full,
-        /// Another suspect runs, and two are never run side by side.
+        /// Another suspected request runs there, and two of them never run side by side.
         Suspect,
         /// The backend server does not answer.
         Unreachable,
-        /// The id is not known, and nothing of it is kept.
+        /// The agent does not know the id and keeps nothing of its answer.
         Unknown,
     }
 
-    /// The agent's word on an attempt.
+    /// The status of an attempt, as its agent reports it.
     #[derive(Copy, Hash)]
     #[serde(rename_all = "kebab-case")]
     pub enum AttemptStatus {
-        /// It runs.
+        /// The attempt runs.
         Running,
-        /// It finished.
+        /// The attempt finished.
         Finished,
-        /// It ran and failed.
+        /// The attempt ran and failed.
         Failed(Failure),
-        /// It did not run and never will.
+        /// The attempt did not run and never will.
         Barred,
-        /// The id was forgotten; it may have run.
+        /// The agent has forgotten the id, so the attempt may have run.
         Forgotten,
-        /// Another incarnation was asked; it may have run.
+        /// The attempt was sent to another incarnation of the agent, so it may have run.
         Gone,
     }
 }
 
 impl Tag {
-    /// The tag of a dispatch.
+    /// Returns the tag of a dispatch.
     pub fn for_dispatch(id: &DispatchId) -> Self {
         let mut hash = Xxh3::new();
         hash.update(id.entry.host.as_str().as_bytes());
@@ -151,7 +151,7 @@
 }
 
 impl Frame {
-    /// A frame that answers the dispatch with this tag.
+    /// Creates a frame that answers the dispatch with this tag.
     pub const fn new(tag: Tag, part: Part) -> Self {
         Self { tag, part }
     }
@@ -165,7 +165,7 @@
             Self::Silent => "the backend server went silent",
             Self::Late => "the deadline passed",
             Self::Cancelled => "the attempt was cancelled",
-            Self::Dropped => "the answer is no longer kept",
+            Self::Dropped => "the agent no longer keeps the answer",
         })
     }
 }
@@ -174,12 +174,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Incarnation => "addressed to another incarnation of the agent",
-            Self::Draining => "the backend server is leaving",
+            Self::Draining => "the backend server is draining",
             Self::Late => "the deadline had passed",
             Self::Barred => "the attempt was settled as not run",
-            Self::Expired => "the attempt is older than ones already forgotten",
+            Self::Expired => "the attempt is older than attempts that were already forgotten",
             Self::Full => "the agent's ledger is full",
-            Self::Suspect => "another suspect runs there",
+            Self::Suspect => "another suspected request runs there",
             Self::Unreachable => "the backend server does not answer",
             Self::Unknown => "the agent does not know the attempt",
         })
--- a/crates/requests/src/assembler.rs
+++ b/crates/requests/src/assembler.rs
@@ -1,22 +1,22 @@
-//! Puts an answer together again, by offset and checksum.
+//! Puts an answer together from its frames, by offset and checksum.
 
 use crate::answer::Header;
 
-/// A piece of an answer's body, as it arrived.
+/// How a piece of an answer's body relates to the bytes that arrived before it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Piece {
-    /// The bytes that continue the body.
+    /// These bytes of the piece continue the body.
     Next(Vec<u8>),
-    /// Every byte is known already.
+    /// Every byte of the piece has already arrived.
     Repeated,
-    /// Bytes before it are missing.
+    /// Bytes before the piece are missing.
     Gap,
 }
 
-/// Whether a body is whole.
+/// Whether a body is whole, by its length and checksum.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Assembled {
-    /// Every byte is there and right.
+pub enum BodyCheck {
+    /// Every byte arrived and is right.
     Whole,
     /// Bytes are missing at the end.
     Short,
@@ -24,11 +24,11 @@
     Corrupt,
 }
 
-/// Puts one answer together.
+/// Puts one answer together from its frames.
 ///
-/// Failure guarded against: pieces that come twice, out of place or damaged, after a resume or
-/// through a faulty middle. It shows as a wrong offset or checksum; only bytes that continue
-/// the body exactly are passed on, and the end is believed only where length and checksum fit.
+/// It guards against pieces that arrive twice, out of order or damaged, after a resume or through
+/// a faulty proxy. Only bytes that continue the body exactly are returned, and the answer counts
+/// as whole only if its length and checksum match.
 #[derive(Debug, Default)]
 pub struct Assembler {
     head: Option<(u16, Vec<Header>)>,
@@ -37,46 +37,46 @@
 }
 
 impl Assembler {
-    /// Takes the head; a second one is passed over.
-    pub fn take_head(&mut self, status: u16, headers: Vec<Header>) {
+    /// Sets the head of the answer, unless it is already set.
+    pub fn set_head(&mut self, status: u16, headers: Vec<Header>) {
         if self.head.is_none() {
             self.head = Some((status, headers));
         }
     }
 
-    /// The head, once it has come.
+    /// Returns the status and headers, if they have arrived.
     pub fn head(&self) -> Option<&(u16, Vec<Header>)> {
         self.head.as_ref()
     }
 
-    /// The length of the body so far.
+    /// Returns the length of the body so far, in bytes.
     pub fn offset(&self) -> u64 {
         self.offset
     }
 
-    /// Takes a piece that starts at an offset.
-    pub fn take(&mut self, offset: u64, mut bytes: Vec<u8>) -> Piece {
+    /// Adds a piece that starts at an offset of the body.
+    pub fn add_piece(&mut self, offset: u64, mut bytes: Vec<u8>) -> Piece {
         if offset > self.offset {
             return Piece::Gap;
         }
-        let known = (self.offset - offset) as usize;
-        if known >= bytes.len() {
+        let overlap = (self.offset - offset) as usize;
+        if overlap >= bytes.len() {
             return Piece::Repeated;
         }
-        bytes.drain(..known);
+        bytes.drain(..overlap);
         self.checksum.update(&bytes);
         self.offset += bytes.len() as u64;
         Piece::Next(bytes)
     }
 
     /// Compares the body with its announced length and checksum.
-    pub fn finish(&self, total: u64, checksum: u32) -> Assembled {
+    pub fn finish(&self, total: u64, checksum: u32) -> BodyCheck {
         if self.offset < total {
-            Assembled::Short
+            BodyCheck::Short
         } else if self.offset > total || self.checksum.clone().finalize() != checksum {
-            Assembled::Corrupt
+            BodyCheck::Corrupt
         } else {
-            Assembled::Whole
+            BodyCheck::Whole
         }
     }
 }
--- a/crates/requests/src/budget.rs
+++ b/crates/requests/src/budget.rs
@@ -1,39 +1,39 @@
-//! The share of traffic that may be retries.
+//! A budget that bounds the share of traffic that may be retries.
 
-/// Thousandths of a retry that one first attempt earns: a tenth of the traffic.
-const EARNED: u64 = 100;
-/// Thousandths of a retry that one retry costs.
-const COST: u64 = 1_000;
+/// The thousandths of a retry that one first attempt adds, so that retries are a tenth of traffic.
+const EARNED_MILLIS: u64 = 100;
+/// The thousandths of a retry that one retry takes.
+const RETRY_MILLIS: u64 = 1_000;
 
-/// A bucket of retries that first attempts fill.
+/// A token bucket of retries, which first attempts fill.
 ///
-/// Failure guarded against: retries that multiply the load of an outage. It shows as attempts
-/// far over requests; the bucket bounds them to a tenth, after a small reserve.
+/// It guards against retries that multiply the load during an outage, which shows as far more
+/// attempts than requests. After a small reserve, retries are bounded to a tenth of the requests.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    credit: u64,
-    bound: u64,
+    balance: u64,
+    max_balance: u64,
 }
 
 impl RetryBudget {
-    /// A budget with this many retries in reserve.
+    /// Creates a budget with this many retries in reserve.
     pub const fn new(reserve: u64) -> Self {
-        let bound = reserve * COST;
+        let max_balance = reserve * RETRY_MILLIS;
         Self {
-            credit: bound,
-            bound,
+            balance: max_balance,
+            max_balance,
         }
     }
 
-    /// Counts a first attempt.
+    /// Adds the part of a retry that a first attempt earns.
     pub fn earn(&mut self) {
-        self.credit = (self.credit + EARNED).min(self.bound);
+        self.balance = (self.balance + EARNED_MILLIS).min(self.max_balance);
     }
 
-    /// Takes one retry; false where none is left.
+    /// Takes one retry out of the budget. Returns false if none is left.
     pub fn spend(&mut self) -> bool {
-        let left = self.credit.checked_sub(COST);
-        self.credit = left.unwrap_or(self.credit);
+        let left = self.balance.checked_sub(RETRY_MILLIS);
+        self.balance = left.unwrap_or(self.balance);
         left.is_some()
     }
 }
--- a/crates/requests/src/claim.rs
+++ b/crates/requests/src/claim.rs
@@ -1,4 +1,4 @@
-//! What claimers and keepers of keys say to each other.
+//! The messages between claimers and keepers of idempotency keys.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use crate::suspicion::Crash;
 
 data! {
-    /// A hash of what a request asks: workspace, method, path and body.
+    /// A hash of a request's workspace, method, path and body.
     #[derive(Copy, PartialOrd, Ord, Hash)]
     #[serde(transparent)]
     pub struct Fingerprint([u8; 16]);
@@ -20,33 +20,33 @@
     /// What a claim is for.
     #[derive(PartialOrd, Ord, Hash)]
     pub enum ClaimKey {
-        /// A caller's key.
+        /// An idempotency key of a caller.
         Key {
             /// The caller's workspace.
             workspace: WorkspaceId,
             /// The key.
             key: RequestKey,
         },
-        /// The one run of a suspected request.
+        /// The permission to run a suspected request, which one attempt at a time has.
         Suspect {
-            /// The request.
+            /// The fingerprint of the request.
             fingerprint: Fingerprint,
-            /// The crash that it is suspected of.
+            /// The crash that the request is suspected of.
             crash: Crash,
         },
     }
 
-    /// The attempt that a claim stands for.
+    /// The attempt that a key is claimed for.
     pub struct ClaimValue {
         /// The attempt.
         pub target: Target,
-        /// Where its agent listens.
+        /// The address that the attempt's agent listens on.
         pub address: SocketAddr,
-        /// What it asks.
+        /// The fingerprint of the request.
         pub body: Fingerprint,
     }
 
-    /// A round of one claimer; of two, the larger one goes first.
+    /// A round of one claimer. Of two rounds, the larger one has precedence.
     #[derive(PartialOrd, Ord, Hash)]
     pub struct Round {
         /// The number, larger than any that the claimer has seen.
@@ -55,115 +55,116 @@
         pub by: DispatchId,
     }
 
-    /// Which attempt of which key.
+    /// One attempt of one key, which one value is chosen for.
     #[derive(PartialOrd, Ord, Hash)]
-    pub struct Slot {
+    pub struct ClaimSlot {
         /// The key.
         pub key: ClaimKey,
-        /// The attempt, from 1; the next follows only when this one surely did not run.
+        /// The number of the attempt, from 1. The next one is claimed only when this one
+        /// certainly did not run.
         pub attempt: u64,
     }
 
     /// A claim that a keeper has accepted.
     pub struct AcceptedClaim {
-        /// In which round.
+        /// The round in which the keeper accepted the value.
         pub round: Round,
-        /// What.
+        /// The value that the keeper accepted.
         pub value: ClaimValue,
     }
 
-    /// A short mark of the three keepers of a shard.
+    /// A hash of the three keepers of a shard.
     ///
-    /// Failure guarded against: a claimer and a keeper that go by different tables while a
-    /// shard moves. It shows as two majorities that share no keeper; a keeper has no say in a
-    /// claim under another table than its own.
+    /// It guards against a claimer and a keeper that use different tables while a shard moves.
+    /// Two majorities could then share no keeper, so a keeper abstains from a claim whose
+    /// keepers are not those of its own table.
     #[derive(Copy, Hash)]
     #[serde(transparent)]
-    pub struct KeepersMark(u64);
+    pub struct KeepersHash(u64);
 
-    /// What a keeper is asked.
+    /// A request to a keeper.
     pub enum KeeperAsk {
-        /// Promise to accept no lower round.
+        /// Asks for a promise to accept no lower round.
         Prepare {
-            /// Where.
-            slot: Slot,
+            /// The attempt of the key.
+            slot: ClaimSlot,
             /// The round.
             round: Round,
-            /// The keepers that the claimer believes in.
-            keepers: KeepersMark,
-            /// How long the claim must be remembered.
+            /// The hash of the keepers in the claimer's table.
+            keepers: KeepersHash,
+            /// The time for which the claim must be remembered.
             keep: Span,
         },
-        /// Accept this value.
+        /// Asks to accept a value.
         Accept {
-            /// Where.
-            slot: Slot,
+            /// The attempt of the key.
+            slot: ClaimSlot,
             /// The round.
             round: Round,
             /// The value.
             value: ClaimValue,
-            /// The keepers that the claimer believes in.
-            keepers: KeepersMark,
-            /// The keepers whose promises carry the round.
+            /// The hash of the keepers in the claimer's table.
+            keepers: KeepersHash,
+            /// The keepers whose promises make up the majority of the round.
             promised: Vec<ProcessId>,
-            /// How long the claim must be remembered.
+            /// The time for which the claim must be remembered.
             keep: Span,
         },
-        /// Hand over a shard to a keeper that has no memory of it.
+        /// Asks for the claims of a shard, for a keeper that does not have them.
         Copy {
             /// The shard.
             shard: u32,
-            /// The keeper that asks.
+            /// The keeper that asks for the copy.
             to: ProcessId,
         },
     }
 
-    /// What a keeper answers.
+    /// An answer of a keeper.
     pub enum KeeperAnswer {
-        /// It accepts no lower round.
+        /// The keeper promises to accept no lower round.
         Promised {
             /// The keeper.
             by: ProcessId,
-            /// What it has accepted.
+            /// The claim that the keeper has accepted before.
             accepted: Option<AcceptedClaim>,
         },
-        /// It accepted the value.
+        /// The keeper accepted the value.
         Accepted {
             /// The keeper.
             by: ProcessId,
         },
-        /// It has promised a higher round.
+        /// The keeper has promised a higher round.
         Outrun {
             /// The round.
             round: Round,
         },
-        /// The key is at a later attempt.
+        /// The keeper knows a later attempt of the key.
         Ahead {
             /// The attempt.
             attempt: u64,
         },
-        /// It has no say: it still copies, is not a keeper of the shard, or is full.
+        /// The keeper does not vote: it still copies, does not keep the shard, or is full.
         Abstains,
-        /// The claims of a shard.
+        /// The keeper hands over the claims of a shard.
         Copied {
-            /// Every claim.
+            /// Every claim of the shard.
             claims: Vec<CopiedClaim>,
         },
     }
 
-    /// A claim that goes from keeper to keeper.
+    /// A claim that one keeper copies to another.
     pub struct CopiedClaim {
-        /// Where.
-        pub slot: Slot,
-        /// What was accepted.
+        /// The attempt of the key.
+        pub slot: ClaimSlot,
+        /// The claim that was accepted.
         pub accepted: Option<AcceptedClaim>,
-        /// How long it must be remembered still.
+        /// The time for which the claim must still be remembered.
         pub left: Span,
     }
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Returns the fingerprint of a request.
     pub fn for_request(workspace: &WorkspaceId, method: &str, path: &str, body: &[u8]) -> Self {
         let mut hash = blake3::Hasher::new();
         for part in [
@@ -193,17 +194,17 @@
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let number = u128::from_str_radix(text, 16).ok();
         let number = number.filter(|_| text.len() == 32);
-        let refused = || Self::Err {
+        let invalid = || Self::Err {
             kind: "Fingerprint",
             text: text.chars().take(32).collect(),
         };
-        number.map(|n| Self(n.to_be_bytes())).ok_or_else(refused)
+        number.map(|n| Self(n.to_be_bytes())).ok_or_else(invalid)
     }
 }
 
-impl KeepersMark {
-    /// The mark of these keepers.
-    pub fn of(hosts: &[HostId; 3]) -> Self {
+impl KeepersHash {
+    /// Returns the hash of these keepers.
+    pub fn for_hosts(hosts: &[HostId; 3]) -> Self {
         Self(xxh3_64(
             hosts.each_ref().map(HostId::as_str).join("/").as_bytes(),
         ))
@@ -211,7 +212,7 @@
 }
 
 impl ClaimKey {
-    /// The shard that the key falls into, of so many.
+    /// Returns the shard that the key belongs to, out of this many shards.
     pub fn shard(&self, shards: usize) -> usize {
         let hash = match self {
             Self::Key { workspace, key } => xxh3_64(format!("{workspace}/{key}").as_bytes()),
--- a/crates/requests/src/claimer.rs
+++ b/crates/requests/src/claimer.rs
@@ -3,29 +3,29 @@
 use snipemast_core::prelude::*;
 
 use crate::claim::{
-    AcceptedClaim, ClaimKey, ClaimValue, KeeperAnswer, KeeperAsk, KeepersMark, Round, Slot,
+    AcceptedClaim, ClaimKey, ClaimSlot, ClaimValue, KeeperAnswer, KeeperAsk, KeepersHash, Round,
 };
 use crate::plan::{ClaimResult, Target};
 
-/// The keepers of a key.
+/// The number of keepers of a key.
 const KEEPERS: usize = 3;
-/// How many of them decide.
+/// The number of keepers that decide a claim.
 const MAJORITY: usize = 2;
-/// How often another round is tried before the claim is given up.
-const ROUNDS: u64 = 8;
-/// The first pause between rounds; it grows by the round.
-const PAUSE: Span = Span::from_millis(5);
+/// The number of rounds after which a claim is given up.
+const MAX_ROUNDS: u64 = 8;
+/// The base of the pause between rounds, which grows with each round.
+const ROUND_PAUSE: Span = Span::from_millis(5);
 
-/// What a claimer wants next.
+/// What a claimer does next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// Ask these keepers, by their place in the table.
+    /// Send a request to these keepers, given by their position in the table.
     Ask(Vec<usize>, KeeperAsk),
-    /// Ask again after this pause.
+    /// Begin another round after this pause.
     Pause(Span),
-    /// Wait for further answers.
+    /// Wait for more answers.
     Wait,
-    /// The claim is decided: for this value, and this attempt of the key.
+    /// The claim is decided, with the chosen value and the number of the key's attempt.
     Done(ClaimResult, Option<ClaimValue>, u64),
 }
 
@@ -37,17 +37,17 @@
     Done,
 }
 
-/// Claims one attempt of a key: single-decree agreement among three keepers.
+/// Claims one attempt of a key by single-decree Paxos among its three keepers.
 ///
-/// Failure guarded against: two sends of one key that reach two entries at once. It shows as
-/// two runs. For each attempt of a key a majority of keepers chooses one value, and whoever
-/// comes second completes that value before attaching to it; the next attempt is claimed only
-/// after the chosen one was barred or refused by its agent.
+/// It guards against two sends of one key that reach two entries at the same time and would both
+/// run. For each attempt of a key a majority of the keepers chooses one value. A later claimer
+/// completes that value before it attaches to it. The next attempt is claimed only after the
+/// agent of the chosen one has barred or refused it.
 #[derive(Debug)]
 pub struct Claimer {
-    slot: Slot,
-    own: ClaimValue,
-    keepers: KeepersMark,
+    slot: ClaimSlot,
+    proposal: ClaimValue,
+    keepers: KeepersHash,
     keep: Span,
     round: Round,
     rounds: u64,
@@ -56,26 +56,26 @@
     accepts: usize,
     answered: [bool; KEEPERS],
     asked: usize,
-    highest: u64,
+    highest_round: u64,
 }
 
 impl Claimer {
-    /// Claims this attempt of a key for a value, at the shard's keepers.
+    /// Creates a claimer of this attempt of a key for a value, at the keepers of the key's shard.
     pub fn new(
         key: ClaimKey,
         attempt: u64,
-        own: ClaimValue,
+        proposal: ClaimValue,
         keepers: &[HostId; 3],
         keep: Span,
     ) -> Self {
         let round = Round {
             number: 1,
-            by: own.target.id.clone(),
+            by: proposal.target.id.clone(),
         };
         Self {
-            slot: Slot { key, attempt },
-            own,
-            keepers: KeepersMark::of(keepers),
+            slot: ClaimSlot { key, attempt },
+            proposal,
+            keepers: KeepersHash::for_hosts(keepers),
             keep,
             round,
             rounds: 0,
@@ -84,15 +84,15 @@
             accepts: 0,
             answered: [false; KEEPERS],
             asked: KEEPERS,
-            highest: 1,
+            highest_round: 1,
         }
     }
 
-    /// Begins a round.
+    /// Begins a round. It is called first, and again after each pause.
     pub fn begin(&mut self) -> ClaimStep {
         self.rounds += 1;
-        if self.rounds > ROUNDS {
-            return self.done(ClaimResult::Undecided, None);
+        if self.rounds > MAX_ROUNDS {
+            return self.finish(ClaimResult::Undecided, None);
         }
         self.phase = Phase::Preparing;
         self.promises.clear();
@@ -108,12 +108,12 @@
         ClaimStep::Ask((0..KEEPERS).collect(), ask)
     }
 
-    /// The round that is under way; answers to earlier rounds are passed over.
+    /// Returns the current round. Answers to earlier rounds are ignored.
     pub fn round(&self) -> &Round {
         &self.round
     }
 
-    /// Takes a keeper's answer, or nothing where none came in time.
+    /// Handles the answer of a keeper, or that none came in time.
     pub fn handle(
         &mut self,
         round: &Round,
@@ -127,13 +127,13 @@
             (Phase::Preparing, Some(KeeperAnswer::Promised { by, accepted })) => {
                 self.answered[keeper] = true;
                 self.promises.push((keeper, by, accepted));
-                self.promised()
+                self.propose_if_promised()
             }
             (Phase::Accepting(value), Some(KeeperAnswer::Accepted { .. })) => {
                 let value = value.clone();
                 self.answered[keeper] = true;
                 self.accepts += 1;
-                self.accepted(value)
+                self.finish_if_accepted(value)
             }
             (_, Some(KeeperAnswer::Ahead { attempt })) => {
                 self.slot.attempt = attempt;
@@ -142,20 +142,20 @@
             (_, Some(KeeperAnswer::Outrun { round })) => self.next_round(round.number),
             (_, _) => {
                 self.answered[keeper] = true;
-                self.without()
+                self.wait_or_retry()
             }
         }
     }
 
-    fn promised(&mut self) -> ClaimStep {
+    fn propose_if_promised(&mut self) -> ClaimStep {
         if self.promises.len() < MAJORITY {
-            return self.without();
+            return self.wait_or_retry();
         }
         let latest = self.promises.iter().filter_map(|(_, _, a)| a.as_ref());
         let latest = latest.max_by(|a, b| a.round.cmp(&b.round));
-        let value = latest.map_or(&self.own, |a| &a.value).clone();
-        if value.body != self.own.body {
-            return self.done(ClaimResult::Mismatch, None);
+        let value = latest.map_or(&self.proposal, |a| &a.value).clone();
+        if value.body != self.proposal.body {
+            return self.finish(ClaimResult::Mismatch, None);
         }
         let keepers: Vec<usize> = self.promises.iter().map(|(k, _, _)| *k).collect();
         let promised = self.promises.iter().map(|(_, by, _)| by.clone()).collect();
@@ -174,20 +174,20 @@
         ClaimStep::Ask(keepers, ask)
     }
 
-    fn accepted(&mut self, value: ClaimValue) -> ClaimStep {
+    fn finish_if_accepted(&mut self, value: ClaimValue) -> ClaimStep {
         if self.accepts < MAJORITY {
-            return self.without();
+            return self.wait_or_retry();
         }
-        let claimed = if value.target == self.own.target {
+        let claimed = if value.target == self.proposal.target {
             ClaimResult::Won
         } else {
             ClaimResult::Held(value.target.clone())
         };
-        self.done(claimed, Some(value))
+        self.finish(claimed, Some(value))
     }
 
-    /// Goes to another round once a majority can't be reached in this one.
-    fn without(&mut self) -> ClaimStep {
+    /// Begins another round if this one can't reach a majority any more, or waits.
+    fn wait_or_retry(&mut self) -> ClaimStep {
         let open = self.answered.iter().filter(|a| !**a).count();
         let got = match self.phase {
             Phase::Preparing => self.promises.len(),
@@ -202,24 +202,24 @@
     }
 
     fn next_round(&mut self, number: u64) -> ClaimStep {
-        self.highest = self.highest.max(number);
-        self.round.number = self.highest + 1;
+        self.highest_round = self.highest_round.max(number);
+        self.round.number = self.highest_round + 1;
         self.phase = Phase::Pausing;
-        if self.rounds >= ROUNDS {
-            return self.done(ClaimResult::Undecided, None);
+        if self.rounds >= MAX_ROUNDS {
+            return self.finish(ClaimResult::Undecided, None);
         }
-        // Two claimers that outran each other must not do so again in step.
-        let spread = 1 + self.own.target.id.counter % 7;
-        ClaimStep::Pause(PAUSE.times(self.rounds * spread))
+        // Two claimers that overtook each other must not begin their next rounds together.
+        let spread = 1 + self.proposal.target.id.counter % 7;
+        ClaimStep::Pause(ROUND_PAUSE.times(self.rounds * spread))
     }
 
-    fn done(&mut self, claimed: ClaimResult, value: Option<ClaimValue>) -> ClaimStep {
+    fn finish(&mut self, claimed: ClaimResult, value: Option<ClaimValue>) -> ClaimStep {
         self.phase = Phase::Done;
         ClaimStep::Done(claimed, value, self.slot.attempt)
     }
 
-    /// The attempt that is claimed for.
+    /// Returns the claimer's own attempt.
     pub fn target(&self) -> &Target {
-        &self.own.target
+        &self.proposal.target
     }
 }
--- a/crates/requests/src/keeper.rs
+++ b/crates/requests/src/keeper.rs
@@ -1,32 +1,32 @@
-//! A keeper of claims: one of three that remember which attempt a key stands for.
+//! A keeper: one of the three processes that remember the attempt claimed for a key.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use snipemast_core::prelude::*;
 
 use crate::claim::{
-    AcceptedClaim, ClaimKey, CopiedClaim, KeeperAnswer, KeeperAsk, KeepersMark, Round, Slot,
+    AcceptedClaim, ClaimKey, ClaimSlot, CopiedClaim, KeeperAnswer, KeeperAsk, KeepersHash, Round,
 };
 
 /// The keepers of each shard.
-pub type Table = Vec<[HostId; 3]>;
+pub type KeeperTable = Vec<[HostId; 3]>;
 
-/// How many of the other keepers a shard is copied from.
-const COPIES: usize = 2;
+/// The number of other keepers that a shard is copied from.
+const REQUIRED_COPIES: usize = 2;
 
-/// Whether a keeper has a say in a shard.
+/// Whether a keeper votes in a shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Standing {
-    /// It has.
-    Serves,
-    /// Not before it has copied from two of these, or every claim it may have forgotten has
-    /// run out.
-    Copies {
+enum VotingState {
+    /// The keeper votes.
+    Voting,
+    /// The keeper does not vote before it has copied the shard from two of these hosts, or every
+    /// claim that it may have forgotten has expired.
+    Copying {
         from: Vec<HostId>,
         done: BTreeSet<HostId>,
         until: Moment,
     },
-    /// Not any more; its claims are still there to be copied.
+    /// The keeper no longer votes, but its claims are still there to be copied.
     Left,
 }
 
@@ -41,51 +41,56 @@
 /// One shard of one keeper.
 #[derive(Debug)]
 struct Shard {
-    standing: Standing,
+    state: VotingState,
     claims: BTreeMap<ClaimKey, Claim>,
     expiry: BTreeSet<(Moment, ClaimKey)>,
-    /// The newest incarnation of each keeper that copied from here.
-    known: BTreeMap<HostId, Incarnation>,
-    /// A keeper of a later table that copied from here: until that table comes, no say.
-    awaits: Option<HostId>,
+    /// The newest incarnation of each keeper that copied this shard.
+    copiers: BTreeMap<HostId, Incarnation>,
+    /// A keeper of a later table that copied this shard. The keeper does not vote before it has
+    /// that table.
+    awaited_host: Option<HostId>,
 }
 
-/// A keeper of claims.
+/// A keeper, which votes on the claims of its shards.
 ///
-/// Failure guarded against: a keeper that restarts has forgotten what it promised and accepted.
-/// It shows as two attempts of one key, both run, each accepted by a majority that counts the
-/// forgetful keeper once as it was and once as it is. Three rules hold against it: it has no
-/// say until it has copied from both others; an accept names the incarnations whose promises
-/// carry it, and a keeper refuses one that names an earlier incarnation of itself; and a keeper
-/// that was copied from refuses one that names an earlier incarnation of the copier.
+/// It guards against a keeper that restarts and has forgotten what it promised and accepted. Two
+/// attempts of one key could then both run, each accepted by a majority in which the keeper counts
+/// once before and once after its restart. Three rules prevent that:
+///
+/// - A restarted keeper does not vote until it has copied the shard from both others.
+/// - An accept request names the incarnations that promised it, and a keeper abstains if the
+///   request does not name its current incarnation.
+/// - A keeper that another one has copied from abstains if the request names an earlier incarnation
+///   of that other one.
 #[derive(Debug)]
 pub struct Keeper {
     own: ProcessId,
     started: Moment,
-    hold: Span,
-    bound: usize,
-    table: Table,
+    retention: Span,
+    max_claims: usize,
+    table: KeeperTable,
     shards: BTreeMap<u32, Shard>,
 }
 
 impl Keeper {
-    /// A keeper without shards, in a process that started then; it holds claims for at most
-    /// this long.
-    pub fn new(own: ProcessId, started: Moment, hold: Span, bound: usize) -> Self {
+    /// Creates a keeper without shards, in a process that started at this moment.
+    ///
+    /// It remembers each claim for at most `retention`, and at most `max_claims` claims per shard.
+    pub fn new(own: ProcessId, started: Moment, retention: Span, max_claims: usize) -> Self {
         Self {
             own,
             started,
-            hold,
-            bound,
-            table: Table::new(),
+            retention,
+            max_claims,
+            table: KeeperTable::new(),
             shards: BTreeMap::new(),
         }
     }
 
-    /// Takes a later table.
-    pub fn apply_table(&mut self, now: Moment, table: &Table) {
+    /// Applies a later table of keepers.
+    pub fn apply_table(&mut self, now: Moment, table: &KeeperTable) {
         if self.table.len() != table.len() {
-            return self.reshape(now, table);
+            return self.reset_shards(now, table);
         }
         for (number, hosts) in table.iter().enumerate() {
             let before = self.table[number].clone();
@@ -94,65 +99,65 @@
                 hosts.contains(&self.own.host),
             );
             if let Some(shard) = self.shards.get_mut(&(number as u32)) {
-                shard.awaits.take_if(|host| hosts.contains(host));
+                shard.awaited_host.take_if(|host| hosts.contains(host));
             }
             if !was && is {
-                let from = self.others(&before);
-                self.join(now, number as u32, from);
+                let from = self.other_hosts(&before);
+                self.add_shard(now, number as u32, from);
             } else if was && !is {
                 if let Some(shard) = self.shards.get_mut(&(number as u32)) {
-                    shard.standing = Standing::Left;
+                    shard.state = VotingState::Left;
                 }
             }
         }
         self.table = table.clone();
     }
 
-    /// Takes a first table, or one with another number of shards.
+    /// Applies the first table, or one with another number of shards.
     ///
-    /// Nobody can tell whether a first table is older than this process, so the keeper copies,
-    /// unless the process has been up for so long that whatever an earlier one forgot has run
-    /// out. Under another number of shards each key has other keepers, so all wait until every
-    /// claim of the old table has run out.
-    fn reshape(&mut self, now: Moment, table: &Table) {
+    /// The first table may be older than this process, so an earlier incarnation may have voted
+    /// under it. The keeper therefore copies its shards, unless the process has run for so long
+    /// that every claim an earlier one forgot has expired. With another number of shards each key
+    /// has other keepers, so the keeper waits until every claim of the old table has expired.
+    fn reset_shards(&mut self, now: Moment, table: &KeeperTable) {
         let first = self.table.is_empty();
         self.shards.clear();
         for (number, hosts) in table.iter().enumerate() {
             if !hosts.contains(&self.own.host) {
                 continue;
             }
-            let standing = match first {
-                true => self.copying(self.started, self.others(hosts)),
-                false => self.copying(now, Vec::new()),
+            let state = match first {
+                true => self.copying_state(self.started, self.other_hosts(hosts)),
+                false => self.copying_state(now, Vec::new()),
             };
-            self.shards.insert(number as u32, Shard::new(standing));
+            self.shards.insert(number as u32, Shard::new(state));
         }
         self.table = table.clone();
     }
 
-    fn join(&mut self, now: Moment, number: u32, from: Vec<HostId>) {
-        let standing = self.copying(now, from);
-        self.shards.insert(number, Shard::new(standing));
+    fn add_shard(&mut self, now: Moment, number: u32, from: Vec<HostId>) {
+        let state = self.copying_state(now, from);
+        self.shards.insert(number, Shard::new(state));
     }
 
-    fn copying(&self, now: Moment, from: Vec<HostId>) -> Standing {
-        Standing::Copies {
+    fn copying_state(&self, now: Moment, from: Vec<HostId>) -> VotingState {
+        VotingState::Copying {
             from,
             done: BTreeSet::new(),
-            until: now + self.hold,
+            until: now + self.retention,
         }
     }
 
-    fn others(&self, hosts: &[HostId; 3]) -> Vec<HostId> {
+    fn other_hosts(&self, hosts: &[HostId; 3]) -> Vec<HostId> {
         let others = hosts.iter().filter(|h| **h != self.own.host);
         others.cloned().collect()
     }
 
-    /// The copies that are still missing: of which shard, from which host.
+    /// Returns the copies that are still missing, as the shard and the host to copy it from.
     pub fn missing_copies(&self) -> Vec<(u32, HostId)> {
         let mut missing = Vec::new();
         for (number, shard) in &self.shards {
-            if let Standing::Copies { from, done, .. } = &shard.standing {
+            if let VotingState::Copying { from, done, .. } = &shard.state {
                 let left = from.iter().filter(|h| !done.contains(h));
                 missing.extend(left.map(|h| (*number, h.clone())));
             }
@@ -168,7 +173,7 @@
                 round,
                 keepers,
                 keep,
-            } if self.agrees(&slot, keepers) => self.prepare(now, slot, round, keep),
+            } if self.has_same_keepers(&slot, keepers) => self.prepare(now, slot, round, keep),
             KeeperAsk::Accept {
                 slot,
                 round,
@@ -176,7 +181,7 @@
                 keepers,
                 promised,
                 keep,
-            } if self.agrees(&slot, keepers) => {
+            } if self.has_same_keepers(&slot, keepers) => {
                 self.accept(now, slot, AcceptedClaim { round, value }, &promised, keep)
             }
             KeeperAsk::Prepare { .. } | KeeperAsk::Accept { .. } => KeeperAnswer::Abstains,
@@ -184,21 +189,21 @@
         }
     }
 
-    /// Whether a claimer goes by the same table.
-    fn agrees(&self, slot: &Slot, keepers: KeepersMark) -> bool {
+    /// Whether a claimer uses the same keepers for the key as this keeper's table.
+    fn has_same_keepers(&self, slot: &ClaimSlot, keepers: KeepersHash) -> bool {
         let shard = self.table.get(slot.key.shard(self.table.len()));
-        shard.is_some_and(|hosts| KeepersMark::of(hosts) == keepers)
+        shard.is_some_and(|hosts| KeepersHash::for_hosts(hosts) == keepers)
     }
 
-    fn prepare(&mut self, now: Moment, slot: Slot, round: Round, keep: Span) -> KeeperAnswer {
-        let (own, hold, bound) = (self.own.clone(), self.hold, self.bound);
-        let Some(shard) = self.serving(now, &slot.key) else {
+    fn prepare(&mut self, now: Moment, slot: ClaimSlot, round: Round, keep: Span) -> KeeperAnswer {
+        let (own, retention, max_claims) = (self.own.clone(), self.retention, self.max_claims);
+        let Some(shard) = self.voting_shard(now, &slot.key) else {
             return KeeperAnswer::Abstains;
         };
-        if !shard.claims.contains_key(&slot.key) && shard.claims.len() >= bound {
+        if !shard.claims.contains_key(&slot.key) && shard.claims.len() >= max_claims {
             return KeeperAnswer::Abstains;
         }
-        let until = now + keep.min(hold);
+        let until = now + keep.min(retention);
         match shard.claims.get_mut(&slot.key) {
             Some(claim) if claim.attempt > slot.attempt => {
                 let attempt = claim.attempt;
@@ -211,7 +216,8 @@
                 }
                 claim.promised = round;
             }
-            // The attempt before surely did not run, or its claimer would not ask for the next.
+            // The previous attempt certainly did not run, or the claimer would not ask for the
+            // next one.
             Some(_) | None => shard.insert(slot.clone(), round, None, until),
         }
         let accepted = shard.claims.get(&slot.key).and_then(|c| c.accepted.clone());
@@ -221,16 +227,16 @@
     fn accept(
         &mut self,
         now: Moment,
-        slot: Slot,
+        slot: ClaimSlot,
         accepted: AcceptedClaim,
         promised: &[ProcessId],
         keep: Span,
     ) -> KeeperAnswer {
-        let (own, hold) = (self.own.clone(), self.hold);
-        let Some(shard) = self.serving(now, &slot.key) else {
+        let (own, retention) = (self.own.clone(), self.retention);
+        let Some(shard) = self.voting_shard(now, &slot.key) else {
             return KeeperAnswer::Abstains;
         };
-        if !promised.contains(&own) || shard.is_outdated(promised) {
+        if !promised.contains(&own) || shard.has_forgotten_promise(promised) {
             return KeeperAnswer::Abstains;
         }
         let Some(claim) = shard.claims.get(&slot.key) else {
@@ -248,15 +254,15 @@
             return KeeperAnswer::Outrun { round };
         }
         let round = accepted.round.clone();
-        shard.insert(slot, round, Some(accepted), now + keep.min(hold));
+        shard.insert(slot, round, Some(accepted), now + keep.min(retention));
         KeeperAnswer::Accepted { by: own }
     }
 
-    /// Hands a shard over.
+    /// Hands over the claims of a shard to another keeper.
     ///
-    /// Failure guarded against: a shard is copied and afterwards changed under the table before
-    /// the move. It shows as a claim that the new keeper never hears of; whoever hands over to
-    /// a host that its own table doesn't name has no say until it has the later table.
+    /// It guards against a shard that is copied and then changed under the table before the move,
+    /// so that the new keeper never learns of a claim. A keeper that hands over a shard to a host
+    /// that its own table doesn't name does not vote until it has the later table.
     fn hand_over(&mut self, now: Moment, number: u32, to: &ProcessId) -> KeeperAnswer {
         let hosts = self.table.get(number as usize);
         let is_later = hosts.is_some_and(|hosts| !hosts.contains(&to.host));
@@ -264,16 +270,16 @@
             return KeeperAnswer::Abstains;
         };
         shard.expire(now);
-        if matches!(shard.standing, Standing::Copies { .. }) {
+        if matches!(shard.state, VotingState::Copying { .. }) {
             return KeeperAnswer::Abstains;
         }
         if is_later {
-            shard.awaits = Some(to.host.clone());
+            shard.awaited_host = Some(to.host.clone());
         }
-        let known = shard.known.entry(to.host.clone()).or_default();
-        *known = to.incarnation.max(*known);
+        let copier = shard.copiers.entry(to.host.clone()).or_default();
+        *copier = to.incarnation.max(*copier);
         let copy = |(key, claim): (&ClaimKey, &Claim)| CopiedClaim {
-            slot: Slot {
+            slot: ClaimSlot {
                 key: key.clone(),
                 attempt: claim.attempt,
             },
@@ -284,7 +290,7 @@
         KeeperAnswer::Copied { claims }
     }
 
-    /// Takes the claims that another keeper handed over.
+    /// Merges the claims of a shard that another keeper handed over.
     pub fn merge_copy(
         &mut self,
         now: Moment,
@@ -295,82 +301,86 @@
         let Some(shard) = self.shards.get_mut(&number) else {
             return;
         };
-        let Standing::Copies { from, done, .. } = &mut shard.standing else {
+        let VotingState::Copying { from, done, .. } = &mut shard.state else {
             return;
         };
         if !from.contains(host) {
             return;
         }
         done.insert(host.clone());
-        let complete = done.len() >= COPIES;
+        let complete = done.len() >= REQUIRED_COPIES;
         for claim in claims {
             shard.merge(now, claim);
         }
         if complete {
-            shard.standing = Standing::Serves;
+            shard.state = VotingState::Voting;
         }
     }
 
-    /// Forgets the claims that have run out.
+    /// Forgets the claims that have expired.
     pub fn expire(&mut self, now: Moment) {
         for shard in self.shards.values_mut() {
             shard.expire(now);
         }
     }
 
-    /// How many claims are held.
+    /// Returns the number of claims that are remembered.
     pub fn len(&self) -> usize {
         self.shards.values().map(|s| s.claims.len()).sum()
     }
 
-    /// Whether no claim is held.
+    /// Returns whether no claim is remembered.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Whether it has a say in every shard that it keeps.
+    /// Returns whether the keeper votes in every shard that it keeps.
     pub fn is_ready(&self, now: Moment) -> bool {
         let copies =
-            |s: &Shard| matches!(s.standing, Standing::Copies { until, .. } if until > now);
+            |s: &Shard| matches!(s.state, VotingState::Copying { until, .. } if until > now);
         !self.shards.values().any(copies)
     }
 
-    fn serving(&mut self, now: Moment, key: &ClaimKey) -> Option<&mut Shard> {
+    fn voting_shard(&mut self, now: Moment, key: &ClaimKey) -> Option<&mut Shard> {
         let number = key.shard(self.table.len()) as u32;
         let shard = self.shards.get_mut(&number)?;
         shard.expire(now);
-        let serves = shard.standing == Standing::Serves && shard.awaits.is_none();
-        serves.then_some(shard)
+        let is_voting = shard.state == VotingState::Voting && shard.awaited_host.is_none();
+        is_voting.then_some(shard)
     }
 }
 
 impl Shard {
-    fn new(standing: Standing) -> Self {
+    fn new(state: VotingState) -> Self {
         Self {
-            standing,
+            state,
             claims: BTreeMap::new(),
             expiry: BTreeSet::new(),
-            known: BTreeMap::new(),
-            awaits: None,
+            copiers: BTreeMap::new(),
+            awaited_host: None,
         }
     }
 
-    /// Whether a promise was given by a keeper that has forgotten it since.
-    fn is_outdated(&self, promised: &[ProcessId]) -> bool {
-        let forgot = |p: &ProcessId| self.known.get(&p.host).is_some_and(|i| p.incarnation < *i);
+    /// Whether a keeper that gave one of these promises has restarted since and forgotten it.
+    fn has_forgotten_promise(&self, promised: &[ProcessId]) -> bool {
+        let forgot = |p: &ProcessId| {
+            self.copiers
+                .get(&p.host)
+                .is_some_and(|i| p.incarnation < *i)
+        };
         promised.iter().any(forgot)
     }
 
     fn insert(
         &mut self,
-        slot: Slot,
+        slot: ClaimSlot,
         promised: Round,
         accepted: Option<AcceptedClaim>,
         until: Moment,
     ) {
-        let Slot { key, attempt } = slot;
+        let ClaimSlot { key, attempt } = slot;
         let old = self.claims.get(&key).map(|c| c.until);
-        // A claim never runs out earlier than was promised before.
+        // A claim never expires earlier than it was to expire before.
         let until = old.map_or(until, |old| until.max(old));
         if let Some(old) = old {
             self.expiry.remove(&(old, key.clone()));
@@ -385,7 +395,7 @@
         self.claims.insert(key, claim);
     }
 
-    /// Takes a copied claim where it is later than what is known.
+    /// Merges a copied claim if it is later than the known one.
     fn merge(&mut self, now: Moment, copy: CopiedClaim) {
         let CopiedClaim {
             slot,
@@ -395,21 +405,21 @@
         let Some(accepted) = accepted else {
             return;
         };
-        let place = (slot.attempt, Some(accepted.round.clone()));
+        let copied = (slot.attempt, Some(accepted.round.clone()));
         let known = self.claims.get(&slot.key).map(|claim| {
             let round = claim.accepted.as_ref().map(|a| a.round.clone());
             (claim.attempt, round)
         });
-        if known.is_none_or(|known| known < place) {
+        if known.is_none_or(|known| known < copied) {
             let round = accepted.round.clone();
             self.insert(slot, round, Some(accepted), now + left);
         }
     }
 
     fn expire(&mut self, now: Moment) {
-        if matches!(self.standing, Standing::Copies { until, .. } if until <= now) {
-            // Whatever was forgotten has run out everywhere by now.
-            self.standing = Standing::Serves;
+        if matches!(self.state, VotingState::Copying { until, .. } if until <= now) {
+            // Every claim that may have been forgotten has expired everywhere by now.
+            self.state = VotingState::Voting;
         }
         while self.expiry.first().is_some_and(|(until, _)| *until <= now) {
             if let Some((_, key)) = self.expiry.pop_first() {
@@ -419,12 +429,11 @@
     }
 }
 
-/// Whether a table follows another by moving at most one host of each shard.
+/// Returns whether a table replaces at most one host of each shard of another table.
 ///
-/// Failure guarded against: a shard whose keepers are replaced two at a time. It shows as a
-/// majority that knows nothing of the claims before it. A patch that fails this check must be
-/// made in two.
-pub fn moves_one(before: &Table, after: &Table) -> bool {
+/// It guards against a shard of which two keepers are replaced at once, so that a majority knows
+/// nothing of the earlier claims. A patch that fails this check must be split into two.
+pub fn moves_at_most_one(before: &KeeperTable, after: &KeeperTable) -> bool {
     let same_shape = before.is_empty() || before.len() == after.len();
     let one =
         |(b, a): (&[HostId; 3], &[HostId; 3])| a.iter().filter(|h| !b.contains(h)).count() <= 1;
--- a/crates/requests/src/ledger.rs
+++ b/crates/requests/src/ledger.rs
@@ -1,69 +1,69 @@
-//! An agent's memory of dispatches, bounded in time and memory.
+//! The dispatches that an agent remembers, bounded in time and memory.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use snipemast_core::prelude::*;
 
 use crate::answer::{AttemptStatus, Failure, Frame, Part, RefusalReason, Tag};
-use crate::kept::Kept;
+use crate::kept::KeptAnswer;
 
-/// How long an id is remembered beyond the last moment its sender may use it.
+/// How long an id is remembered after the last moment at which its sender may use it.
 ///
-/// It covers clocks that run at slightly different speeds.
-const MARGIN: Span = Span::from_secs(5);
+/// The margin covers clocks that run at slightly different speeds.
+const EXPIRY_MARGIN: Span = Span::from_secs(5);
 
-/// What a ledger may hold.
+/// The bounds of a ledger.
 #[derive(Debug, Clone, Copy)]
 pub struct LedgerLimits {
-    /// Dispatches that are remembered.
+    /// The most dispatches that are remembered.
     pub entries: usize,
-    /// Bytes of answers that are kept in all.
+    /// The most bytes of answers that are kept in total.
     pub bytes: usize,
-    /// Bytes of one answer that are kept.
+    /// The most bytes of one answer that are kept.
     pub answer_bytes: usize,
 }
 
-/// A dispatch that arrives.
+/// A dispatch that arrives at an agent.
 #[derive(Debug, Clone)]
 pub struct Arrival {
     /// The attempt.
     pub id: DispatchId,
-    /// The agent it is addressed to.
+    /// The agent process that the dispatch is addressed to.
     pub agent: ProcessId,
-    /// The time left to its deadline.
+    /// The time left until its deadline.
     pub left: Span,
-    /// How long it must be remembered at least.
+    /// The time for which the dispatch must be remembered at least.
     pub keep: Span,
-    /// Whether it is suspected of crashing backend servers.
+    /// Whether the request is suspected of crashing backend servers.
     pub suspect: bool,
 }
 
-/// What to do with a dispatch that arrived.
+/// What the agent has to do with a dispatch that arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ArrivalOutcome {
-    /// Run it: it is the first of its id.
+    /// Run the dispatch, as it is the first with its id.
     Run,
-    /// Answer from what the ledger keeps: it has run or runs.
+    /// Answer from what the ledger keeps, as the dispatch already runs or ran.
     Attach,
-    /// Refuse it: this arrival did not run.
+    /// Refuse the dispatch. This arrival did not run.
     Refused(RefusalReason),
 }
 
 /// What a reader of an answer gets next.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Read {
-    /// This part.
+pub enum ReadOutcome {
+    /// The next part of the answer.
     Part(Part),
-    /// Nothing yet.
+    /// Nothing yet, as the answer has not grown.
     Wait,
 }
 
-/// How far a reader of an answer has come.
+/// How much of an answer a reader has got.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReadPosition {
-    /// Whether it has the head.
+    /// Whether the reader has the head.
     pub head: bool,
-    /// The bytes of the body that it has.
+    /// The number of bytes of the body that the reader has.
     pub offset: u64,
 }
 
@@ -78,22 +78,24 @@
 #[derive(Debug)]
 struct Entry {
     state: State,
-    kept: Kept,
+    kept: KeptAnswer,
     until: Moment,
     suspect: bool,
-    order: Option<u64>,
+    end_order: Option<u64>,
 }
 
-/// The ids below which an entry host's dispatches are no longer told apart.
+/// The highest forgotten id of an entry host. No id up to it may run.
 type Floor = (Incarnation, u64);
 
-/// An agent's memory of dispatches.
+/// The dispatches that an agent remembers, with their answers.
 ///
-/// Failure guarded against: a dispatch that arrives twice, or after its sender gave it up. It
-/// shows as a second run of a request. Three things hold against it: an id that is known
-/// attaches or is refused; an id is remembered until its sender's deadline has passed; and
-/// forgetting an id raises its entry's floor, under which nothing runs any more, so that not
-/// even a message that was under way for hours brings a forgotten id back to life.
+/// It guards against a dispatch that arrives twice, or after its sender gave it up, which would
+/// run the request a second time. Three rules prevent that:
+///
+/// - A dispatch whose id is known attaches to the first one or is refused.
+/// - An id is remembered until its sender's deadline has passed.
+/// - Forgetting an id raises the floor of its entry, and no id up to the floor runs any more. A
+///   message that was delayed for hours can't run a forgotten id again.
 #[derive(Debug)]
 pub struct Ledger {
     own: ProcessId,
@@ -103,12 +105,12 @@
     expiry: BTreeSet<(Moment, DispatchId)>,
     floors: HashMap<HostId, Floor>,
     ended: BTreeMap<u64, DispatchId>,
-    order: u64,
+    next_end_order: u64,
     bytes: usize,
 }
 
 impl Ledger {
-    /// An empty ledger of this agent.
+    /// Creates an empty ledger of this agent.
     pub fn new(own: ProcessId, limits: LedgerLimits) -> Self {
         Self {
             own,
@@ -118,7 +120,7 @@
             expiry: BTreeSet::new(),
             floors: HashMap::new(),
             ended: BTreeMap::new(),
-            order: 0,
+            next_end_order: 0,
             bytes: 0,
         }
     }
@@ -128,13 +130,13 @@
         self.draining = true;
     }
 
-    /// Bounds what the ledger may hold from now on.
+    /// Changes the bounds of the ledger and drops answers that are over them.
     pub fn set_limits(&mut self, limits: LedgerLimits) {
         self.limits = limits;
-        self.shed();
+        self.drop_old_answers();
     }
 
-    /// Takes a dispatch that arrives.
+    /// Records a dispatch that arrives and returns what to do with it.
     pub fn arrive(&mut self, now: Moment, arrival: &Arrival) -> ArrivalOutcome {
         if arrival.agent != self.own {
             return ArrivalOutcome::Refused(RefusalReason::Incarnation);
@@ -148,18 +150,18 @@
         self.expire(now);
         if let Some(reason) = self.refusal(arrival) {
             if reason == RefusalReason::Full {
-                // A refusal binds: a second copy must not run once there is room again.
-                self.raise(&arrival.id);
+                // A refusal is final: a second copy must not run once there is room again.
+                self.raise_floor(&arrival.id);
             }
             return ArrivalOutcome::Refused(reason);
         }
-        let until = now + arrival.left.max(arrival.keep) + MARGIN;
+        let until = now + arrival.left.max(arrival.keep) + EXPIRY_MARGIN;
         self.insert(&arrival.id, State::Running, until, arrival.suspect);
         ArrivalOutcome::Run
     }
 
     fn refusal(&self, arrival: &Arrival) -> Option<RefusalReason> {
-        if self.is_below(&arrival.id) {
+        if self.is_below_floor(&arrival.id) {
             Some(RefusalReason::Expired)
         } else if self.draining {
             Some(RefusalReason::Draining)
@@ -172,11 +174,11 @@
         }
     }
 
-    /// Says what became of a dispatch, and bars it first where it never arrived.
+    /// Returns the status of a dispatch, and bars its id first if it never arrived.
     ///
-    /// Failure guarded against: a dispatch that is still under way while its sender asks. It
-    /// shows as a run after "not run" was said. The id is barred before the answer is given, so
-    /// its late arrival is refused.
+    /// It guards against a dispatch that is still under way while its sender asks, and that would
+    /// run after the agent has reported that it did not. The id is barred before the status is
+    /// returned, so the late arrival is refused.
     pub fn settle(
         &mut self,
         now: Moment,
@@ -195,55 +197,59 @@
                 State::Refused(_) => AttemptStatus::Barred,
             };
         }
-        if self.is_below(id) {
+        if self.is_below_floor(id) {
             return AttemptStatus::Forgotten;
         }
         self.expire(now);
         if self.entries.len() < self.limits.entries {
             let barred = State::Refused(RefusalReason::Barred);
-            self.insert(id, barred, now + keep + MARGIN, false);
+            self.insert(id, barred, now + keep + EXPIRY_MARGIN, false);
         } else {
-            // A full ledger bars by the floor, which takes no memory.
-            self.raise(id);
+            // A full ledger bars the id by raising the floor, which takes no memory.
+            self.raise_floor(id);
         }
         AttemptStatus::Barred
     }
 
-    /// Sets the head of a running answer.
+    /// Sets the head of the answer of a running dispatch.
     pub fn set_head(&mut self, id: &DispatchId, status: u16, headers: Vec<crate::Header>) {
-        if let Some(entry) = self.running(id) {
+        if let Some(entry) = self.running_entry(id) {
             entry.kept.set_head(status, headers);
         }
     }
 
-    /// Adds a piece to a running answer; false where it was stopped meanwhile.
+    /// Adds a piece to the answer of a running dispatch.
+    ///
+    /// Returns false if the dispatch was stopped in the meantime.
     pub fn append(&mut self, id: &DispatchId, piece: &[u8]) -> bool {
         let bound = self.limits.answer_bytes;
-        let Some(entry) = self.running(id) else {
+        let Some(entry) = self.running_entry(id) else {
             return false;
         };
         let dropped = entry.kept.append(piece, bound);
         self.bytes = self.bytes + piece.len() - dropped;
-        self.shed();
+        self.drop_old_answers();
         true
     }
 
-    /// Ends a running answer as whole.
+    /// Ends a running dispatch whose answer is whole.
     pub fn finish(&mut self, id: &DispatchId, load: LoadReport) {
         self.end(id, State::Finished(load));
     }
 
-    /// Ends a running dispatch as failed.
+    /// Ends a running dispatch that failed.
     pub fn fail(&mut self, id: &DispatchId, reason: Failure) {
         self.end(id, State::Failed(reason));
     }
 
-    /// Ends a running dispatch that surely never reached the backend server.
+    /// Ends a running dispatch that certainly never reached the backend server.
     pub fn refuse(&mut self, id: &DispatchId, reason: RefusalReason) {
         self.end(id, State::Refused(reason));
     }
 
-    /// Stops a dispatch that nobody waits for; one that never arrived is barred.
+    /// Stops a dispatch that nobody waits for, or bars its id if it never arrived.
+    ///
+    /// Returns the status of the dispatch before it was stopped.
     pub fn cancel(
         &mut self,
         now: Moment,
@@ -256,55 +262,60 @@
         settled
     }
 
-    /// Whether a dispatch is remembered.
+    /// Returns whether a dispatch is remembered.
     pub fn is_known(&self, id: &DispatchId) -> bool {
         self.entries.contains_key(id)
     }
 
-    /// Whether a dispatch runs.
+    /// Returns whether a dispatch runs.
     pub fn is_running(&self, id: &DispatchId) -> bool {
         let entry = self.entries.get(id);
         entry.is_some_and(|e| matches!(e.state, State::Running))
     }
 
-    /// Whether a suspect runs.
+    /// Returns whether a dispatch runs that is suspected of crashing backend servers.
     pub fn has_suspect(&self) -> bool {
         let runs = |e: &Entry| e.suspect && matches!(e.state, State::Running);
         self.entries.values().any(runs)
     }
 
-    /// The length of an answer's body so far.
+    /// Returns the length of an answer's body so far, in bytes.
     pub fn body_length(&self, id: &DispatchId) -> u64 {
         self.entries.get(id).map_or(0, |e| e.kept.total())
     }
 
-    /// What comes next for a reader at this place.
-    pub fn read(&self, id: &DispatchId, place: ReadPosition, limit: usize) -> Read {
+    /// Returns what a reader at this position gets next, with at most `limit` bytes of the body.
+    pub fn read(&self, id: &DispatchId, progress: ReadPosition, limit: usize) -> ReadOutcome {
         let Some(entry) = self.entries.get(id) else {
             let reason = RefusalReason::Unknown;
-            return Read::Part(Part::Refused { reason });
+            return ReadOutcome::Part(Part::Refused { reason });
         };
-        if let (false, Some((status, headers))) = (place.head, entry.kept.head()) {
+        if let (false, Some((status, headers))) = (progress.head, entry.kept.head()) {
             let (status, headers) = (*status, headers.clone());
-            return Read::Part(Part::Head { status, headers });
+            return ReadOutcome::Part(Part::Head { status, headers });
         }
-        match entry.kept.read(place.offset, limit) {
-            Some([]) => ending(entry),
-            Some(bytes) => Read::Part(Part::Data {
-                offset: place.offset,
+        match entry.kept.read(progress.offset, limit) {
+            Some([]) => read_end(entry),
+            Some(bytes) => ReadOutcome::Part(Part::Data {
+                offset: progress.offset,
                 bytes: bytes.to_vec(),
             }),
-            None => Read::Part(Part::Failed {
+            None => ReadOutcome::Part(Part::Failed {
                 reason: Failure::Dropped,
             }),
         }
     }
 
-    /// What comes next for a reader, as a frame.
-    pub fn next_frame(&self, id: &DispatchId, place: ReadPosition, limit: usize) -> Option<Frame> {
-        match self.read(id, place, limit) {
-            Read::Part(part) => Some(Frame::new(Tag::for_dispatch(id), part)),
-            Read::Wait => None,
+    /// Returns what a reader at this position gets next as a frame, or nothing if it has to wait.
+    pub fn next_frame(
+        &self,
+        id: &DispatchId,
+        progress: ReadPosition,
+        limit: usize,
+    ) -> Option<Frame> {
+        match self.read(id, progress, limit) {
+            ReadOutcome::Part(part) => Some(Frame::new(Tag::for_dispatch(id), part)),
+            ReadOutcome::Wait => None,
         }
     }
 
@@ -315,48 +326,49 @@
                 return;
             }
             self.expiry.pop_first();
-            // A run that outlives its deadline is stopped by its shell; until then it is known.
+            // The caller of the ledger stops a run that outlives its deadline. Until then the
+            // dispatch must stay known.
             if self.is_running(&id) {
-                self.expiry.insert((now + MARGIN, id));
+                self.expiry.insert((now + EXPIRY_MARGIN, id));
                 continue;
             }
             self.forget(&id);
         }
     }
 
-    /// How many dispatches are remembered.
+    /// Returns the number of dispatches that are remembered.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Returns whether no dispatch is remembered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// How many dispatches run.
+    /// Returns the number of dispatches that run.
     pub fn count_running(&self) -> usize {
         let runs = |e: &&Entry| matches!(e.state, State::Running);
         self.entries.values().filter(runs).count()
     }
 
-    /// Bytes of answers that are kept.
+    /// Returns the number of bytes of answers that are kept.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    fn running(&mut self, id: &DispatchId) -> Option<&mut Entry> {
+    fn running_entry(&mut self, id: &DispatchId) -> Option<&mut Entry> {
         let entry = self.entries.get_mut(id)?;
         matches!(entry.state, State::Running).then_some(entry)
     }
 
     fn end(&mut self, id: &DispatchId, state: State) {
-        let order = self.order;
-        if let Some(entry) = self.running(id) {
+        let end_order = self.next_end_order;
+        if let Some(entry) = self.running_entry(id) {
             entry.state = state;
-            entry.order = Some(order);
-            self.order += 1;
-            self.ended.insert(order, id.clone());
+            entry.end_order = Some(end_order);
+            self.next_end_order += 1;
+            self.ended.insert(end_order, id.clone());
         }
     }
 
@@ -364,10 +376,10 @@
         self.expiry.insert((until, id.clone()));
         let entry = Entry {
             state,
-            kept: Kept::default(),
+            kept: KeptAnswer::default(),
             until,
             suspect,
-            order: None,
+            end_order: None,
         };
         self.entries.insert(id.clone(), entry);
     }
@@ -376,31 +388,31 @@
         if let Some(entry) = self.entries.remove(id) {
             self.bytes -= entry.kept.size();
             self.expiry.remove(&(entry.until, id.clone()));
-            if let Some(order) = entry.order {
-                self.ended.remove(&order);
+            if let Some(end_order) = entry.end_order {
+                self.ended.remove(&end_order);
             }
-            self.raise(id);
+            self.raise_floor(id);
         }
     }
 
-    fn is_below(&self, id: &DispatchId) -> bool {
-        let place = (id.entry.incarnation, id.counter);
+    fn is_below_floor(&self, id: &DispatchId) -> bool {
+        let id_order = (id.entry.incarnation, id.counter);
         let floor = self.floors.get(&id.entry.host);
-        floor.is_some_and(|floor| place <= *floor)
+        floor.is_some_and(|floor| id_order <= *floor)
     }
 
-    fn raise(&mut self, id: &DispatchId) {
-        let place = (id.entry.incarnation, id.counter);
+    fn raise_floor(&mut self, id: &DispatchId) {
+        let id_order = (id.entry.incarnation, id.counter);
         match self.floors.get_mut(&id.entry.host) {
-            Some(floor) => *floor = place.max(*floor),
+            Some(floor) => *floor = id_order.max(*floor),
             None => {
-                self.floors.insert(id.entry.host.clone(), place);
+                self.floors.insert(id.entry.host.clone(), id_order);
             }
         }
     }
 
-    /// Drops the oldest finished answers while over the bound; their ids stay.
-    fn shed(&mut self) {
+    /// Drops the oldest ended answers while the ledger is over its bound. Their ids stay known.
+    fn drop_old_answers(&mut self) {
         while self.bytes > self.limits.bytes {
             let Some((_, id)) = self.ended.pop_first() else {
                 return;
@@ -412,16 +424,16 @@
     }
 }
 
-/// What comes behind the last byte.
-fn ending(entry: &Entry) -> Read {
+/// Returns what a reader gets after the last byte.
+fn read_end(entry: &Entry) -> ReadOutcome {
     match entry.state {
-        State::Running => Read::Wait,
-        State::Finished(load) => Read::Part(Part::End {
+        State::Running => ReadOutcome::Wait,
+        State::Finished(load) => ReadOutcome::Part(Part::End {
             total: entry.kept.total(),
             checksum: entry.kept.checksum(),
             load,
         }),
-        State::Failed(reason) => Read::Part(Part::Failed { reason }),
-        State::Refused(reason) => Read::Part(Part::Refused { reason }),
+        State::Failed(reason) => ReadOutcome::Part(Part::Failed { reason }),
+        State::Refused(reason) => ReadOutcome::Part(Part::Refused { reason }),
     }
 }
--- a/crates/requests/src/lib.rs
+++ b/crates/requests/src/lib.rs
@@ -1,17 +1,21 @@
-//! Decisions about requests: each answer once and whole, without sockets or clocks.
+//! State machines that dispatch requests, so that each caller gets its answer once and whole.
 //!
-//! - [`answer`]: the frames of an answer, and the agent's word on an attempt.
-//! - [`ledger`]: an agent's memory of dispatches, bounded in time and memory.
+//! An entry dispatches a request to the agent of a backend server. The machines here decide what
+//! to do when a connection, a process or a server fails on the way. They use no sockets and no
+//! clocks: their caller passes in messages and the current time, and sends what they return.
+//!
+//! - [`answer`]: the frames of an answer, and the states that an agent reports for an attempt.
+//! - [`ledger`]: the dispatches that an agent remembers, bounded in time and memory.
 //! - [`kept`]: the part of one answer that an agent keeps for resuming.
-//! - [`assembler`]: puts an answer together again, by offset and checksum.
-//! - [`request`]: one request at its entry: dispatch, settle, resume, retry.
-//! - [`plan`]: what a request may do, and what it asks its shell to do.
-//! - [`verdict`]: how a request ended where its answer is not whole.
-//! - [`claim`]: what claimers and keepers of keys say to each other.
+//! - [`assembler`]: puts an answer together from its frames, by offset and checksum.
+//! - [`request`]: the state machine of one request at its entry.
+//! - [`plan`]: the limits of a request, and the inputs and outputs of its state machine.
+//! - [`verdict`]: how a request ended whose answer is not whole.
+//! - [`claim`]: the messages between claimers and keepers of idempotency keys.
 //! - [`claimer`]: claims one attempt of a key at its three keepers.
-//! - [`keeper`]: one of the three that remember which attempt a key stands for.
-//! - [`suspicion`]: which requests are suspected of crashing backend servers.
-//! - [`budget`]: the share of traffic that may be retries.
+//! - [`keeper`]: one of the three processes that remember the attempt claimed for a key.
+//! - [`suspicion`]: the requests that are suspected of crashing backend servers.
+//! - [`budget`]: bounds the share of traffic that may be retries.
 
 pub mod answer;
 pub mod assembler;
@@ -27,13 +31,13 @@
 pub mod verdict;
 
 pub use answer::{AttemptStatus, Failure, Frame, Header, Part, RefusalReason, Tag};
-pub use assembler::{Assembled, Assembler, Piece};
+pub use assembler::{Assembler, BodyCheck, Piece};
 pub use budget::RetryBudget;
 pub use claim::{ClaimKey, ClaimValue, Fingerprint, KeeperAnswer, KeeperAsk};
 pub use claimer::{ClaimStep, Claimer};
-pub use keeper::{moves_one, Keeper, Table};
-pub use kept::Kept;
-pub use ledger::{Arrival, ArrivalOutcome, Ledger, LedgerLimits, Read};
+pub use keeper::{moves_at_most_one, Keeper, KeeperTable};
+pub use kept::KeptAnswer;
+pub use ledger::{Arrival, ArrivalOutcome, Ledger, LedgerLimits, ReadOutcome};
 pub use plan::{ClaimResult, Input, Link, Loss, Output, Plan, Target};
 pub use request::{Outputs, RequestMachine};
 pub use suspicion::{Crash, Suspicions};
--- a/crates/requests/src/plan.rs
+++ b/crates/requests/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a request may do, and what it asks its shell to do.
+//! The limits of a request, and the inputs and outputs of its state machine.
 
 use snipemast_core::data;
 use snipemast_core::prelude::*;
@@ -7,117 +7,119 @@
 use crate::suspicion::Crash;
 use crate::verdict::Verdict;
 
-/// What one request may do.
+/// What one request may do, and for how long.
 #[derive(Debug, Clone, Copy)]
 pub struct Plan {
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether its body goes on to the caller piece by piece.
+    /// Whether the body is forwarded to the caller piece by piece.
     pub stream: bool,
-    /// Whether its key is claimed before each dispatch.
+    /// Whether the request's key is claimed before each dispatch.
     pub keyed: bool,
-    /// When the caller no longer waits.
+    /// The moment after which the caller no longer waits.
     pub deadline: Moment,
-    /// How often it is dispatched at most.
+    /// The most dispatches of the request.
     pub max_attempts: u32,
-    /// How long a connection may be silent.
+    /// The longest time that a connection may be silent.
     pub max_silence: Span,
-    /// The longest body that is held for a caller that doesn't stream.
+    /// The longest body, in bytes, that is buffered for a caller that doesn't stream.
     pub max_body: usize,
 }
 
 data! {
-    /// Where an attempt goes.
+    /// An attempt and the agent that it is dispatched to.
     #[derive(PartialOrd, Ord, Hash)]
     pub struct Target {
         /// The attempt.
         pub id: DispatchId,
-        /// The agent, of one incarnation.
+        /// The agent process, in one incarnation.
         pub agent: ProcessId,
     }
 }
 
-/// The number of a connection or call of one request; answers of earlier ones are passed over.
+/// The number of a connection or call of one request.
+///
+/// It grows with each connection, so that answers on earlier ones can be ignored.
 pub type Link = u32;
 
 /// How a connection or call was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Loss {
-    /// It was refused before a byte was sent.
+    /// It was refused before a byte was sent, so the other side did not get the message.
     Unsent,
-    /// It broke; whether the other side got the message is not known.
+    /// It broke, so it is not known whether the other side got the message.
     Broken,
 }
 
-/// What became of the claim of a key.
+/// The result of claiming a key for an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimResult {
-    /// This attempt is the one that may run.
+    /// This attempt holds the claim and may run.
     Won,
-    /// Another attempt of the key goes first; its answer is the answer.
+    /// Another attempt holds the claim, and its answer is the key's answer.
     Held(Target),
-    /// The key stands for another body.
+    /// The key was claimed for a request with another body.
     Mismatch,
-    /// No majority of its keepers answered.
+    /// No majority of the key's keepers answered.
     Undecided,
 }
 
-/// What a request is told.
+/// An event that the state machine of a request handles.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
-    /// Begin.
+    /// The request begins.
     Start,
-    /// A backend server was chosen.
+    /// A backend server was chosen for an attempt.
     Chosen(Target),
-    /// None can take it.
+    /// No backend server can take the request.
     NoServer,
-    /// It crashed too many backend servers to be run again.
+    /// The request crashed too many backend servers to be run again.
     Quarantined,
-    /// It is suspected of crashing backend servers, and runs elsewhere now.
+    /// The request is suspected of crashing backend servers and already runs elsewhere.
     SuspectRuns,
-    /// The claim of the key was decided, for the attempt with this number.
+    /// The claim of the key was decided for the attempt with this number.
     Claimed(ClaimResult, u64),
-    /// A frame came.
+    /// A frame arrived on a connection.
     Frame(Link, Frame),
     /// A connection or call was lost.
     Lost(Link, Loss),
-    /// The agent settled the attempt.
+    /// The agent reported the status of the attempt.
     Settled(Link, DispatchId, AttemptStatus),
-    /// The moment that was asked for has come.
+    /// The moment that the machine asked to be woken at has come.
     Tick,
-    /// The caller left.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// What a request asks its shell to do.
+/// An action that the state machine of a request asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Choose a backend server, not one of those already tried.
+    /// Choose a backend server that was not tried yet.
     Choose,
-    /// Claim the key for an attempt; the number counts the key's attempts.
+    /// Claim the key for an attempt. The number counts the attempts of the key.
     Claim(Target, u64),
     /// Send the request on a connection.
     Dispatch(Link, Target),
-    /// Ask on a fresh connection what became of the attempt.
+    /// Ask the agent on a new connection for the status of the attempt.
     Settle(Link, Target),
-    /// Read the answer from an offset on a fresh connection.
+    /// Read the answer from an offset of its body on a new connection.
     Resume(Link, Target, u64),
-    /// Tell the agent that nobody waits for the attempt.
+    /// Cancel the attempt at its agent, as nobody waits for it.
     Cancel(Target),
-    /// Bar the attempt in the background, should it never have arrived; let it run otherwise.
+    /// Bar the attempt in the background if it never arrived. If it did, let it run.
     Bar(Target),
-    /// Drop the pooled connections to the agent: one of them went silent.
+    /// Close the pooled connections to the agent, as one of them went silent.
     Retire(Target),
-    /// The attempt was in flight at this crash.
+    /// Record that the attempt was in flight at this crash.
     Crashed(Crash),
-    /// Give the caller the head of the answer.
+    /// Send the caller the head of the answer.
     Head(u16, Vec<Header>),
-    /// Give the caller the next bytes of the body.
+    /// Send the caller the next bytes of the body.
     Data(Vec<u8>),
-    /// The answer is whole; the load is the backend server's.
+    /// End the request, whose answer is whole. The load is that of the backend server.
     End(LoadReport),
-    /// The answer is not whole.
+    /// End the request, whose answer is not whole.
     Fail(Verdict),
-    /// A frame for another dispatch or offset was dropped.
+    /// Record that a frame for another dispatch or offset was dropped.
     Dropped,
 }
--- a/crates/requests/src/suspicion.rs
+++ b/crates/requests/src/suspicion.rs
@@ -1,4 +1,4 @@
-//! Which requests are suspected of crashing backend servers.
+//! The requests that are suspected of crashing backend servers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,115 +7,115 @@
 
 use crate::claim::Fingerprint;
 
-/// The crashes after which a request is held back.
-const QUARANTINE: usize = 2;
-/// The facts of one source that are kept; older ones fall out.
-const FACTS: usize = 1_024;
-/// The sources that are kept.
-const SOURCES: usize = 1_024;
+/// The number of crashes after which a request is quarantined.
+const QUARANTINE_CRASHES: usize = 2;
+/// The most facts of one source that are kept. Older ones are dropped.
+const MAX_FACTS: usize = 1_024;
+/// The most sources that are kept.
+const MAX_SOURCES: usize = 1_024;
 
 data! {
-    /// One death of one backend server.
+    /// One crash of one backend server.
     #[derive(PartialOrd, Ord, Hash)]
     pub struct Crash {
-        /// The agent that saw it.
+        /// The agent that saw the crash.
         pub agent: ProcessId,
-        /// The number that the agent gave it.
+        /// The number that the agent gave the crash.
         pub number: u64,
     }
 
-    /// What one entry knows of one request.
+    /// A fact about one request, which one entry found.
     #[derive(PartialOrd, Ord)]
     pub enum Fact {
-        /// It was in flight at a crash.
+        /// The request was in flight at a crash.
         Crashed {
-            /// The request.
+            /// The fingerprint of the request.
             fingerprint: Fingerprint,
             /// The crash.
             crash: Crash,
         },
-        /// It finished, or an operator lifted it: these crashes are not its fault.
+        /// The request finished or an operator cleared it, so it did not cause these crashes.
         Cleared {
-            /// The request.
+            /// The fingerprint of the request.
             fingerprint: Fingerprint,
             /// The crashes.
             crashes: BTreeSet<Crash>,
         },
     }
 
-    /// A fact with its place among those of its source.
+    /// A fact with its source and its number there.
     pub struct SuspicionEntry {
-        /// The entry that found it.
+        /// The entry that found the fact.
         pub source: ProcessId,
-        /// Its number among the source's facts.
+        /// The number of the fact among those of the source.
         pub number: u64,
-        /// How long it still holds.
+        /// The time left until the fact expires.
         pub left: Span,
         /// The fact.
         pub fact: Fact,
     }
 
-    /// How many facts of each source are known.
+    /// The facts that an entry knows, by the highest number of each source.
     #[derive(Default)]
     pub struct KnownFacts {
-        /// The highest number of each.
+        /// The highest known number of each source.
         pub sources: BTreeMap<ProcessId, u64>,
     }
 }
 
-/// What a request is, as far as is known.
+/// Whether a request is suspected of crashing backend servers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SuspicionState {
-    /// Nothing speaks against it.
+    /// The request is not suspected.
     Clear,
-    /// It was in flight at this crash.
+    /// The request was in flight at this crash.
     Suspect(Crash),
-    /// It was in flight at two crashes, once of them alone.
+    /// The request was in flight at two crashes, at one of them alone.
     Quarantined,
 }
 
-/// The suspicions of one entry, merged with those of the others.
+/// The facts of one entry, merged with those of the other entries.
 ///
-/// Facts only grow, each source numbers its own, and they expire, so merging needs no order:
-/// any two entries that have exchanged what the other lacked agree.
+/// Facts are only added, each source numbers its own, and they expire. Merging therefore needs no
+/// order: two entries agree once they have exchanged the facts that the other lacked.
 #[derive(Debug)]
 pub struct Suspicions {
     own: ProcessId,
-    hold: Span,
+    retention: Span,
     facts: BTreeMap<ProcessId, BTreeMap<u64, (Moment, Fact)>>,
-    next: u64,
+    next_number: u64,
 }
 
 impl Suspicions {
-    /// No suspicions yet; a fact holds for this long.
-    pub fn new(own: ProcessId, hold: Span) -> Self {
+    /// Creates an empty set of facts. Each fact expires after `retention`.
+    pub fn new(own: ProcessId, retention: Span) -> Self {
         Self {
             own,
-            hold,
+            retention,
             facts: BTreeMap::new(),
-            next: 1,
+            next_number: 1,
         }
     }
 
-    /// Takes note that a request was in flight at a crash.
+    /// Records that a request was in flight at a crash.
     pub fn record_crash(&mut self, now: Moment, fingerprint: Fingerprint, crash: Crash) {
         let fact = Fact::Crashed { fingerprint, crash };
-        let until = now + self.hold;
-        if !self.all(now).any(|known| *known == fact) {
-            self.add(until, fact);
+        let until = now + self.retention;
+        if !self.live_facts(now).any(|known| *known == fact) {
+            self.add_own(until, fact);
         }
     }
 
-    /// Takes note that a request finished: it did not crash what it was suspected of.
+    /// Records that a request finished, which clears it of the crash that it was suspected of.
     pub fn record_completion(&mut self, now: Moment, fingerprint: Fingerprint) {
         if let SuspicionState::Suspect(_) = self.state(now, fingerprint) {
             self.lift(now, fingerprint);
         }
     }
 
-    /// Clears a request of everything known so far; true where there was something.
+    /// Clears a request of all crashes known so far. Returns whether it was suspected of any.
     pub fn lift(&mut self, now: Moment, fingerprint: Fingerprint) -> bool {
-        let crashes = self.open(now, fingerprint);
+        let crashes = self.open_crashes(now, fingerprint);
         if crashes.is_empty() {
             return false;
         }
@@ -123,37 +123,37 @@
             fingerprint,
             crashes,
         };
-        self.add(now + self.hold, fact);
+        self.add_own(now + self.retention, fact);
         true
     }
 
-    /// What a request is.
+    /// Returns whether a request is suspected.
     pub fn state(&self, now: Moment, fingerprint: Fingerprint) -> SuspicionState {
-        let open = self.open(now, fingerprint);
+        let open = self.open_crashes(now, fingerprint);
         match open.first() {
             None => SuspicionState::Clear,
-            Some(_) if open.len() >= QUARANTINE => SuspicionState::Quarantined,
+            Some(_) if open.len() >= QUARANTINE_CRASHES => SuspicionState::Quarantined,
             Some(crash) => SuspicionState::Suspect(crash.clone()),
         }
     }
 
-    /// Every request under suspicion, with its crashes.
+    /// Returns every request that is suspected or quarantined, with its crashes.
     pub fn list(&self, now: Moment) -> BTreeMap<Fingerprint, BTreeSet<Crash>> {
-        let all = self.all(now).filter_map(|fact| match fact {
+        let all = self.live_facts(now).filter_map(|fact| match fact {
             Fact::Crashed { fingerprint, .. } => Some(*fingerprint),
             Fact::Cleared { .. } => None,
         });
         let all: BTreeSet<_> = all.collect();
-        let open = all.into_iter().map(|f| (f, self.open(now, f)));
+        let open = all.into_iter().map(|f| (f, self.open_crashes(now, f)));
         open.filter(|(_, crashes)| !crashes.is_empty()).collect()
     }
 
-    /// Whether nothing is known: the common case, which must cost nothing.
+    /// Returns whether no fact is known. This is the common case, so it must be cheap.
     pub fn is_empty(&self) -> bool {
         self.facts.is_empty()
     }
 
-    /// How many facts of each source are known.
+    /// Returns the highest known number of each source.
     pub fn known_facts(&self) -> KnownFacts {
         let last = |(source, facts): (&ProcessId, &BTreeMap<u64, _>)| {
             let number = facts.last_key_value().map_or(0, |(n, _)| *n);
@@ -163,7 +163,7 @@
         KnownFacts { sources }
     }
 
-    /// What another entry lacks.
+    /// Returns the facts that another entry lacks.
     pub fn delta(&self, now: Moment, known: &KnownFacts) -> Vec<SuspicionEntry> {
         let mut delta = Vec::new();
         for (source, facts) in &self.facts {
@@ -181,24 +181,24 @@
         delta
     }
 
-    /// Takes what another entry knows.
+    /// Merges the facts of another entry.
     pub fn merge(&mut self, now: Moment, delta: Vec<SuspicionEntry>) {
         for entry in delta {
             if entry.source == self.own {
                 continue;
             }
-            let full = self.facts.len() >= SOURCES && !self.facts.contains_key(&entry.source);
+            let full = self.facts.len() >= MAX_SOURCES && !self.facts.contains_key(&entry.source);
             if !full {
-                let until = now + entry.left.min(self.hold);
-                self.put(entry.source, entry.number, until, entry.fact);
+                let until = now + entry.left.min(self.retention);
+                self.store(entry.source, entry.number, until, entry.fact);
             }
         }
     }
 
-    /// Forgets what has expired.
+    /// Forgets the facts that have expired.
     pub fn expire(&mut self, now: Moment) {
         for facts in self.facts.values_mut() {
-            // The last fact stays, so that the numbers known of a source don't fall back.
+            // The last fact stays, so that the highest known number of a source doesn't decrease.
             let last = facts.last_key_value().map(|(n, _)| *n);
             facts.retain(|n, (until, _)| *until > now || Some(*n) == last);
         }
@@ -206,10 +206,10 @@
             .retain(|_, facts| facts.values().any(|(until, _)| *until > now));
     }
 
-    fn open(&self, now: Moment, fingerprint: Fingerprint) -> BTreeSet<Crash> {
+    fn open_crashes(&self, now: Moment, fingerprint: Fingerprint) -> BTreeSet<Crash> {
         let mut open = BTreeSet::new();
         let mut cleared = BTreeSet::new();
-        for fact in self.all(now) {
+        for fact in self.live_facts(now) {
             match fact {
                 Fact::Crashed {
                     fingerprint: f,
@@ -227,23 +227,23 @@
         open.difference(&cleared).cloned().collect()
     }
 
-    fn all(&self, now: Moment) -> impl Iterator<Item = &Fact> {
+    fn live_facts(&self, now: Moment) -> impl Iterator<Item = &Fact> {
         let facts = self.facts.values().flat_map(|facts| facts.values());
         facts
             .filter(move |(until, _)| *until > now)
             .map(|(_, fact)| fact)
     }
 
-    fn add(&mut self, until: Moment, fact: Fact) {
-        let number = self.next;
-        self.next += 1;
-        self.put(self.own.clone(), number, until, fact);
+    fn add_own(&mut self, until: Moment, fact: Fact) {
+        let number = self.next_number;
+        self.next_number += 1;
+        self.store(self.own.clone(), number, until, fact);
     }
 
-    fn put(&mut self, source: ProcessId, number: u64, until: Moment, fact: Fact) {
+    fn store(&mut self, source: ProcessId, number: u64, until: Moment, fact: Fact) {
         let facts = self.facts.entry(source).or_default();
         facts.entry(number).or_insert((until, fact));
-        while facts.len() > FACTS {
+        while facts.len() > MAX_FACTS {
             facts.pop_first();
         }
     }
--- a/crates/requests/src/verdict.rs
+++ b/crates/requests/src/verdict.rs
@@ -1,4 +1,4 @@
-//! How a request ended where its answer is not whole.
+//! How a request ended whose answer is not whole.
 
 use std::fmt;
 
@@ -8,47 +8,47 @@
 use crate::answer::{Failure, RefusalReason};
 
 data! {
-    /// How a request ended, and what its caller may conclude.
+    /// Why a request has no whole answer, and whether it ran.
     #[derive(Copy, Hash)]
     pub struct Verdict {
-        /// What happened.
+        /// Why the answer is not whole.
         pub reason: Reason,
-        /// Whether it ran.
+        /// Whether the request ran on a backend server.
         pub outcome: Outcome,
     }
 
-    /// What kept an answer from being whole.
+    /// Why an answer is not whole.
     #[derive(Copy, Hash)]
     pub enum Reason {
-        /// No backend server can take it.
+        /// No backend server can take the request.
         NoServer,
-        /// The last agent refused it.
+        /// The agent of the last attempt refused the request.
         Refused(RefusalReason),
-        /// The agent can't be asked any more.
+        /// The agent of the attempt can't be reached any more.
         Lost,
         /// The backend server failed.
         Failed(Failure),
         /// The bytes that arrived are not the ones that were sent.
         Corrupt,
-        /// The answer is longer than an entry holds for a caller that doesn't stream.
+        /// The answer is longer than what an entry buffers for a caller that doesn't stream.
         TooLong,
         /// The deadline passed.
         Late,
-        /// The caller left.
+        /// The caller disconnected.
         CallerGone,
         /// The key was used with another body.
         KeyReused,
         /// No majority of the key's keepers can be reached.
         KeyUnsure,
-        /// The request crashed backend servers and is held back.
+        /// The request crashed backend servers and is quarantined.
         Quarantined,
-        /// It is suspected of crashing backend servers, and runs elsewhere now.
+        /// The request is suspected of crashing backend servers and already runs elsewhere.
         SuspectRuns,
     }
 }
 
 impl Verdict {
-    /// A verdict.
+    /// Creates a verdict.
     pub const fn new(reason: Reason, outcome: Outcome) -> Self {
         Self { reason, outcome }
     }
@@ -61,14 +61,20 @@
             Self::Refused(reason) => write!(f, "{reason}"),
             Self::Lost => f.write_str("the agent of the backend server can't be reached"),
             Self::Failed(reason) => write!(f, "{reason}"),
-            Self::Corrupt => f.write_str("the answer was damaged on its way"),
-            Self::TooLong => f.write_str("the answer is too long to be held; stream it"),
+            Self::Corrupt => f.write_str("the answer was damaged in transit"),
+            Self::TooLong => {
+                f.write_str("the answer is too long to be buffered; request it as a stream")
+            }
             Self::Late => f.write_str("the deadline passed"),
-            Self::CallerGone => f.write_str("the caller left"),
+            Self::CallerGone => f.write_str("the caller disconnected"),
             Self::KeyReused => f.write_str("the key was used with another body"),
             Self::KeyUnsure => f.write_str("no majority of the key's keepers can be reached"),
-            Self::SuspectRuns => f.write_str("a suspected request runs once at a time"),
-            Self::Quarantined => f.write_str("the request crashed backend servers"),
+            Self::SuspectRuns => f.write_str(
+                "the request is suspected of crashing backend servers and already runs elsewhere",
+            ),
+            Self::Quarantined => {
+                f.write_str("the request is quarantined because it crashed backend servers")
+            }
         }
     }
 }
--- a/crates/requests/tests/answers.rs
+++ b/crates/requests/tests/answers.rs
@@ -1,11 +1,11 @@
-//! Answers: whole or told apart from whole, and kept within their bounds.
+//! Answers are whole or known not to be, and what is kept of them stays within bounds.
 
 use quickcheck::{Gen, QuickCheck, Testable};
 
 use snipemast_core::prelude::*;
 use snipemast_requests::ledger::ReadPosition;
 use snipemast_requests::{
-    Arrival, ArrivalOutcome, Assembled, Assembler, AttemptStatus, Failure, Frame, Input, Ledger,
+    Arrival, ArrivalOutcome, Assembler, AttemptStatus, BodyCheck, Failure, Frame, Input, Ledger,
     LedgerLimits, Output, Outputs, Part, Piece, Plan, Reason, RequestMachine, Tag, Target,
 };
 
@@ -87,8 +87,8 @@
     }
 }
 
-// Something on the way flips a digit of a retention. Length and framing are right; only the
-// checksum tells. What has reached the caller can't be taken back, so the stream ends in an error.
+// A network device on the way changes a byte of the body, and only the checksum shows it. The
+// caller already has the bytes, so the stream must end in an error.
 #[test]
 fn damaged_stream() {
     let (mut machine, tag) = machine(true);
@@ -98,7 +98,8 @@
     assert!(matches!(out.back(), Some(Output::Fail(v)) if v.reason == Reason::Corrupt));
 }
 
-// The same before anything has reached the caller: the kept answer is read again.
+// A byte of the body is changed on the way before anything was sent to the caller. The kept
+// answer must be read again.
 #[test]
 fn damaged_body() {
     let (mut machine, tag) = machine(false);
@@ -108,7 +109,8 @@
     assert!(matches!(out.back(), Some(Output::Resume(_, _, 0))));
 }
 
-// A caller that doesn't stream asks for a book: the entry must not hold it whole.
+// A caller that doesn't stream asks for a very long answer. An entry that buffered all of it would
+// run out of memory.
 #[test]
 fn long_body() {
     let (mut machine, tag) = machine(false);
@@ -117,7 +119,8 @@
     assert!(matches!(out.back(), Some(Output::Fail(v)) if v.reason == Reason::TooLong));
 }
 
-// Finished answers fill the memory: the oldest go first, and their ids stay known.
+// Finished answers fill the memory of the ledger. The oldest ones must be dropped first, and their
+// ids must stay known, or the dispatches could run again.
 #[test]
 fn answers_shed() {
     let mut ledger = ledger(100, 1_000);
@@ -135,7 +138,8 @@
     assert!(matches!(whole.map(|f| f.part), Some(Part::Data { bytes, .. }) if bytes.len() == 100));
 }
 
-// Whatever is asked of a ledger in whatever order, an id runs once, and a barred one never.
+// Dispatches arrive twice, late or after they were settled, in any order. An id must run at most
+// once, and a barred one never.
 #[test]
 fn one_run() {
     fn holds(steps: Vec<(u8, u8, u16)>) -> bool {
@@ -168,7 +172,7 @@
     check(holds as fn(Vec<(u8, u8, u16)>) -> bool);
 }
 
-// Pieces in any order, cut anywhere and doubled, never make a wrong body look whole.
+// Pieces arrive in any order, cut anywhere and twice. A wrong body must never look whole.
 #[test]
 fn any_pieces() {
     fn holds(body: Vec<u8>, cuts: Vec<(u8, u8)>) -> bool {
@@ -177,18 +181,18 @@
         for (from, length) in cuts {
             let from = usize::from(from).min(body.len());
             let to = (from + usize::from(length)).min(body.len());
-            if let Piece::Next(bytes) = assembler.take(from as u64, body[from..to].to_vec()) {
+            if let Piece::Next(bytes) = assembler.add_piece(from as u64, body[from..to].to_vec()) {
                 taken.extend(bytes);
             }
         }
         let checksum = crc32fast::hash(&body);
-        let whole = assembler.finish(body.len() as u64, checksum) == Assembled::Whole;
+        let whole = assembler.finish(body.len() as u64, checksum) == BodyCheck::Whole;
         body.starts_with(&taken) && whole == (taken == body)
     }
     check(holds as fn(Vec<u8>, Vec<(u8, u8)>) -> bool);
 }
 
-/// Checks a property over the same cases at every run.
+/// Checks a property over the same cases in every run.
 fn check(property: impl Testable) {
     let gen = Gen::from_size_and_seed(100, 7);
     QuickCheck::new().rng(gen).tests(500).quickcheck(property);
--- a/crates/requests/tests/keys.rs
+++ b/crates/requests/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Claims of keys: one value for each attempt, whatever is lost, late or restarted.
+//! Claims of keys choose one value for each attempt, whatever is lost, late or restarted.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,14 +6,14 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
 
 use snipemast_core::prelude::*;
-use snipemast_requests::claim::{KeepersMark, Round, Slot};
+use snipemast_requests::claim::{ClaimSlot, KeepersHash, Round};
 use snipemast_requests::{
-    moves_one, ClaimKey, ClaimResult, ClaimStep, ClaimValue, Claimer, Fingerprint, Keeper,
-    KeeperAnswer, KeeperAsk, Table, Target,
+    moves_at_most_one, ClaimKey, ClaimResult, ClaimStep, ClaimValue, Claimer, Fingerprint, Keeper,
+    KeeperAnswer, KeeperAsk, KeeperTable, Target,
 };
 
 const HOLD: Span = Span::from_secs(600);
-/// A moment at which keepers that started with the clock have been up for long.
+/// A moment at which every claim that an earlier incarnation forgot has expired.
 const NOW: Moment = Moment::from_millis(600_000);
 
 fn hosts() -> Vec<HostId> {
@@ -25,7 +25,7 @@
     ProcessId::new(hosts()[host].clone(), Incarnation::new(incarnation))
 }
 
-fn table(of: [usize; 3]) -> Table {
+fn table(of: [usize; 3]) -> KeeperTable {
     vec![of.map(|n| hosts()[n].clone())]
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// A message between a claimer and a keeper, or what a keeper does by itself.
+/// A message between a claimer and a keeper, or the start of a claimer's round.
 #[derive(Debug, Clone)]
 enum Event {
     Ask(usize, usize, Round, KeeperAsk),
@@ -56,7 +56,7 @@
     Begin(usize),
 }
 
-/// Choices that a schedule makes, one by one.
+/// Random choices of what happens next, one for each step of a race.
 #[derive(Debug, Clone)]
 struct Schedule(Vec<u8>);
 
@@ -70,10 +70,11 @@
 struct Race {
     keepers: Vec<Keeper>,
     incarnations: [u64; 4],
-    /// The table in force, and which keepers have it already.
+    /// The current table.
     table: [usize; 3],
+    /// Whether each keeper has the current table.
     applied: [bool; 4],
-    /// The hosts that each claimer asks.
+    /// The keepers that each claimer asks.
     asks: Vec<[usize; 3]>,
     claimers: Vec<Claimer>,
     events: Vec<Event>,
@@ -107,9 +108,9 @@
         for choice in &schedule.0 {
             match choice {
                 0..=15 => self.restart(usize::from(choice % 4)),
-                16..=19 => self.shift(),
+                16..=19 => self.move_shard(),
                 56..=71 => self.apply(usize::from(choice % 4)),
-                72..=75 => self.join(),
+                72..=75 => self.add_claimer(),
                 20..=55 => self.copy(usize::from(choice % 4)),
                 _ if self.events.is_empty() => {}
                 _ => {
@@ -120,18 +121,18 @@
                     if doubled {
                         self.events.push(event.clone());
                     }
-                    self.happen(event, lost);
+                    self.handle(event, lost);
                 }
             }
         }
         !self.clash
     }
 
-    fn happen(&mut self, event: Event, lost: bool) {
+    fn handle(&mut self, event: Event, lost: bool) {
         match event {
             Event::Begin(claimer) => {
                 let step = self.claimers[claimer].begin();
-                self.follow(claimer, step);
+                self.perform(claimer, step);
             }
             Event::Ask(claimer, keeper, round, ask) => {
                 let host = self.asks[claimer][keeper];
@@ -142,12 +143,12 @@
             }
             Event::Answer(claimer, keeper, round, answer) => {
                 let step = self.claimers[claimer].handle(&round, keeper, answer);
-                self.follow(claimer, step);
+                self.perform(claimer, step);
             }
         }
     }
 
-    fn follow(&mut self, claimer: usize, step: ClaimStep) {
+    fn perform(&mut self, claimer: usize, step: ClaimStep) {
         let round = self.claimers[claimer].round().clone();
         match step {
             ClaimStep::Ask(keepers, ask) => {
@@ -175,8 +176,8 @@
         self.applied[host] = true;
     }
 
-    /// Moves the shard from one host to the spare one, once the move before is complete.
-    fn shift(&mut self) {
+    /// Moves the shard from one host to the spare one, once the previous move is complete.
+    fn move_shard(&mut self) {
         let complete = self.applied.iter().all(|a| *a);
         if !complete || !self.keepers.iter().all(|k| k.is_ready(NOW)) {
             return;
@@ -187,18 +188,18 @@
         let before = table(self.table);
         self.table.rotate_left(1);
         self.table[2] = spare;
-        assert!(moves_one(&before, &table(self.table)));
+        assert!(moves_at_most_one(&before, &table(self.table)));
         self.applied = [false; 4];
     }
 
-    /// A keeper hears of the table in force.
+    /// A keeper gets the current table.
     fn apply(&mut self, host: usize) {
         self.applied[host] = true;
         self.keepers[host].apply_table(NOW, &table(self.table));
     }
 
-    /// A further send of the key reaches an entry that goes by the table in force.
-    fn join(&mut self) {
+    /// Another send of the key reaches an entry that has the current table.
+    fn add_claimer(&mut self) {
         if self.claimers.len() < 6 {
             let number = self.claimers.len() as u64 + 1;
             let hosts = &table(self.table)[0];
@@ -222,8 +223,8 @@
     }
 }
 
-// Two sends of one key reach two entries; both are told that theirs is the one that runs. The
-// cause is a keeper that forgot, moved, or took part in two rounds at once.
+// Two sends of one key reach two entries, and both win the claim, so the request runs twice. This
+// comes from a keeper that forgot, moved, or voted in two rounds at once.
 #[test]
 fn one_value() {
     fn holds(schedule: Schedule) -> bool {
@@ -236,8 +237,8 @@
     }
 }
 
-// A caller uses one key for two different orders by mistake. Without the check the second
-// would get the first one's answer.
+// A caller uses one key for two different requests by mistake. Without the check of the body the
+// second one would get the first one's answer.
 #[test]
 fn other_body() {
     let mut keepers: Vec<Keeper> = Race::new().keepers;
@@ -280,7 +281,7 @@
         KeeperAsk::Prepare {
             slot: slot(),
             round: round.clone(),
-            keepers: KeepersMark::of(&table(hosts)[0]),
+            keepers: KeepersHash::for_hosts(&table(hosts)[0]),
             keep: HOLD,
         },
     )
@@ -298,23 +299,24 @@
             slot: slot(),
             round: round.clone(),
             value: value(round.by.counter, b"body"),
-            keepers: KeepersMark::of(&table(hosts)[0]),
+            keepers: KeepersHash::for_hosts(&table(hosts)[0]),
             promised: promised.to_vec(),
             keep: HOLD,
         },
     )
 }
 
-fn slot() -> Slot {
+fn slot() -> ClaimSlot {
     let (key, attempt) = (key(), 1);
-    Slot { key, attempt }
+    ClaimSlot { key, attempt }
 }
 
 const OLD: [usize; 3] = [0, 1, 2];
 const NEW: [usize; 3] = [1, 2, 3];
 
-// Two sends of one key each hold a keeper's promise; the keeper restarts, has copied, and hears
-// both accepts. Its new self promised neither: were it to accept, both sends would run.
+// Two sends of one key each have a keeper's promise. The keeper restarts, copies the shard and gets
+// both accept requests. Its new incarnation promised neither, and both sends would run if it
+// accepted.
 #[test]
 fn forgotten_promise() {
     let mut race = Race::new();
@@ -333,8 +335,8 @@
     }
 }
 
-// A keeper accepts, restarts and copies from another one; only then the same accept reaches that
-// other one. Both accepts make a majority of which one half is forgotten.
+// A keeper accepts a value, restarts and copies from another one, which gets the same accept
+// request only then. The two would make a majority of which one has forgotten the value.
 #[test]
 fn forgotten_accept() {
     let mut race = Race::new();
@@ -350,8 +352,8 @@
     assert_eq!(answer, KeeperAnswer::Abstains);
 }
 
-// A shard moves. The new keeper has copied from an old one, which has not heard of the move and
-// goes on taking claims: the new one would never hear of them.
+// A shard moves. The new keeper has copied from an old one, which does not know of the move yet. If
+// the old one still accepted claims, the new one would never learn of them.
 #[test]
 fn copied_then_changed() {
     let mut race = Race::new();
@@ -366,8 +368,8 @@
     assert_eq!(answer, KeeperAnswer::Abstains);
 }
 
-// A shard moves. A claimer that has not heard of it asks one keeper that has and one that has
-// not: their majority shares nobody with a majority under the new table.
+// A shard moves. A claimer that does not know of it asks one keeper that does and one that does
+// not. Their majority may share no keeper with a majority under the new table.
 #[test]
 fn two_tables() {
     let mut race = Race::new();
@@ -377,24 +379,25 @@
     assert_eq!(answer, KeeperAnswer::Abstains);
 }
 
-// A table that replaces two keepers of a shard at once is refused.
+// A table replaces two keepers of a shard at once. A majority of the new ones would know nothing
+// of the earlier claims, so the table must be refused.
 #[test]
 fn two_moves() {
     fn holds(first: u8, second: u8) -> bool {
         let (a, b) = (usize::from(first % 3), usize::from(second % 3));
         let mut after = [0, 1, 2];
         after[a] = 3;
-        let one = moves_one(&table([0, 1, 2]), &table(after));
+        let one = moves_at_most_one(&table([0, 1, 2]), &table(after));
         let other: [HostId; 2] = ["x", "y"].map(|n| n.parse().expect("a name"));
         let mut both = table([0, 1, 2]);
         both[0][a] = other[0].clone();
         both[0][b] = other[1].clone();
-        one && moves_one(&table([0, 1, 2]), &both) == (a == b)
+        one && moves_at_most_one(&table([0, 1, 2]), &both) == (a == b)
     }
     check(holds as fn(u8, u8) -> bool);
 }
 
-/// Checks a property over the same cases at every run.
+/// Checks a property over the same cases in every run.
 fn check(property: impl Testable) {
     let gen = Gen::from_size_and_seed(100, 7);
     QuickCheck::new().rng(gen).tests(500).quickcheck(property);
--- a/crates/requests/tests/matrix.rs
+++ b/crates/requests/tests/matrix.rs
@@ -1,14 +1,14 @@
-//! Every fault at every step and every pair of them, through the very state machines.
+//! Runs the state machines through every fault at every step, and through every pair of them.
 
 mod world;
 
 use snipemast_core::prelude::*;
-use world::{Fault, Kind, Result, Step, World, DEADLINE, FAULTS, HOLD, SILENCE, STEPS};
+use world::{Fault, Kind, SendResult, Step, World, DEADLINE, FAULTS, HOLD, SILENCE, STEPS};
 
-/// What was wrong in a cell.
-type Wrong = Option<String>;
+/// What went wrong in a run, if anything.
+type Violation = Option<String>;
 
-/// What the cells came to.
+/// The results of all runs of a test.
 #[derive(Debug, Default)]
 struct Tally {
     cells: usize,
@@ -27,26 +27,26 @@
             eager: bits & 8 > 0,
         });
     }
-    // Two sends at once without a key are two requests.
+    // Two sends at the same time without a key are two requests.
     kinds.retain(|k| k.keyed || !k.eager);
     kinds
 }
 
-fn cell(kind: Kind, faults: &[(Step, Fault)], tally: &mut Tally) {
+fn run_cell(kind: Kind, faults: &[(Step, Fault)], tally: &mut Tally) {
     let mut world = World::new(kind, faults);
-    world.play();
+    world.run();
     tally.cells += 1;
     tally.sends += world.sends.len();
-    let whole = |s: &&world::Send| s.result == Some(Result::Whole);
+    let whole = |s: &&world::CallerSend| s.result == Some(SendResult::Whole);
     tally.whole += world.sends.iter().filter(whole).count();
     for wrong in [
-        world.broken.map(String::from),
-        runs(&world),
-        survives(&world, faults),
-        outcomes(&world),
-        answers(&world),
-        ends(&world),
-        leftovers(&mut world),
+        world.violation.map(String::from),
+        check_runs(&world),
+        check_answered(&world, faults),
+        check_outcomes(&world),
+        check_answers(&world),
+        check_ends(&world),
+        check_leftovers(&mut world),
     ] {
         tally
             .wrong
@@ -54,8 +54,9 @@
     }
 }
 
-/// A non-idempotent request runs at most once; an unkeyed send is a request of its own.
-fn runs(world: &World) -> Wrong {
+/// Checks that a non-idempotent request runs at most once. A send without a key is a request of its
+/// own.
+fn check_runs(world: &World) -> Violation {
     if world.kind.idempotent {
         return None;
     }
@@ -67,21 +68,22 @@
     (total > 1).then(|| format!("it ran {total} times"))
 }
 
-/// A send that is told "not run" ran on no server.
-fn outcomes(world: &World) -> Wrong {
-    let lied = |s: &&world::Send| {
-        let denied = matches!(s.result, Some(Result::Failed(v)) if v.outcome == Outcome::NotRun);
+/// Checks that a send that is answered as "not run" ran on no server.
+fn check_outcomes(world: &World) -> Violation {
+    let lied = |s: &&world::CallerSend| {
+        let denied =
+            matches!(s.result, Some(SendResult::Failed(v)) if v.outcome == Outcome::NotRun);
         denied && s.ids.iter().any(|id| world.runs.contains_key(id))
     };
     let send = world.sends.iter().find(lied)?;
-    Some(format!("{:?} was said of a run", send.result))
+    Some(format!("{:?} was reported, but it ran", send.result))
 }
 
-/// The bytes are the right ones, or the caller knows that they are not all.
-fn answers(world: &World) -> Wrong {
+/// Checks that the caller got the right bytes, or knows that some are missing.
+fn check_answers(world: &World) -> Violation {
     let body = world::body();
-    let wrong = |s: &&world::Send| match s.result {
-        Some(Result::Whole) => s.bytes != body,
+    let wrong = |s: &&world::CallerSend| match s.result {
+        Some(SendResult::Whole) => s.bytes != body,
         _ => !body.starts_with(&s.bytes),
     };
     let send = world.sends.iter().find(wrong)?;
@@ -91,8 +93,8 @@
     ))
 }
 
-/// One fault of the network alone costs nobody an answer.
-fn survives(world: &World, faults: &[(Step, Fault)]) -> Wrong {
+/// Checks that no answer is lost by a single fault of the network.
+fn check_answered(world: &World, faults: &[(Step, Fault)]) -> Violation {
     let [(step, fault)] = faults else {
         return None;
     };
@@ -104,17 +106,20 @@
         Fault::Crossed,
     ];
     let before = *step < Step::Delivered && network.contains(fault);
-    let lost = world.sends.iter().any(|s| s.result != Some(Result::Whole));
+    let lost = world
+        .sends
+        .iter()
+        .any(|s| s.result != Some(SendResult::Whole));
     (before && lost).then(|| "an answer was lost".into())
 }
 
-/// Every send ends, within the deadline and one silence.
-fn ends(world: &World) -> Wrong {
+/// Checks that every send ends within the deadline and the longest silence.
+fn check_ends(world: &World) -> Violation {
     let bound = DEADLINE.as_micros() + SILENCE.as_micros();
-    let begun = world.sends.iter().filter(|s| !s.deaf);
+    let begun = world.sends.iter().filter(|s| !s.gone_silent);
     for send in begun {
         match send.result {
-            None => return Some("no verdict".into()),
+            None => return Some("a send without a verdict".into()),
             Some(_) if send.ended.as_micros() > send.began.as_micros() + bound => {
                 return Some("a late verdict".into());
             }
@@ -124,8 +129,8 @@
     None
 }
 
-/// Nothing is remembered once nobody may ask any more.
-fn leftovers(world: &mut World) -> Wrong {
+/// Checks that nothing is remembered once nobody may ask for it any more.
+fn check_leftovers(world: &mut World) -> Violation {
     let end = world.now + HOLD.times(3);
     for agent in &mut world.agents {
         agent.ledger.expire(end);
@@ -155,14 +160,14 @@
     for wrong in tally.wrong.iter().take(12) {
         println!("  {wrong}");
     }
-    assert!(tally.wrong.is_empty(), "cells went wrong");
+    assert!(tally.wrong.is_empty(), "some cells went wrong");
 }
 
 #[test]
 fn no_fault() {
     let mut tally = Tally::default();
     for kind in kinds() {
-        cell(kind, &[], &mut tally);
+        run_cell(kind, &[], &mut tally);
     }
     report(&tally);
     assert_eq!(
@@ -177,7 +182,7 @@
     for kind in kinds() {
         for step in STEPS {
             for fault in FAULTS {
-                cell(kind, &[(step, fault)], &mut tally);
+                run_cell(kind, &[(step, fault)], &mut tally);
             }
         }
     }
@@ -194,7 +199,7 @@
     for kind in kinds() {
         for (n, first) in all.iter().enumerate() {
             for second in &all[n..] {
-                cell(kind, &[*first, *second], &mut tally);
+                run_cell(kind, &[*first, *second], &mut tally);
             }
         }
     }
--- a/crates/requests/tests/suspicion.rs
+++ b/crates/requests/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! Requests that crash servers: who is suspected, who is cleared, and what other entries learn.
+//! Requests that crash servers: which are suspected or cleared, and what other entries learn.
 
 use quickcheck::{Gen, QuickCheck, Testable};
 
@@ -32,8 +32,8 @@
     to.merge(NOW, delta);
 }
 
-// Ten copies of a harmless request run beside one that kills the server. Counted by copies, they
-// would all be quarantined after a single crash.
+// Ten copies of a harmless request run beside one that crashes the server. If each copy counted,
+// the harmless request would be quarantined after a single crash.
 #[test]
 fn twins_count_once() {
     let (mut one, mut other) = (entry(0), entry(1));
@@ -48,8 +48,8 @@
     );
 }
 
-// An innocent neighbour of a crash is retried alone and finishes: it must not stay suspected,
-// at any entry.
+// A harmless request was in flight at a crash, is retried alone and finishes. It must not stay
+// suspected at any entry.
 #[test]
 fn innocent_cleared() {
     let (mut one, mut other) = (entry(0), entry(1));
@@ -61,7 +61,8 @@
     assert_eq!(other.state(NOW, request(1)), SuspicionState::Clear);
 }
 
-// After two crashes a request is held back, until an operator lifts it or it expires.
+// A request was in flight at two crashes. It must stay quarantined when one attempt finishes,
+// until an operator clears it or the facts expire.
 #[test]
 fn quarantine_lifted() {
     let mut one = entry(0);
@@ -77,10 +78,11 @@
     assert!(one.is_empty());
 }
 
-// Three entries that exchange in any order end with the same suspicions.
+// Three entries exchange their facts in any order. Entries that then disagreed would let a
+// suspected request run.
 #[test]
 fn any_order() {
-    fn holds(facts: Vec<(u8, u8, u8)>, turns: Vec<(u8, u8)>) -> bool {
+    fn holds(facts: Vec<(u8, u8, u8)>, exchanges: Vec<(u8, u8)>) -> bool {
         let mut entries = [entry(0), entry(1), entry(2)];
         for (at, body, number) in facts.into_iter().take(40) {
             let at = usize::from(at) % 3;
@@ -90,7 +92,7 @@
             }
         }
         let whole = (0..3).flat_map(|a| (0..3).map(move |b| (a, b)));
-        let all = turns.into_iter().chain(whole.clone()).chain(whole);
+        let all = exchanges.into_iter().chain(whole.clone()).chain(whole);
         for (from, to) in all {
             let (from, to) = (usize::from(from) % 3, usize::from(to) % 3);
             let delta = entries[from].delta(NOW, &KnownFacts::default());
@@ -102,7 +104,7 @@
     check(holds as fn(Vec<(u8, u8, u8)>, Vec<(u8, u8)>) -> bool);
 }
 
-/// Checks a property over the same cases at every run.
+/// Checks a property over the same cases in every run.
 fn check(property: impl Testable) {
     let gen = Gen::from_size_and_seed(100, 7);
     QuickCheck::new().rng(gen).tests(500).quickcheck(property);
--- a/crates/requests/tests/world/agent.rs
+++ b/crates/requests/tests/world/agent.rs
@@ -1,4 +1,4 @@
-//! Agents with their ledgers, and engines that answer the same bytes on every server.
+//! The agents with their ledgers, and engines that answer the same bytes on every server.
 
 use std::collections::BTreeMap;
 
@@ -11,17 +11,17 @@
 
 use super::{Conn, Event, Step, ToAgent, World, BEAT, DEADLINE, HOP, SILENCE};
 
-/// The pieces of each answer.
+/// The number of pieces of each answer.
 const PIECES: u32 = 6;
-/// How long an engine works before the first piece: longer than the silence that kills.
-const THINK: Span = Span::from_millis(2_600);
-/// How long between pieces.
-const PACE: Span = Span::from_millis(20);
+/// The time that an engine takes before the first piece, longer than the longest silence.
+const FIRST_PIECE_DELAY: Span = Span::from_millis(2_600);
+/// The time between two pieces.
+const PIECE_DELAY: Span = Span::from_millis(20);
 
-/// The entries of a ledger before its bound is brought about.
-const ENTRIES: usize = 64;
+/// The most entries of a ledger, unless a fault lowers the bound.
+const MAX_ENTRIES: usize = 64;
 
-/// The body of every right answer.
+/// Returns the body of every right answer.
 pub(crate) fn body() -> Vec<u8> {
     (0..PIECES).flat_map(piece).collect()
 }
@@ -49,7 +49,7 @@
 
 fn limits() -> LedgerLimits {
     LedgerLimits {
-        entries: ENTRIES,
+        entries: MAX_ENTRIES,
         bytes: 1 << 20,
         answer_bytes: 1 << 20,
     }
@@ -68,7 +68,7 @@
             crashes: 0,
             drained: false,
             stalled: false,
-            bound: ENTRIES,
+            bound: MAX_ENTRIES,
         }
     }
 
@@ -78,8 +78,8 @@
         self.ledger.drain();
     }
 
-    /// Brings the memory bound about: no room for another entry or another byte.
-    pub(crate) fn fill(&mut self) {
+    /// Lowers the bounds of the ledger, so that it has no room for another entry or byte.
+    pub(crate) fn exhaust_memory(&mut self) {
         self.bound = self.ledger.len();
         self.ledger.set_limits(LedgerLimits {
             entries: self.ledger.len(),
@@ -88,15 +88,15 @@
         });
     }
 
-    /// There is room again.
-    pub(crate) fn relieve(&mut self) {
-        self.bound = ENTRIES;
+    /// Restores the bounds of the ledger.
+    pub(crate) fn restore_memory(&mut self) {
+        self.bound = MAX_ENTRIES;
         self.ledger.set_limits(limits());
     }
 }
 
 impl World {
-    /// Opens a connection; every message to an agent goes over one.
+    /// Opens a connection to an agent.
     pub(crate) fn connect(&mut self, send: usize, link: Link, agent: usize) -> usize {
         let incarnation = self.agents[agent].process.incarnation;
         self.conns.push(Conn {
@@ -112,7 +112,7 @@
         self.conns.len() - 1
     }
 
-    /// Sends a message on a connection, as the faults on it allow.
+    /// Sends a message on a connection, as far as its faults allow.
     pub(crate) fn post(&mut self, number: usize, message: ToAgent, written: bool) {
         let Conn {
             send,
@@ -126,7 +126,7 @@
         if self.is_cut(self.sends[send].entry) {
             return;
         }
-        // A message that was written before its connection broke may still arrive, late.
+        // A message that was written before its connection broke may still arrive late.
         let lost = !written && (silent || !open);
         let late = delayed || (written && (silent || !open));
         let slow = if delayed {
@@ -137,12 +137,12 @@
         self.conns[number].delayed = false;
         if !lost {
             let after = if late { slow } else { HOP };
-            self.at(after, Event::ToAgent(agent, message.clone(), Some(number)));
+            self.schedule(after, Event::ToAgent(agent, message.clone(), Some(number)));
         }
         if doubled {
             self.conns[number].doubled = false;
             for after in [HOP.times(40), DEADLINE.times(12)] {
-                self.at(after, Event::ToAgent(agent, message.clone(), None));
+                self.schedule(after, Event::ToAgent(agent, message.clone(), None));
             }
         }
     }
@@ -153,11 +153,11 @@
             conn.filter(|c| self.conns[*c].incarnation == self.agents[number].process.incarnation);
         self.agents[number].ledger.expire(self.now);
         if self.agents[number].ledger.len() > self.agents[number].bound {
-            self.broken = Some("a ledger went over its bound");
+            self.violation = Some("a ledger went over its bound");
         }
         match message {
             ToAgent::Dispatch { target, keep, left } => {
-                self.take(number, target, keep, left, conn);
+                self.arrive(number, target, keep, left, conn);
             }
             ToAgent::Settle(target, keep) => {
                 let Target { id, agent } = target;
@@ -169,12 +169,19 @@
             ToAgent::Cancel(Target { id, agent }) => {
                 let ledger = &mut self.agents[number].ledger;
                 ledger.cancel(self.now, &id, &agent, DEADLINE);
-                self.pump(number);
+                self.send_ready(number);
             }
         }
     }
 
-    fn take(&mut self, number: usize, target: Target, keep: Span, left: Span, conn: Option<usize>) {
+    fn arrive(
+        &mut self,
+        number: usize,
+        target: Target,
+        keep: Span,
+        left: Span,
+        conn: Option<usize>,
+    ) {
         let arrival = Arrival {
             id: target.id.clone(),
             agent: target.agent,
@@ -185,15 +192,15 @@
         match self.agents[number].ledger.arrive(self.now, &arrival) {
             ArrivalOutcome::Run => {
                 if self.agents[number].drained {
-                    self.broken = Some("a draining agent took new work");
+                    self.violation = Some("a draining agent took new work");
                 }
                 let incarnation = self.agents[number].process.incarnation;
                 let id = target.id.clone();
                 let send = self.send_of(&id);
                 self.agents[number].dispatches.insert(id.clone(), send);
-                self.at(HOP, Event::Engine(number, incarnation, id, 0));
-                self.at(left, Event::Overdue(number, incarnation, target.id.clone()));
-                self.reach(Step::Recorded, send);
+                self.schedule(HOP, Event::Engine(number, incarnation, id, 0));
+                self.schedule(left, Event::Overdue(number, incarnation, target.id.clone()));
+                self.reach_step(Step::Recorded, send);
                 let restarted = self.agents[number].process.incarnation != incarnation;
                 self.relay(number, &target.id, 0, conn.filter(|_| !restarted));
             }
@@ -224,18 +231,18 @@
         let padding = Vec::new();
         let accepted = Frame::new(Tag::for_dispatch(id), Part::Accepted { padding });
         self.answer(Some(conn), |link| Input::Frame(link, accepted));
-        let place = ReadPosition {
+        let progress = ReadPosition {
             head: false,
             offset,
         };
         self.agents[number]
             .readers
-            .insert(conn, (id.clone(), place));
-        self.at(BEAT, Event::Beat(conn));
-        self.pump(number);
+            .insert(conn, (id.clone(), progress));
+        self.schedule(BEAT, Event::Beat(conn));
+        self.send_ready(number);
     }
 
-    /// Sends a word back to the entry over a connection, as the faults on it allow.
+    /// Sends a message back to the entry on a connection, as far as its faults allow.
     fn answer(&mut self, conn: Option<usize>, input: impl FnOnce(Link) -> Input) {
         let Some(number) = conn else {
             return;
@@ -250,32 +257,32 @@
         self.conns[number].delayed = false;
         if conn.doubled {
             self.conns[number].doubled = false;
-            self.at(HOP.times(30), Event::ToEntry(conn.send, input.clone()));
+            self.schedule(HOP.times(30), Event::ToEntry(conn.send, input.clone()));
         }
-        self.at(after, Event::ToEntry(conn.send, input));
+        self.schedule(after, Event::ToEntry(conn.send, input));
     }
 
-    /// Sends every reader what is there for it.
-    fn pump(&mut self, number: usize) {
+    /// Sends every reader the frames that are ready for it.
+    fn send_ready(&mut self, number: usize) {
         let conns: Vec<usize> = self.agents[number].readers.keys().copied().collect();
         for conn in conns {
-            self.pump_one(number, conn);
+            self.send_ready_on(number, conn);
         }
     }
 
-    fn pump_one(&mut self, number: usize, conn: usize) {
+    fn send_ready_on(&mut self, number: usize, conn: usize) {
         loop {
             let agent = &mut self.agents[number];
-            let Some((id, place)) = agent.readers.get_mut(&conn) else {
+            let Some((id, progress)) = agent.readers.get_mut(&conn) else {
                 return;
             };
-            let Some(frame) = agent.ledger.next_frame(id, *place, 16) else {
+            let Some(frame) = agent.ledger.next_frame(id, *progress, 16) else {
                 return;
             };
             let mut ended = false;
             match &frame.part {
-                Part::Head { .. } => place.head = true,
-                Part::Data { bytes, .. } => place.offset += bytes.len() as u64,
+                Part::Head { .. } => progress.head = true,
+                Part::Data { bytes, .. } => progress.offset += bytes.len() as u64,
                 _ => ended = true,
             }
             if ended {
@@ -302,10 +309,10 @@
         }
         let beat = Frame::new(Tag::for_dispatch(&id), Part::Beat);
         self.answer(Some(conn), |link| Input::Frame(link, beat));
-        self.at(BEAT, Event::Beat(conn));
+        self.schedule(BEAT, Event::Beat(conn));
     }
 
-    /// The engine's work at a dispatch: stage 0 is its start, the others are its pieces.
+    /// Advances the engine's work on a dispatch. Stage 0 is its start, the later ones its pieces.
     pub(crate) fn engine(
         &mut self,
         number: usize,
@@ -324,7 +331,7 @@
             self.agents[number]
                 .ledger
                 .refuse(&id, RefusalReason::Unreachable);
-            return self.pump(number);
+            return self.send_ready(number);
         }
         if self.agents[number].stalled && stage > 0 {
             return;
@@ -335,12 +342,12 @@
             .copied()
             .unwrap_or(0);
         let ledger = &mut self.agents[number].ledger;
-        let mut after = PACE;
+        let mut after = PIECE_DELAY;
         match stage {
             0 => {
                 *self.runs.entry(id.clone()).or_default() += 1;
-                after = THINK;
-                self.reach(Step::AtWork, send);
+                after = FIRST_PIECE_DELAY;
+                self.reach_step(Step::AtWork, send);
             }
             1 => ledger.set_head(&id, 200, Vec::new()),
             _ if stage <= PIECES + 1 => {
@@ -349,41 +356,41 @@
             _ => ledger.finish(&id, LoadReport::default()),
         }
         if stage == 4 {
-            self.reach(Step::MidStream, send);
+            self.reach_step(Step::MidStream, send);
         }
         if stage == PIECES + 2 {
-            self.reach(Step::Finished, send);
+            self.reach_step(Step::Finished, send);
         } else {
-            self.at(after, Event::Engine(number, incarnation, id, stage + 1));
+            self.schedule(after, Event::Engine(number, incarnation, id, stage + 1));
         }
-        self.pump(number);
+        self.send_ready(number);
     }
 
-    /// A dispatch that outlives its deadline is stopped.
+    /// Stops a dispatch that runs past its deadline.
     pub(crate) fn overdue(&mut self, number: usize, incarnation: Incarnation, id: &DispatchId) {
         if self.agents[number].process.incarnation == incarnation {
             self.agents[number].ledger.fail(id, Failure::Late);
-            self.pump(number);
+            self.send_ready(number);
         }
     }
 
-    /// The agent process restarts; its engine goes on with what it has, and answers nobody.
+    /// Restarts the agent process. Its engine continues its work, but nobody gets the answers.
     pub(crate) fn restart_agent(&mut self, number: usize) {
         let agent = &mut self.agents[number];
         agent.process.incarnation = agent.process.incarnation.next();
         agent.ledger = ledger(&agent.process);
         agent.readers.clear();
-        (agent.drained, agent.bound) = (false, ENTRIES);
+        (agent.drained, agent.bound) = (false, MAX_ENTRIES);
         let incarnation = agent.process.incarnation;
         for conn in 0..self.conns.len() {
             if self.conns[conn].agent == number {
                 self.reset(Some(conn));
             }
         }
-        self.at(BEAT, Event::Seen(number, incarnation));
+        self.schedule(BEAT, Event::Seen(number, incarnation));
     }
 
-    /// The backend server dies with everything that runs on it, and stays dead.
+    /// Ends the backend server and everything that runs on it for good.
     pub(crate) fn kill_server(&mut self, number: usize) {
         let agent = &mut self.agents[number];
         agent.server_dead = true;
@@ -393,6 +400,6 @@
                 agent.ledger.fail(id, Failure::Died(agent.crashes));
             }
         }
-        self.pump(number);
+        self.send_ready(number);
     }
 }
--- a/crates/requests/tests/world/caller.rs
+++ b/crates/requests/tests/world/caller.rs
@@ -1,16 +1,16 @@
-//! The caller: reads its answer, and sends again where the outcome allows it.
+//! The caller, which reads its answer and sends again if the outcome allows it.
 
 use snipemast_core::prelude::*;
 use snipemast_requests::{Claimer, RequestMachine, Verdict};
 
 use super::{Step, World};
 
-/// How often a caller sends at most.
+/// The most sends of one caller.
 const SENDS: usize = 3;
 
-/// What an entry tells its caller.
+/// A message from an entry to its caller.
 #[derive(Debug, Clone)]
-pub(crate) enum Word {
+pub(crate) enum ToCaller {
     Data(Vec<u8>),
     End,
     Failed(Verdict),
@@ -18,15 +18,15 @@
 
 /// How a send ended for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Result {
+pub(crate) enum SendResult {
     Whole,
     Failed(Verdict),
-    /// The connection to the entry broke, or the caller waited no longer.
+    /// The connection to the entry broke, or the caller gave up.
     Cut,
 }
 
 /// One send of the caller's request.
-pub(crate) struct Send {
+pub(crate) struct CallerSend {
     pub(crate) entry: usize,
     pub(crate) machine: RequestMachine,
     pub(crate) claimer: Option<Claimer>,
@@ -36,14 +36,14 @@
     pub(crate) agent: usize,
     pub(crate) armed: Option<Moment>,
     pub(crate) bytes: Vec<u8>,
-    /// Whether the caller hears nothing more.
-    pub(crate) deaf: bool,
-    pub(crate) result: Option<Result>,
+    /// Whether the entry's messages no longer reach the caller.
+    pub(crate) gone_silent: bool,
+    pub(crate) result: Option<SendResult>,
     pub(crate) began: Moment,
     pub(crate) ended: Moment,
 }
 
-impl Send {
+impl CallerSend {
     pub(crate) fn new(entry: usize, began: Moment, machine: RequestMachine) -> Self {
         Self {
             entry,
@@ -55,7 +55,7 @@
             agent: 0,
             armed: None,
             bytes: Vec::new(),
-            deaf: false,
+            gone_silent: false,
             result: None,
             began,
             ended: Moment::ZERO,
@@ -64,54 +64,56 @@
 }
 
 impl World {
-    pub(crate) fn caller_gets(&mut self, send: usize, word: Word) {
+    pub(crate) fn caller_gets(&mut self, send: usize, message: ToCaller) {
         let entry_dead = self.dead[self.sends[send].entry];
-        let Send {
+        let CallerSend {
             bytes,
-            deaf,
+            gone_silent,
             result,
             ..
         } = &mut self.sends[send];
-        if *deaf || entry_dead || result.is_some() {
+        if *gone_silent || entry_dead || result.is_some() {
             return;
         }
-        match word {
-            Word::Data(data) => bytes.extend_from_slice(&data),
-            Word::End => self.conclude(send, Result::Whole),
-            Word::Failed(verdict) => self.conclude(send, Result::Failed(verdict)),
+        match message {
+            ToCaller::Data(data) => bytes.extend_from_slice(&data),
+            ToCaller::End => self.conclude(send, SendResult::Whole),
+            ToCaller::Failed(verdict) => self.conclude(send, SendResult::Failed(verdict)),
         }
     }
 
-    pub(crate) fn caller_cut(&mut self, send: usize) {
+    pub(crate) fn end_cut_off(&mut self, send: usize) {
         if self.sends[send].result.is_none() {
-            self.conclude(send, Result::Cut);
+            self.conclude(send, SendResult::Cut);
         }
     }
 
-    pub(crate) fn caller_waits_no_more(&mut self, send: usize) {
-        if self.sends[send].deaf {
-            self.caller_cut(send);
+    pub(crate) fn caller_gives_up(&mut self, send: usize) {
+        if self.sends[send].gone_silent {
+            self.end_cut_off(send);
         }
     }
 
-    fn conclude(&mut self, send: usize, result: Result) {
+    fn conclude(&mut self, send: usize, result: SendResult) {
         self.sends[send].result = Some(result);
         self.sends[send].ended = self.now;
-        if self.sends.len() < SENDS && self.wants_again(result) {
-            self.reach(Step::Resent, send);
-            // The other entry, as a balancer would choose after a loss.
+        if self.sends.len() < SENDS && self.sends_again(result) {
+            self.reach_step(Step::Resent, send);
+            // A balancer in front of the entries would choose the other entry after a loss.
             self.send(1);
         }
     }
 
-    /// A caller with a key sends again even after a whole answer, to see the same one; without
-    /// a key it sends again where that is safe.
-    fn wants_again(&self, result: Result) -> bool {
+    /// Whether the caller sends again.
+    ///
+    /// With a key it sends once more even after a whole answer, to get the same answer. Without a
+    /// key it sends again if that is safe.
+    fn sends_again(&self, result: SendResult) -> bool {
         let first = self.sends.len() == 1;
         match result {
-            Result::Whole => first && self.kind.keyed,
-            Result::Failed(verdict) if verdict.outcome == Outcome::NotRun => true,
-            Result::Failed(_) | Result::Cut => self.kind.idempotent || self.kind.keyed,
+            SendResult::Whole => first && self.kind.keyed,
+            SendResult::Failed(verdict) if verdict.outcome == Outcome::NotRun => true,
+            SendResult::Failed(_) | SendResult::Cut => self.kind.idempotent || self.kind.keyed,
         }
     }
 }
--- a/crates/requests/tests/world/entry.rs
+++ b/crates/requests/tests/world/entry.rs
@@ -1,4 +1,4 @@
-//! Entries: they do what the request machines ask for.
+//! The entries, which perform the actions that the request machines ask for.
 
 use snipemast_core::prelude::*;
 use snipemast_requests::{
@@ -6,10 +6,10 @@
     Tag, Target,
 };
 
-use super::caller::Word;
-use super::{Event, Send, Step, ToAgent, World, DEADLINE, HOLD, HOP, SILENCE};
+use super::caller::ToCaller;
+use super::{CallerSend, Event, Step, ToAgent, World, DEADLINE, HOLD, HOP, SILENCE};
 
-/// Just after a first silence was noticed and its settle was sent.
+/// The time after which a first silence was noticed and the settle was sent.
 const SILENCE_AND_HOP: Span = Span::from_micros(SILENCE.as_micros() + HOP.as_micros());
 
 impl World {
@@ -25,16 +25,16 @@
             max_body: 1 << 20,
         };
         self.sends
-            .push(Send::new(entry, self.now, RequestMachine::new(plan)));
+            .push(CallerSend::new(entry, self.now, RequestMachine::new(plan)));
         let send = self.sends.len() - 1;
         if self.dead[entry] {
-            return self.caller_cut(send);
+            return self.end_cut_off(send);
         }
-        self.at(DEADLINE.times(2), Event::Impatient(send));
+        self.schedule(DEADLINE.times(2), Event::Impatient(send));
         self.feed(send, Input::Start);
     }
 
-    /// Gives a request machine an input and does what it asks for.
+    /// Gives a request machine an input and performs the actions that it asks for.
     pub(crate) fn feed(&mut self, send: usize, input: Input) {
         if self.dead[self.sends[send].entry] {
             return;
@@ -50,7 +50,7 @@
             let wake = machine.next_wake();
             if self.sends[send].armed.is_none_or(|armed| wake < armed) {
                 self.sends[send].armed = Some(wake);
-                self.at(now.until(wake), Event::Wake(send));
+                self.schedule(now.until(wake), Event::Wake(send));
             }
         }
     }
@@ -73,22 +73,24 @@
                 let message = ToAgent::Resume(target.clone(), offset);
                 self.open(send, link, &target, message);
             }
-            Output::Cancel(target) => self.tell(send, &target, ToAgent::Cancel(target.clone())),
+            Output::Cancel(target) => {
+                self.send_unanswered(send, &target, ToAgent::Cancel(target.clone()))
+            }
             Output::Bar(target) => {
-                self.tell(send, &target, ToAgent::Settle(target.clone(), DEADLINE));
+                self.send_unanswered(send, &target, ToAgent::Settle(target.clone(), DEADLINE));
             }
             Output::Retire(_) => self.close_conns(send),
             Output::Head(..) | Output::Crashed(_) | Output::Dropped => {}
-            Output::Data(bytes) => self.at(HOP, Event::ToCaller(send, Word::Data(bytes))),
+            Output::Data(bytes) => self.schedule(HOP, Event::ToCaller(send, ToCaller::Data(bytes))),
             Output::End(_) => {
-                self.reach(Step::Delivered, send);
+                self.reach_step(Step::Delivered, send);
                 if !self.dead[self.sends[send].entry] {
-                    self.at(HOP, Event::ToCaller(send, Word::End));
+                    self.schedule(HOP, Event::ToCaller(send, ToCaller::End));
                 }
                 self.close_conns(send);
             }
             Output::Fail(verdict) => {
-                self.at(HOP, Event::ToCaller(send, Word::Failed(verdict)));
+                self.schedule(HOP, Event::ToCaller(send, ToCaller::Failed(verdict)));
                 self.close_conns(send);
             }
         }
@@ -114,12 +116,12 @@
         let conn = self.connect(send, link, agent);
         self.sends[send].conn = Some(conn);
         self.sends[send].agent = agent;
-        self.reach(Step::Unwritten, send);
+        self.reach_step(Step::Unwritten, send);
         if self.dead[self.sends[send].entry] {
             return;
         }
         let written = self.conns[conn].open && !self.conns[conn].silent;
-        self.reach(Step::Written, send);
+        self.reach_step(Step::Written, send);
         let keep = if self.kind.keyed {
             HOLD
         } else {
@@ -137,11 +139,11 @@
         self.post(conn, message, false);
     }
 
-    /// Sends a word that nobody waits for an answer to.
-    fn tell(&mut self, send: usize, target: &Target, message: ToAgent) {
+    /// Sends a message without waiting for an answer.
+    fn send_unanswered(&mut self, send: usize, target: &Target, message: ToAgent) {
         if !self.is_cut(self.sends[send].entry) {
             let agent = self.agent_of(target);
-            self.at(HOP, Event::ToAgent(agent, message, None));
+            self.schedule(HOP, Event::ToAgent(agent, message, None));
         }
     }
 
@@ -151,14 +153,14 @@
         found.expect("every target names an agent of the cell")
     }
 
-    /// Which send dispatched an id.
+    /// Returns the send that dispatched an id.
     pub(crate) fn send_of(&self, id: &DispatchId) -> usize {
         let found = self.sends.iter().position(|s| s.ids.contains(id));
         found.expect("every id was made by a send")
     }
 
-    /// Another request's frames arrive on the current connection.
-    pub(crate) fn cross(&mut self, send: usize) {
+    /// Delivers the frames of another request on the current connection.
+    pub(crate) fn send_foreign_frames(&mut self, send: usize) {
         let foreign = self.next_id(1);
         let link = self.sends[send].machine.link();
         let tag = Tag::for_dispatch(&foreign);
@@ -182,15 +184,15 @@
         ];
         for part in parts {
             let frame = Input::Frame(link, Frame::new(tag, part));
-            self.at(HOP, Event::ToEntry(send, frame));
+            self.schedule(HOP, Event::ToEntry(send, frame));
         }
         let barred = Input::Settled(link, foreign.clone(), AttemptStatus::Barred);
-        self.at(HOP, Event::ToEntry(send, barred));
-        // And once more while the entry settles, should it do so next.
+        self.schedule(HOP, Event::ToEntry(send, barred));
+        // The same status arrives again, in case the entry settles next.
         let barred = Input::Settled(link + 1, foreign, AttemptStatus::Barred);
-        self.at(SILENCE_AND_HOP, Event::ToEntry(send, barred));
-        // The answer to an earlier call of the same request, on a connection that was given up.
+        self.schedule(SILENCE_AND_HOP, Event::ToEntry(send, barred));
+        // The loss of an earlier connection of the same request arrives late.
         let stale = Input::Lost(link.wrapping_sub(1), Loss::Unsent);
-        self.at(HOP, Event::ToEntry(send, stale));
+        self.schedule(HOP, Event::ToEntry(send, stale));
     }
 }
--- a/crates/requests/tests/world/keys.rs
+++ b/crates/requests/tests/world/keys.rs
@@ -1,4 +1,4 @@
-//! Keepers of keys in three zones, and the claimers' messages to them.
+//! The keepers of keys in three zones, and the messages between them and the claimers.
 
 use std::net::SocketAddr;
 
@@ -6,23 +6,23 @@
 use snipemast_requests::claim::Round;
 use snipemast_requests::{
     ClaimKey, ClaimResult, ClaimStep, ClaimValue, Claimer, Fingerprint, Input, Keeper,
-    KeeperAnswer, KeeperAsk, Table, Target,
+    KeeperAnswer, KeeperAsk, KeeperTable, Target,
 };
 
 use super::{Event, World, HOLD, HOP};
 
-/// How long a claimer waits for a keeper.
-const PATIENCE: Span = Span::from_millis(500);
+/// The time that a claimer waits for a keeper.
+const KEEPER_TIMEOUT: Span = Span::from_millis(500);
 
 fn hosts() -> [HostId; 3] {
     [0, 1, 2].map(|n| format!("entry-{n}").parse().expect("a name"))
 }
 
-fn table() -> Table {
+fn table() -> KeeperTable {
     vec![hosts()]
 }
 
-/// Three keepers that have been up for long.
+/// Returns three keepers that no earlier incarnation can have forgotten a claim of.
 pub(crate) fn keepers() -> Vec<Keeper> {
     let keeper = |host: HostId| {
         let process = ProcessId::new(host, Incarnation::new(1));
@@ -67,14 +67,14 @@
             ClaimStep::Ask(keepers, ask) => {
                 for keeper in keepers {
                     let lost = Event::FromKeeper(send, round.clone(), keeper, None);
-                    self.at(PATIENCE, lost);
+                    self.schedule(KEEPER_TIMEOUT, lost);
                     if keeper == self.sends[send].entry || !self.cut_between(send, keeper) {
                         let event = Event::ToKeeper(keeper, send, round.clone(), ask.clone());
-                        self.at(HOP, event);
+                        self.schedule(HOP, event);
                     }
                 }
             }
-            ClaimStep::Pause(pause) => self.at(pause, Event::ClaimAgain(send)),
+            ClaimStep::Pause(pause) => self.schedule(pause, Event::ClaimAgain(send)),
             ClaimStep::Wait => {}
             ClaimStep::Done(claimed, value, number) => {
                 self.sends[send].claimer = None;
@@ -92,7 +92,7 @@
     pub(crate) fn keeper_gets(&mut self, keeper: usize, send: usize, round: Round, ask: KeeperAsk) {
         let answer = self.keepers[keeper].handle(self.now, ask);
         if !self.cut_between(send, keeper) {
-            self.at(HOP, Event::FromKeeper(send, round, keeper, Some(answer)));
+            self.schedule(HOP, Event::FromKeeper(send, round, keeper, Some(answer)));
         }
     }
 
@@ -118,12 +118,12 @@
         let process = ProcessId::new(hosts()[keeper].clone(), incarnation);
         self.keepers[keeper] = Keeper::new(process, self.now, HOLD, 64);
         self.keepers[keeper].apply_table(self.now, &table());
-        self.at(HOP.times(100), Event::CopyShards(keeper));
+        self.schedule(HOP.times(100), Event::CopyShards(keeper));
     }
 
     pub(crate) fn copy_shards(&mut self, keeper: usize) {
         if self.cut {
-            return self.at(HOP.times(100), Event::CopyShards(keeper));
+            return self.schedule(HOP.times(100), Event::CopyShards(keeper));
         }
         let incarnation = Incarnation::new(self.incarnations[keeper]);
         let to = ProcessId::new(hosts()[keeper].clone(), incarnation);
--- a/crates/requests/tests/world/mod.rs
+++ b/crates/requests/tests/world/mod.rs
@@ -1,7 +1,7 @@
-//! The interfaces around the state machines: messages, connections, an engine, a caller.
+//! A simulation around the state machines: messages, connections, agents, engines and a caller.
 //!
-//! Time is virtual and every message is an event. Faults act on messages and processes only;
-//! every decision is made by the machines of the package itself.
+//! Time is virtual and every message is an event. Faults act on messages and processes only. The
+//! state machines of the crate itself make every decision.
 
 mod agent;
 mod caller;
@@ -15,22 +15,22 @@
 use snipemast_requests::{Input, Keeper, KeeperAnswer, KeeperAsk, Link, Target};
 
 pub(crate) use agent::{body, Agent};
-pub(crate) use caller::{Result, Send};
+pub(crate) use caller::{CallerSend, SendResult};
 
-/// How long a message is under way.
+/// The time that a message takes.
 pub(crate) const HOP: Span = Span::from_millis(1);
 /// The deadline of each send.
 pub(crate) const DEADLINE: Span = Span::from_secs(30);
-/// How long a connection may be silent.
+/// The longest time that a connection may be silent.
 pub(crate) const SILENCE: Span = Span::from_secs(2);
-/// How long claims are remembered.
+/// The time for which claims are remembered.
 pub(crate) const HOLD: Span = Span::from_secs(300);
-/// How often agents send beats.
+/// The interval at which agents send beats.
 const BEAT: Span = Span::from_millis(500);
-/// How long a zone stays cut off.
+/// The time for which a zone stays cut off.
 const CUT: Span = Span::from_secs(5);
 
-/// The points at which faults strike.
+/// The points of a request at which faults happen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Step {
     Unwritten,
@@ -43,7 +43,7 @@
     Resent,
 }
 
-/// What strikes.
+/// A fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
     Silent,
@@ -86,13 +86,13 @@
     Fault::Stall,
 ];
 
-/// What kind of request a cell sends.
+/// The kind of request that a cell sends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Kind {
     pub(crate) idempotent: bool,
     pub(crate) keyed: bool,
     pub(crate) stream: bool,
-    /// Whether the caller sends to both entries at once.
+    /// Whether the caller sends to both entries at the same time.
     pub(crate) eager: bool,
 }
 
@@ -122,7 +122,7 @@
     pub(crate) doubled: bool,
 }
 
-/// Something that happens at a moment.
+/// An event at a moment.
 #[derive(Debug, Clone)]
 pub(crate) enum Event {
     ToAgent(usize, ToAgent, Option<usize>),
@@ -138,19 +138,19 @@
     Heal,
     Relieve(usize),
     Overdue(usize, Incarnation, DispatchId),
-    ToCaller(usize, caller::Word),
+    ToCaller(usize, caller::ToCaller),
     Impatient(usize),
 }
 
-/// Everything in one cell.
+/// The state of one cell: one kind of request under some faults.
 pub(crate) struct World {
     pub(crate) now: Moment,
     pub(crate) kind: Kind,
     pub(crate) agents: Vec<Agent>,
     pub(crate) keepers: Vec<Keeper>,
-    pub(crate) sends: Vec<Send>,
+    pub(crate) sends: Vec<CallerSend>,
     pub(crate) conns: Vec<Conn>,
-    /// Runs on engines, by dispatch.
+    /// The number of runs on engines, by dispatch.
     pub(crate) runs: BTreeMap<DispatchId, u32>,
     faults: Vec<(Step, Fault)>,
     queue: BTreeMap<(Moment, u64), Event>,
@@ -160,8 +160,8 @@
     pub(crate) view: Vec<Incarnation>,
     counter: u64,
     pub(crate) incarnations: Vec<u64>,
-    /// What an agent did that it must not do.
-    pub(crate) broken: Option<&'static str>,
+    /// A rule that an agent violated.
+    pub(crate) violation: Option<&'static str>,
 }
 
 impl World {
@@ -182,24 +182,24 @@
             view: vec![Incarnation::new(1); 2],
             counter: 0,
             incarnations: vec![1; 3],
-            broken: None,
+            violation: None,
         }
     }
 
-    /// Plays the cell to its end: the first send, whatever the caller sends again, and every
-    /// message that was still under way.
-    pub(crate) fn play(&mut self) {
+    /// Runs the cell to its end: the first send, the further sends of the caller, and every
+    /// message that is still under way.
+    pub(crate) fn run(&mut self) {
         self.send(0);
         if self.kind.eager {
             self.send(1);
         }
         while let Some(((at, _), event)) = self.queue.pop_first() {
             self.now = at;
-            self.happen(event);
+            self.handle(event);
         }
     }
 
-    pub(crate) fn at(&mut self, after: Span, event: Event) {
+    pub(crate) fn schedule(&mut self, after: Span, event: Event) {
         self.sequence += 1;
         self.queue.insert((self.now + after, self.sequence), event);
     }
@@ -211,7 +211,7 @@
         DispatchId::new(ProcessId::new(host, incarnation), self.counter)
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::ToAgent(agent, message, conn) => self.agent_gets(agent, message, conn),
             Event::ToEntry(send, input) => self.feed(send, input),
@@ -228,45 +228,45 @@
             Event::Beat(conn) => self.beat(conn),
             Event::Seen(agent, incarnation) => self.view[agent] = incarnation,
             Event::Heal => self.cut = false,
-            Event::Relieve(agent) => self.agents[agent].relieve(),
+            Event::Relieve(agent) => self.agents[agent].restore_memory(),
             Event::Overdue(agent, incarnation, id) => self.overdue(agent, incarnation, &id),
-            Event::ToCaller(send, word) => self.caller_gets(send, word),
-            Event::Impatient(send) => self.caller_waits_no_more(send),
+            Event::ToCaller(send, message) => self.caller_gets(send, message),
+            Event::Impatient(send) => self.caller_gives_up(send),
         }
     }
 
-    /// A step was reached: whatever waits for it strikes, once.
-    pub(crate) fn reach(&mut self, step: Step, send: usize) {
+    /// Triggers the faults of a step that a send has reached, once.
+    pub(crate) fn reach_step(&mut self, step: Step, send: usize) {
         let (due, rest) = self.faults.iter().partition(|(s, _)| *s == step);
         let due: Vec<(Step, Fault)> = due;
         self.faults = rest;
         for (_, fault) in due {
-            self.strike(step, fault, send);
+            self.apply_fault(step, fault, send);
         }
     }
 
-    fn strike(&mut self, step: Step, fault: Fault, send: usize) {
+    fn apply_fault(&mut self, step: Step, fault: Fault, send: usize) {
         let conn = self.sends[send].conn;
         let agent = self.sends[send].agent;
         match fault {
-            Fault::Silent if step == Step::Delivered => self.sends[send].deaf = true,
+            Fault::Silent if step == Step::Delivered => self.sends[send].gone_silent = true,
             Fault::Silent => self.with_conn(conn, |c| c.silent = true),
-            Fault::Reset if step == Step::Delivered => self.caller_cut(send),
+            Fault::Reset if step == Step::Delivered => self.end_cut_off(send),
             Fault::Reset => self.reset(conn),
             Fault::Delayed => self.with_conn(conn, |c| c.delayed = true),
             Fault::Duplicated => self.with_conn(conn, |c| c.doubled = true),
-            Fault::Crossed => self.cross(send),
+            Fault::Crossed => self.send_foreign_frames(send),
             Fault::EntryDies => self.entry_dies(),
             Fault::AgentRestarts => self.restart_agent(agent),
             Fault::ServerDies => self.kill_server(agent),
             Fault::ZoneCut => {
                 self.cut = true;
-                self.at(CUT, Event::Heal);
+                self.schedule(CUT, Event::Heal);
             }
             Fault::Drain => self.agents[agent].drain(),
             Fault::MemoryBound => {
-                self.agents[agent].fill();
-                self.at(CUT, Event::Relieve(agent));
+                self.agents[agent].exhaust_memory();
+                self.schedule(CUT, Event::Relieve(agent));
             }
             Fault::Stall => self.agents[agent].stalled = true,
         }
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Breaks a connection off: both ends see it, and what was under way is lost.
+    /// Breaks a connection. Both ends see it, and messages under way are lost.
     pub(crate) fn reset(&mut self, conn: Option<usize>) {
         let Some(number) = conn else {
             return;
@@ -289,11 +289,11 @@
         if open {
             self.conns[number].open = false;
             let lost = Input::Lost(link, snipemast_requests::Loss::Broken);
-            self.at(HOP, Event::ToEntry(send, lost));
+            self.schedule(HOP, Event::ToEntry(send, lost));
         }
     }
 
-    /// Whether an entry and another zone can't reach each other.
+    /// Returns whether an entry can't reach the other zones.
     pub(crate) fn is_cut(&self, entry: usize) -> bool {
         self.cut && entry == 0
     }
@@ -305,7 +305,7 @@
         for send in 0..self.sends.len() {
             if self.sends[send].entry == 0 {
                 self.close_conns(send);
-                self.caller_cut(send);
+                self.end_cut_off(send);
             }
         }
         self.restart_keeper(0);
