--- a/crates/routing/src/bucket.rs
+++ b/crates/routing/src/bucket.rs
@@ -1,28 +1,30 @@
-//! Token buckets, and means that fade with time.
+//! Token buckets and decaying rates.
 
 use snipemast_core::prelude::*;
 
-/// A token bucket: it fills at a rate up to its depth, and may be charged into debt afterwards.
+/// A token bucket, which fills at a rate up to its depth.
+///
+/// A correction of an earlier amount may leave its level below zero.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bucket {
     rate: f64,
     depth: f64,
     level: f64,
-    filled: Moment,
+    filled_at: Moment,
 }
 
 impl Bucket {
-    /// A full bucket with this rate a second and this depth.
+    /// Creates a full bucket with this rate per second and this depth.
     pub fn new(now: Moment, rate: f64, depth: f64) -> Self {
         Self {
             rate,
             depth,
             level: depth,
-            filled: now,
+            filled_at: now,
         }
     }
 
-    /// Changes rate and depth; what is over the new depth is lost.
+    /// Changes the rate and depth. What is over the new depth is lost.
     pub fn resize(&mut self, now: Moment, rate: f64, depth: f64) {
         self.fill(now);
         self.rate = rate;
@@ -30,14 +32,14 @@
         self.level = self.level.min(depth);
     }
 
-    /// Takes an amount, or says how long it would take to fill up for it.
+    /// Takes an amount, or returns the time until the bucket has enough for it.
     ///
-    /// An amount over the depth is let in by a full bucket and leaves it in debt: it would never
-    /// be let in otherwise.
+    /// A full bucket also grants an amount over its depth, which could never be taken otherwise.
+    /// Its level is then below zero.
     pub fn take(&mut self, now: Moment, amount: f64) -> Result<(), Span> {
         self.fill(now);
         let needed = amount.min(self.depth);
-        // Sums of many small fills fall short of a whole by rounding.
+        // The sum of many small fills falls short of a whole by rounding.
         if self.level + 1e-9 >= needed {
             self.level -= amount;
             return Ok(());
@@ -45,16 +47,16 @@
         Err(self.time_for(needed - self.level))
     }
 
-    /// Charges, or gives back, what an estimate was off by.
-    pub fn correct(&mut self, now: Moment, amount: f64) {
+    /// Takes the amount by which an estimate was too low, or gives back a negative amount.
+    pub fn adjust(&mut self, now: Moment, amount: f64) {
         self.fill(now);
         self.level = (self.level - amount).min(self.depth);
     }
 
     fn fill(&mut self, now: Moment) {
-        let passed = now.since(self.filled).as_secs_f64();
+        let passed = now.since(self.filled_at).as_secs_f64();
         self.level = (self.level + passed * self.rate).min(self.depth);
-        self.filled = self.filled.max(now);
+        self.filled_at = self.filled_at.max(now);
     }
 
     fn time_for(&self, amount: f64) -> Span {
@@ -63,29 +65,29 @@
     }
 }
 
-/// A rate of events that fades with time.
+/// A rate of events that decays exponentially with time.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Pace {
+pub struct DecayingRate {
     sum: f64,
     at: Moment,
 }
 
-/// The time in which a past event's weight falls to a third, in seconds.
-const PACE_TIME: f64 = 2.0;
+/// The time in seconds in which the weight of an event falls to about a third.
+const DECAY_SECONDS: f64 = 2.0;
 
-impl Pace {
-    /// Counts an amount.
+impl DecayingRate {
+    /// Adds an amount at this moment.
     pub fn add(&mut self, now: Moment, amount: f64) {
-        self.sum = self.faded(now) + amount;
+        self.sum = self.decayed_sum(now) + amount;
         self.at = self.at.max(now);
     }
 
-    /// The amount a second.
+    /// Returns the current amount per second.
     pub fn per_second(&self, now: Moment) -> f64 {
-        self.faded(now) / PACE_TIME
+        self.decayed_sum(now) / DECAY_SECONDS
     }
 
-    fn faded(&self, now: Moment) -> f64 {
-        self.sum * (-now.since(self.at).as_secs_f64() / PACE_TIME).exp()
+    fn decayed_sum(&self, now: Moment) -> f64 {
+        self.sum * (-now.since(self.at).as_secs_f64() / DECAY_SECONDS).exp()
     }
 }
--- a/crates/routing/src/hash.rs
+++ b/crates/routing/src/hash.rs
@@ -1,4 +1,4 @@
-//! Seeded mixing: the source of every random pick, and of rendezvous weights.
+//! Hashes and seeded mixing, the source of every random choice and of rendezvous weights.
 
 use std::hash::{Hash, Hasher};
 
@@ -6,7 +6,7 @@
 
 pub use snipemast_core::hash::{below, mix};
 
-/// A hash that every process computes alike.
+/// Returns a hash that is the same in every process.
 pub fn stable_hash(value: &impl Hash) -> u64 {
     let mut hasher = Xxh3Default::new();
     value.hash(&mut hasher);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,21 +1,29 @@
-//! Choice of server, limits and overload decisions.
+//! Chooses backend servers for requests, applies the limits of workspaces, and sheds overload.
 //!
-//! - [`wanted`]: what a backend server must offer to answer a request.
-//! - [`query`]: what is asked of the choice, and what it says.
-//! - [`router`]: the choice of a server for one request.
-//! - [`load`]: a server's load, from reports that lag.
-//! - [`health`]: suspicion, ejection, slow start.
-//! - [`prefix`]: hints of which servers hold a prompt's prefix.
-//! - [`subset`]: which servers an entry keeps connections to.
-//! - [`lane`]: admission to one pool, and who goes next.
-//! - [`fair`]: the queue that shares by weight and starves none.
-//! - [`limiter`]: each workspace's upper bounds.
-//! - [`demand`]: the split of fleet-wide limits among entries.
-//! - [`bucket`]: token buckets, and rates that fade.
-//! - [`refusal`]: why a request is not let in, and when to come back.
-//! - [`wish`]: orders to load what nothing has loaded.
-//! - [`status`]: who is held back, and why.
-//! - [`hash`]: seeded mixing, the source of every random pick.
+//! Each entry decides for itself, out of load reports that lag and without asking other entries.
+//! Only the split of limits among entries needs an exchange between them.
+//!
+//! Choice of a server:
+//!
+//! - [`wanted`]: the model or service that a request needs.
+//! - [`query`]: the input and the result of a choice, and its policy.
+//! - [`router`]: the table of servers, and the choice of one for a request.
+//! - [`load`]: the load of a server, estimated from reports that lag.
+//! - [`health`]: the health of a server: ejection, slow start and stalls.
+//! - [`prefix`]: hints on which servers have the prefix of a prompt in their caches.
+//! - [`subset`]: the servers that an entry keeps connections to.
+//!
+//! Admission:
+//!
+//! - [`lane`]: admission to the pool of one model or service.
+//! - [`fair`]: a queue that shares its output among workspaces by weight.
+//! - [`limiter`]: the limits of each workspace at one entry.
+//! - [`demand`]: the split of fleet-wide limits among entries, by demand.
+//! - [`bucket`]: token buckets and decaying rates.
+//! - [`refusal`]: why a request is refused, and when to retry.
+//! - [`wish`]: models that are requested but that no server has loaded.
+//! - [`status`]: the status of limits and routing that operators see.
+//! - [`hash`]: hashes and seeded mixing, the source of every random choice.
 
 mod pick;
 mod pool;
--- a/crates/routing/src/limiter.rs
+++ b/crates/routing/src/limiter.rs
@@ -1,61 +1,62 @@
-//! Each workspace's upper bounds, as far as they are this entry's part.
+//! The limits of each workspace, of which one entry applies its share.
 
 use std::collections::HashMap;
 
 use snipemast_config::document::Limits;
 use snipemast_core::prelude::*;
 
-use crate::bucket::{Bucket, Pace};
+use crate::bucket::{Bucket, DecayingRate};
 use crate::refusal::{Reason, Refusal};
 
-/// The time for which a bucket saves up what was not used.
-const DEPTH: f64 = 0.1;
+/// The time in seconds for which a bucket saves up its rate.
+const BUCKET_SECONDS: f64 = 0.1;
 
-/// Refusals a second under which the next one counts as the first in a while.
-const FIRST: f64 = 0.01;
+/// The refusals per second below which the next one counts as the first in a while.
+const QUIET_RATE: f64 = 0.01;
 
-/// This entry's part of a workspace's limits.
+/// One entry's share of a workspace's limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitShare {
-    /// The part of its rates.
+    /// The share of the rates, from 0 to 1.
     pub share: f64,
-    /// The requests of it that may be in flight here.
+    /// The most requests of the workspace that may be in flight at the entry.
     pub concurrency: Option<u32>,
 }
 
+/// The limits of one workspace, and its recent refusals.
 #[derive(Debug)]
 struct Account {
     requests: Option<Bucket>,
     tokens: Option<Bucket>,
     running: u32,
-    held: HashMap<Reason, Pace>,
+    refusals: HashMap<Reason, DecayingRate>,
     retry: Span,
 }
 
-/// Why requests of a workspace are held back, and how many.
+/// The recent refusals of a workspace's requests for one reason.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HeldBack {
-    /// What holds them back.
+    /// The reason for the refusals.
     pub reason: Reason,
-    /// How many a second, lately.
+    /// The recent refusals per second.
     pub rate: f64,
-    /// When the last was told to come back.
+    /// The time after which the last refused caller was told to retry.
     pub retry: Span,
 }
 
-/// The accounts of the workspaces that are active at this entry.
+/// The limits of the workspaces that are active at one entry.
 #[derive(Debug, Default)]
 pub struct Limiter {
     accounts: HashMap<WorkspaceId, Account>,
 }
 
 impl Limiter {
-    /// No workspace is active yet.
+    /// Creates a limiter without active workspaces.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Lets a request in and charges it, or refuses it and charges nothing.
+    /// Admits a request and charges it, or refuses it and charges nothing.
     pub fn admit(
         &mut self,
         now: Moment,
@@ -65,33 +66,33 @@
         tokens: f64,
     ) -> Result<(), Refusal> {
         let account = self.account(workspace);
-        account.fit(now, limits, part.share);
+        account.apply_limits(now, limits, part.share);
         account.charge(now, part, tokens)?;
         account.running += 1;
         Ok(())
     }
 
-    /// Counts a request as ended, and gives back or charges what its tokens were off by.
+    /// Counts a request as ended, and charges the tokens that it got instead of those it asked for.
     pub fn finish(&mut self, now: Moment, workspace: &WorkspaceId, asked: f64, got: f64) {
         if let Some(account) = self.accounts.get_mut(workspace) {
             account.running = account.running.saturating_sub(1);
             if let Some(bucket) = &mut account.tokens {
-                bucket.correct(now, got - asked);
+                bucket.adjust(now, got - asked);
             }
         }
     }
 
-    /// Gives back what a request was charged that did not run after all.
+    /// Gives back the charge of a request that was admitted but did not run.
     pub fn refund(&mut self, now: Moment, workspace: &WorkspaceId, tokens: f64) {
         self.finish(now, workspace, tokens, 0.0);
         if let Some(account) = self.accounts.get_mut(workspace) {
             if let Some(bucket) = &mut account.requests {
-                bucket.correct(now, -1.0);
+                bucket.adjust(now, -1.0);
             }
         }
     }
 
-    /// Notes a refusal so that status shows it; true where it is the first in a while.
+    /// Records a refusal for the status. Returns whether it is the first one in a while.
     pub fn record_refusal(
         &mut self,
         now: Moment,
@@ -100,24 +101,24 @@
     ) -> bool {
         let account = self.account(workspace);
         let before = account
-            .held
+            .refusals
             .get(&refusal.reason)
-            .map_or(0.0, |p| p.per_second(now));
-        account.note(now, refusal);
-        before < FIRST
+            .map_or(0.0, |r| r.per_second(now));
+        account.record_refusal(now, refusal);
+        before < QUIET_RATE
     }
 
-    /// Requests of a workspace in flight.
+    /// Returns the number of a workspace's requests in flight.
     pub fn running(&self, workspace: &WorkspaceId) -> u32 {
         self.accounts.get(workspace).map_or(0, |a| a.running)
     }
 
-    /// The workspaces whose requests were held back lately, and why.
+    /// Returns the recent refusals of each workspace, by reason.
     pub fn held_back(&self, now: Moment) -> Vec<(WorkspaceId, HeldBack)> {
         let mut held = Vec::new();
         for (workspace, account) in &self.accounts {
-            for (&reason, pace) in &account.held {
-                let rate = pace.per_second(now);
+            for (&reason, refusal_rate) in &account.refusals {
+                let rate = refusal_rate.per_second(now);
                 if rate > 0.01 {
                     let back = HeldBack {
                         reason,
@@ -132,7 +133,7 @@
         held
     }
 
-    /// Forgets workspaces that were removed from the configuration and have nothing in flight.
+    /// Forgets the workspaces for which `keep` is false and that have no requests in flight.
     pub fn retain(&mut self, keep: impl Fn(&WorkspaceId) -> bool) {
         self.accounts
             .retain(|workspace, a| a.running > 0 || keep(workspace));
@@ -145,25 +146,26 @@
                 requests: None,
                 tokens: None,
                 running: 0,
-                held: HashMap::new(),
+                refusals: HashMap::new(),
                 retry: Span::default(),
             })
     }
 }
 
 impl Account {
-    /// Follows a change of the limits or of the part.
-    fn fit(&mut self, now: Moment, limits: &Limits, share: f64) {
+    /// Applies the current limits and share.
+    fn apply_limits(&mut self, now: Moment, limits: &Limits, share: f64) {
         let request = |rate: Rate| (rate.as_per_second() * share, 1.0);
         let token = |rate: Rate| (rate.as_per_second() * share, 0.0);
         resize(now, &mut self.requests, limits.requests.map(request));
         resize(now, &mut self.tokens, limits.tokens.map(token));
     }
 
+    /// Takes a request and its tokens out of the buckets, or neither.
     fn charge(&mut self, now: Moment, part: LimitShare, tokens: f64) -> Result<(), Refusal> {
         if part.concurrency.is_some_and(|most| self.running >= most) {
-            // How long the running ones take is not known here; a second is the usual bound of
-            // how stale the split among entries is.
+            // It is not known here how long the running requests take. The split among entries is
+            // usually at most a second old.
             return Err(Refusal {
                 reason: Reason::Concurrency,
                 retry: Span::from_secs(1),
@@ -177,7 +179,7 @@
             let taken = bucket.take(now, 1.0).map_err(refused(Reason::Requests));
             if taken.is_err() {
                 if let Some(bucket) = &mut self.tokens {
-                    bucket.correct(now, -tokens);
+                    bucket.adjust(now, -tokens);
                 }
             }
             taken?;
@@ -185,18 +187,22 @@
         Ok(())
     }
 
-    fn note(&mut self, now: Moment, refusal: Refusal) {
-        self.held.entry(refusal.reason).or_default().add(now, 1.0);
+    fn record_refusal(&mut self, now: Moment, refusal: Refusal) {
+        self.refusals
+            .entry(refusal.reason)
+            .or_default()
+            .add(now, 1.0);
         self.retry = refusal.retry;
     }
 }
 
+/// Sets the rate of a bucket, and creates or removes the bucket if needed.
 fn resize(now: Moment, bucket: &mut Option<Bucket>, rate: Option<(f64, f64)>) {
     let Some((rate, least)) = rate else {
         *bucket = None;
         return;
     };
-    let depth = (rate * DEPTH).max(least);
+    let depth = (rate * BUCKET_SECONDS).max(least);
     match bucket {
         Some(bucket) => bucket.resize(now, rate, depth),
         None => *bucket = Some(Bucket::new(now, rate, depth)),
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -1,21 +1,21 @@
-//! What is known of one backend server's load, from reports that lag.
+//! The load of one backend server, estimated from reports that lag.
 
 use snipemast_core::prelude::*;
 
-/// How many past counts of own requests are kept.
-const PAST: usize = 16;
-/// The time between two kept counts.
-const PACE: u64 = 128_000;
+/// The number of past counts of own requests that are kept.
+const HISTORY_LEN: usize = 16;
+/// The time between two kept counts, in microseconds.
+const TICK_MICROS: u64 = 128_000;
 
-/// One backend server's load, as one entry knows it.
+/// The load of one backend server, as one entry knows it.
 ///
-/// A report says how many requests ran and waited when it was measured. The requests of one's own
-/// that were in flight *at that time* are taken out of it and replaced by those of now, so what
-/// one sent since counts at once and what finished since does not count on.
+/// A report has the number of requests that ran and waited when it was measured. The entry's own
+/// requests that were in flight *at that time* are subtracted, and its current ones added. A
+/// request that was sent since counts at once, and one that ended since no longer counts.
 #[derive(Debug, Clone)]
 pub struct Load {
     own: u32,
-    past: [u32; PAST],
+    own_history: [u32; HISTORY_LEN],
     tick: u64,
     others: f64,
     measured: Option<Moment>,
@@ -24,11 +24,11 @@
 }
 
 impl Load {
-    /// A server of which no report has come yet.
+    /// Creates the load of a server that has not reported yet.
     pub fn new() -> Self {
         Self {
             own: 0,
-            past: [0; PAST],
+            own_history: [0; HISTORY_LEN],
             tick: 0,
             others: 0.0,
             measured: None,
@@ -37,23 +37,23 @@
         }
     }
 
-    /// Counts a request that was sent.
-    pub fn sent(&mut self, now: Moment) {
+    /// Counts a request that was sent to the server.
+    pub fn record_sent(&mut self, now: Moment) {
         self.advance(now);
         self.own += 1;
     }
 
     /// Counts a request that ended.
-    pub fn ended(&mut self, now: Moment) {
+    pub fn record_end(&mut self, now: Moment) {
         self.advance(now);
         self.own = self.own.saturating_sub(1);
     }
 
-    /// Takes a report; one measured earlier than the last is passed over.
+    /// Applies a report, unless a later one was applied before.
     ///
-    /// Reports come by two ways, on answers and by gossip, and the slower way would otherwise
-    /// bring an old picture back.
-    pub fn report(&mut self, now: Moment, report: &LoadReport) {
+    /// Reports arrive on answers and by gossip, and the slower way would otherwise restore an old
+    /// load.
+    pub fn apply_report(&mut self, now: Moment, report: &LoadReport) {
         let measured = now - report.age;
         if self.measured.is_some_and(|m| m > measured) {
             return;
@@ -67,30 +67,30 @@
         self.restarts = report.restarts;
     }
 
-    /// Requests of one's own in flight.
+    /// Returns the number of the entry's own requests in flight.
     pub fn own(&self) -> u32 {
         self.own
     }
 
-    /// The requests of other entries when last reported.
+    /// Returns the number of requests of other entries at the last report.
     pub fn others(&self) -> f64 {
         self.others
     }
 
-    /// The time of a step when last reported.
+    /// Returns the time of an engine step at the last report, smoothed.
     pub fn step(&self) -> Span {
         self.step
     }
 
-    /// The starts of the engine when last reported.
+    /// Returns the number of engine restarts at the last report.
     pub fn restarts(&self) -> u32 {
         self.restarts
     }
 
-    /// The requests that run or wait there now, as far as one can tell.
+    /// Returns an estimate of the requests that run or wait at the server now.
     ///
-    /// The older the report, the more its word on other entries gives way to the pool's mean: an
-    /// old low would otherwise draw every entry to the same server at once.
+    /// The older the report, the more the mean of the pool replaces its count of other entries'
+    /// requests. An old low count would otherwise attract every entry to the same server at once.
     pub fn estimate(&self, now: Moment, mean: f64, fade: Span) -> f64 {
         let Some(measured) = self.measured else {
             return f64::from(self.own) + mean;
@@ -102,27 +102,27 @@
     }
 
     fn advance(&mut self, now: Moment) {
-        let tick = now.as_micros() / PACE;
-        let missed = tick.saturating_sub(self.tick).min(PAST as u64);
+        let tick = now.as_micros() / TICK_MICROS;
+        let missed = tick.saturating_sub(self.tick).min(HISTORY_LEN as u64);
         for n in 0..missed {
-            self.past[((tick - n) % PAST as u64) as usize] = self.own;
+            self.own_history[((tick - n) % HISTORY_LEN as u64) as usize] = self.own;
         }
         self.tick = self.tick.max(tick);
     }
 
-    /// The count at a moment, or the oldest that is kept.
+    /// Returns the count of own requests at a moment, or the oldest count that is kept.
     fn own_at(&self, moment: Moment) -> u32 {
-        // A slot holds the count at the start of its tick; the end is the start of the next.
-        let next = moment.as_micros() / PACE + 1;
+        // A slot has the count at the start of its tick, which is the end of the tick before.
+        let next = moment.as_micros() / TICK_MICROS + 1;
         if next > self.tick {
             return self.own;
         }
-        let oldest = (self.tick + 1).saturating_sub(PAST as u64);
-        self.past[(next.max(oldest) % PAST as u64) as usize]
+        let oldest = (self.tick + 1).saturating_sub(HISTORY_LEN as u64);
+        self.own_history[(next.max(oldest) % HISTORY_LEN as u64) as usize]
     }
 }
 
-/// One step that took in a long prompt should not make a server look slow.
+/// Smooths step times, so that one step with a long prompt does not make a server look slow.
 fn smoothed(old: Span, new: Span) -> Span {
     if old == Span::default() || new == Span::default() {
         return new;
--- a/crates/routing/src/pick.rs
+++ b/crates/routing/src/pick.rs
@@ -8,63 +8,64 @@
 use crate::query::{Choice, Query, RoutingPolicy, ServerIndex};
 use crate::server::Server;
 
-/// The time without progress that counts as a stall where nothing is known of the pool yet.
-const UNKNOWN_USUAL: Span = Span::from_secs(5);
-/// How much fuller a server looks that is a tier farther away.
-const FARTHER: f64 = 0.1;
-/// How much fuller a server looks that has only just come up.
+/// The time to the first sign of an answer that is assumed for a pool with no answers yet.
+const DEFAULT_FIRST_SIGN: Span = Span::from_secs(5);
+/// The load per slot that is added for a server of the next tier.
+const FARTHER_LOAD: f64 = 0.1;
+/// The load per slot that is added for a server that has just started.
 ///
-/// Added rather than multiplied: where all the others are nearly full, as in a wave of restarts,
-/// the cold ones have to carry their part.
-const COLD: f64 = 0.4;
-/// A server's step time counts at most this many times the mean.
-const PACE_BOUND: f64 = 8.0;
-/// Up to this many times the mean, a step time says no more than how full the server is.
-const PACE_NOISE: f64 = 1.5;
+/// It is added and not a factor, because the cold servers have to carry their part if all others
+/// are nearly full, as in a wave of restarts.
+const COLD_LOAD: f64 = 0.4;
+/// The largest ratio of a server's step time to the mean that counts.
+const MAX_STEP_RATIO: f64 = 8.0;
+/// The ratio of a server's step time to the mean below which it shows only how full the server is.
+const MIN_STEP_RATIO: f64 = 1.5;
 
-/// Everything that one choice looks at.
-pub(crate) struct View<'a> {
+/// The input of one choice.
+pub(crate) struct ChoiceInput<'a> {
     pub(crate) policy: &'a RoutingPolicy,
     pub(crate) servers: &'a [Option<Server>],
-    pub(crate) steps: &'a [f64],
+    pub(crate) group_steps: &'a [f64],
     pub(crate) hints: &'a Hints,
     pub(crate) pool: &'a Pool,
     pub(crate) query: &'a Query<'a>,
     pub(crate) now: Moment,
 }
 
-/// The outcome of one choice.
+/// The result of one choice.
 #[derive(Debug, Default)]
-pub(crate) struct Found {
+pub(crate) struct ChoiceResult {
     pub(crate) choice: Option<Choice>,
     pub(crate) stalled: Option<u32>,
 }
 
-/// How strictly a server is judged.
+/// Which servers may be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fitness {
-    /// Nothing speaks against it.
+    /// Only servers without any doubt about them.
     Sound,
-    /// It may be dead, ejected or stalled, but nothing better is left.
+    /// Also servers that may be dead, ejected or stalled, as no better one is left.
     Any,
 }
 
+/// A server with its score, of which the lowest wins.
 #[derive(Debug, Clone, Copy)]
 struct Scored {
     choice: Choice,
     score: f64,
 }
 
-impl View<'_> {
-    /// Near tiers first; where no server is sound, those in doubt are better than none.
+impl ChoiceInput<'_> {
+    /// Chooses a server, in near tiers first. If there is no sound server, one in doubt is chosen.
     ///
-    /// A zone that is cut off doubts every server outside, and perhaps its own: it has to go on
-    /// with what it has. What drains or can't answer is never taken.
-    pub(crate) fn choose(&self, draw: u64) -> Found {
-        let mut found = Found::default();
+    /// A zone that is cut off suspects every server outside and perhaps its own, and has to
+    /// continue with those. A server that is draining or can't answer the request is never chosen.
+    pub(crate) fn choose(&self, draw: u64) -> ChoiceResult {
+        let mut found = ChoiceResult::default();
         for fitness in [Fitness::Sound, Fitness::Any] {
             for near in Proximity::ALL {
-                found.choice = self.in_tier(near, draw, fitness, &mut found.stalled);
+                found.choice = self.choose_in_tier(near, draw, fitness, &mut found.stalled);
                 if found.choice.is_some() {
                     return found;
                 }
@@ -73,7 +74,7 @@
         found
     }
 
-    fn in_tier(
+    fn choose_in_tier(
         &self,
         near: Proximity,
         draw: u64,
@@ -81,21 +82,21 @@
         stalled: &mut Option<u32>,
     ) -> Option<Choice> {
         let tier = &self.pool.tiers[near as usize];
-        if tier.list.is_empty() {
+        if tier.servers.is_empty() {
             return None;
         }
         if let Some(prefix) = self.query.prefix {
-            if let Some(choice) = self.by_prefix(near, tier, prefix, fitness) {
+            if let Some(choice) = self.choose_by_prefix(near, tier, prefix, fitness) {
                 return Some(choice);
             }
         }
-        let best = self.by_draws(near, tier, draw, fitness, stalled)?;
-        let farther = self.farther(near, tier, draw, stalled);
-        Some(better(Some(best), farther)?.choice)
+        let best = self.choose_by_draws(near, tier, draw, fitness, stalled)?;
+        let farther = self.spill_candidate(near, tier, draw, stalled);
+        Some(lower_score(Some(best), farther)?.choice)
     }
 
-    /// A candidate from the next tier, where this one spills.
-    fn farther(
+    /// Returns a candidate of the next tier if this one spills.
+    fn spill_candidate(
         &self,
         near: Proximity,
         tier: &Tier,
@@ -111,15 +112,15 @@
             Proximity::Far => return None,
         };
         let tier = &self.pool.tiers[next as usize];
-        let drawn = self.by_draws(next, tier, mix(draw), Fitness::Sound, stalled);
+        let drawn = self.choose_by_draws(next, tier, mix(draw), Fitness::Sound, stalled);
         drawn.map(|s| Scored {
-            score: s.score + FARTHER,
+            score: s.score + FARTHER_LOAD,
             ..s
         })
     }
 
-    /// The least loaded of some drawn servers; unfit ones are drawn again a few times.
-    fn by_draws(
+    /// Returns the least loaded of some drawn servers. Unfit ones are replaced a few times.
+    fn choose_by_draws(
         &self,
         near: Proximity,
         tier: &Tier,
@@ -133,25 +134,25 @@
         let mut draw = draw;
         for _ in 0..self.policy.draws * 3 {
             draw = mix(draw);
-            let at = *tier.list.get(below(draw, tier.list.len()))?;
-            if last == Some(at) && tier.list.len() > 1 {
+            let index = *tier.servers.get(below(draw, tier.servers.len()))?;
+            if last == Some(index) && tier.servers.len() > 1 {
                 continue;
             }
-            if !self.fits(at, tier, fitness, stalled) {
+            if !self.is_fit(index, tier, fitness, stalled) {
                 continue;
             }
-            last = Some(at);
-            best = better(best, self.score(at, near, tier));
+            last = Some(index);
+            best = lower_score(best, self.score(index, near, tier));
             left -= 1;
             if left == 0 {
                 break;
             }
         }
-        best.or_else(|| self.by_scan(near, tier, draw, fitness, stalled))
+        best.or_else(|| self.choose_by_scan(near, tier, draw, fitness, stalled))
     }
 
-    /// The first fit server from a random place on: draws can miss the few that are left.
-    fn by_scan(
+    /// Returns the first fit server from a random position on, as draws can miss the last few.
+    fn choose_by_scan(
         &self,
         near: Proximity,
         tier: &Tier,
@@ -159,15 +160,16 @@
         fitness: Fitness,
         stalled: &mut Option<u32>,
     ) -> Option<Scored> {
-        let start = below(draw, tier.list.len());
-        let (head, tail) = tier.list.split_at(start);
+        let start = below(draw, tier.servers.len());
+        let (head, tail) = tier.servers.split_at(start);
         let mut all = tail.iter().chain(head);
-        let at = *all.find(|&&at| self.fits(at, tier, fitness, stalled))?;
-        self.score(at, near, tier)
+        let index = *all.find(|&&index| self.is_fit(index, tier, fitness, stalled))?;
+        self.score(index, near, tier)
     }
 
-    /// A server that holds the prefix, or would by rendezvous hashing, unless it is too full.
-    fn by_prefix(
+    /// Returns a server that caches the prefix, or that rendezvous hashing assigns it to, unless it
+    /// is too full.
+    fn choose_by_prefix(
         &self,
         near: Proximity,
         tier: &Tier,
@@ -175,23 +177,23 @@
         fitness: Fitness,
     ) -> Option<Choice> {
         let policy = &self.policy.prefix;
-        let bound = policy.limit(tier.means.load, self.query.backlog);
-        let take = |at: u32| {
-            let fit = self.fits(at, tier, fitness, &mut None);
-            let scored = fit.then(|| self.score(at, near, tier)).flatten()?;
+        let bound = policy.load_limit(tier.means.load, self.query.backlog);
+        let scored = |index: u32| {
+            let fit = self.is_fit(index, tier, fitness, &mut None);
+            let scored = fit.then(|| self.score(index, near, tier)).flatten()?;
             (scored.score <= bound).then_some(scored)
         };
-        let here = |at: &u32| tier.list.contains(at);
-        let held = self.hints.holders(prefix).filter(here).filter_map(take);
+        let here = |index: &u32| tier.servers.contains(index);
+        let held = self.hints.holders(prefix).filter(here).filter_map(scored);
         if let Some(held) = held.min_by(|a, b| a.score.total_cmp(&b.score)) {
             return Some(held.choice);
         }
         let (first, second) = self.rendezvous(tier, prefix);
-        let taken = first.and_then(take).or_else(|| second.and_then(take));
+        let taken = first.and_then(scored).or_else(|| second.and_then(scored));
         taken.map(|s| s.choice)
     }
 
-    /// The two servers with the highest weights for a prefix.
+    /// Returns the two servers with the highest rendezvous weights for a prefix.
     fn rendezvous(&self, tier: &Tier, prefix: Prefix) -> (Option<u32>, Option<u32>) {
         let (mut first, mut second) = ((0, None), (0, None));
         for (n, seed) in tier.seeds.iter().enumerate() {
@@ -203,17 +205,18 @@
                 second = (weight, Some(n));
             }
         }
-        let server = |n: Option<usize>| n.map(|n| tier.list[n]);
+        let server = |n: Option<usize>| n.map(|n| tier.servers[n]);
         (server(first.1), server(second.1))
     }
 
-    fn fits(&self, at: u32, tier: &Tier, fitness: Fitness, stalled: &mut Option<u32>) -> bool {
-        let Some(server) = &self.servers[at as usize] else {
+    /// Whether a server may be chosen. A server that is found stalled is returned in `stalled`.
+    fn is_fit(&self, index: u32, tier: &Tier, fitness: Fitness, stalled: &mut Option<u32>) -> bool {
+        let Some(server) = &self.servers[index as usize] else {
             return false;
         };
-        // These three hold however few servers are left: they are promises, not preferences.
+        // These three conditions must hold even if no server is left.
         if server.facts.draining
-            || !server.covers(&self.query.needs)
+            || !server.has_capabilities(&self.query.needs)
             || self.query.tried.contains(&server.facts.agent)
         {
             return false;
@@ -224,58 +227,61 @@
         if server.suspect || server.health.is_ejected(self.now) {
             return false;
         }
-        let usual = match tier.means.first {
-            usual if usual == Span::default() => UNKNOWN_USUAL,
+        let usual = match tier.means.first_sign {
+            usual if usual == Span::default() => DEFAULT_FIRST_SIGN,
             usual => usual,
         };
         let policy = &self.policy.health;
         let own = server.load.own();
         if server.health.is_stalled(self.now, own, usual, policy) {
-            *stalled = Some(at);
+            *stalled = Some(index);
             return false;
         }
         true
     }
 
-    fn score(&self, at: u32, near: Proximity, tier: &Tier) -> Option<Scored> {
-        let server = self.servers[at as usize].as_ref()?;
+    /// Returns the score of a server: its load per slot, adjusted by its step time and slow start.
+    fn score(&self, index: u32, near: Proximity, tier: &Tier) -> Option<Scored> {
+        let server = self.servers[index as usize].as_ref()?;
         let load = estimate(server, self.now, self.policy, &tier.means);
-        let pace = self.pace(server, &tier.means);
+        let ratio = self.step_ratio(server, &tier.means);
         let ramp = server.health.ramp(self.now, &self.policy.health);
         let one = 1.0 / server.slots();
         Some(Scored {
             choice: Choice {
-                server: ServerIndex(at),
+                server: ServerIndex(index),
                 load,
                 proximity: near,
             },
-            score: (load + one) * pace + COLD * (1.0 - ramp),
+            score: (load + one) * ratio + COLD_LOAD * (1.0 - ramp),
         })
     }
 
-    /// How much slower a server steps than the mean: a group steps as slowly as its slowest rank.
-    fn pace(&self, server: &Server, means: &Means) -> f64 {
-        let group = server.group.and_then(|g| self.steps.get(g as usize));
+    /// Returns the ratio of a server's step time to the mean.
+    ///
+    /// All ranks of a group step as slowly as the slowest one.
+    fn step_ratio(&self, server: &Server, means: &Means) -> f64 {
+        let group = server.group.and_then(|g| self.group_steps.get(g as usize));
         let own = server.load.step().as_micros() as f64;
         let step = group.copied().unwrap_or(own);
         if step <= 0.0 || means.step <= 0.0 {
             return 1.0;
         }
-        let pace = step / means.step;
-        if pace < PACE_NOISE {
+        let ratio = step / means.step;
+        if ratio < MIN_STEP_RATIO {
             return 1.0;
         }
-        pace.min(PACE_BOUND)
+        ratio.min(MAX_STEP_RATIO)
     }
 }
 
-/// The requests that run or wait at a server, a slot.
+/// Estimates the requests that run or wait at a server, per slot.
 fn estimate(server: &Server, now: Moment, policy: &RoutingPolicy, means: &Means) -> f64 {
     let mean = means.others * server.slots();
-    server.load.estimate(now, mean, policy.fade) / server.slots()
+    server.load.estimate(now, mean, policy.trust_half_life) / server.slots()
 }
 
-fn better(a: Option<Scored>, b: Option<Scored>) -> Option<Scored> {
+fn lower_score(a: Option<Scored>, b: Option<Scored>) -> Option<Scored> {
     match (a, b) {
         (Some(a), Some(b)) if b.score < a.score => Some(b),
         (Some(a), _) => Some(a),
@@ -283,8 +289,8 @@
     }
 }
 
-/// The means over the servers of a tier that take work.
-pub(crate) fn means<'a>(servers: impl Iterator<Item = &'a Server>, now: Moment) -> Means {
+/// Returns the means over the servers of a tier that accept requests.
+pub(crate) fn tier_means<'a>(servers: impl Iterator<Item = &'a Server>, now: Moment) -> Means {
     let mut sums = Means::default();
     let (mut steps, mut firsts, mut first) = (0.0, 0, 0);
     for server in servers {
@@ -299,7 +305,7 @@
             sums.step += step;
             steps += 1.0;
         }
-        let usual = server.health.usual().as_micros();
+        let usual = server.health.usual_first_sign().as_micros();
         if usual > 0 {
             first += usual;
             firsts += 1;
@@ -308,15 +314,15 @@
     sums.others /= sums.slots.max(1.0);
     sums.load /= sums.slots.max(1.0);
     sums.step /= f64::max(steps, 1.0);
-    sums.first = Span::from_micros(first / u64::max(firsts, 1));
+    sums.first_sign = Span::from_micros(first / u64::max(firsts, 1));
     sums
 }
 
-/// The slowest step of each group that the pool's servers belong to.
-pub(crate) fn group_steps(steps: &mut [f64], servers: &[Option<Server>], pool: &Pool) {
+/// Updates the slowest step time of each group that has servers in the pool.
+pub(crate) fn update_group_steps(steps: &mut [f64], servers: &[Option<Server>], pool: &Pool) {
     let members = || {
-        let listed = pool.tiers.iter().flat_map(|t| &t.list);
-        listed.filter_map(|&at| servers[at as usize].as_ref())
+        let listed = pool.tiers.iter().flat_map(|t| &t.servers);
+        listed.filter_map(|&index| servers[index as usize].as_ref())
     };
     for group in members().filter_map(|s| s.group) {
         steps[group as usize] = 0.0;
--- a/crates/routing/src/pool.rs
+++ b/crates/routing/src/pool.rs
@@ -1,30 +1,30 @@
-//! The servers that answer for one thing, in tiers from near to far.
+//! The pool of servers that offer one model or service, in tiers from near to far.
 
 use snipemast_core::prelude::*;
 
 use crate::server::Server;
 
-/// The tiers of a pool, from near to far.
+/// The number of tiers of a pool.
 pub(crate) const TIERS: usize = 3;
 
-/// How near a server is.
+/// How near a server is to an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Proximity {
-    /// In the entry's own availability zone.
+    /// The server is in the entry's own availability zone.
     Zone,
-    /// In another availability zone of its region.
+    /// The server is in another availability zone of the entry's region.
     Region,
-    /// In another region.
+    /// The server is in another region.
     Far,
 }
 
 impl Proximity {
     pub(crate) const ALL: [Self; TIERS] = [Self::Zone, Self::Region, Self::Far];
 
-    pub(crate) fn of(place: &Location, server: &Server) -> Self {
-        if server.facts.region != place.region {
+    pub(crate) fn between(entry: &Location, server: &Server) -> Self {
+        if server.facts.region != entry.region {
             Self::Far
-        } else if server.facts.zone != place.zone {
+        } else if server.facts.zone != entry.zone {
             Self::Region
         } else {
             Self::Zone
@@ -32,21 +32,21 @@
     }
 }
 
-/// Where an entry stands.
+/// The location of an entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Location {
-    /// Its availability zone.
+    /// The availability zone of the entry.
     pub zone: ZoneId,
-    /// Its region.
+    /// The region of the entry.
     pub region: RegionId,
 }
 
-/// When requests go to servers farther away.
+/// When requests spill to servers of the next tier.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SpillPolicy {
-    /// The load a slot at which requests begin to spill.
+    /// The load per slot at which requests begin to spill.
     pub begin: f64,
-    /// The load a slot at which they stop.
+    /// The load per slot below which they stop.
     pub end: f64,
 }
 
@@ -59,49 +59,51 @@
     }
 }
 
-/// What the servers of a tier have in common, worked out now and then.
+/// Means over the servers of a tier, which are refreshed at intervals.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Means {
-    /// Requests of other entries, a slot.
+    /// The requests of other entries per slot.
     pub(crate) others: f64,
-    /// All requests, a slot.
+    /// All requests per slot.
     pub(crate) load: f64,
-    /// The time of a step, in microseconds.
+    /// The time of an engine step, in microseconds.
     pub(crate) step: f64,
     /// The usual time to the first sign of an answer.
-    pub(crate) first: Span,
-    /// Slots of servers that take work.
+    pub(crate) first_sign: Span,
+    /// The slots of all servers that accept requests.
     pub(crate) slots: f64,
 }
 
-/// Servers that are equally near.
+/// The servers of a pool that are equally near.
 #[derive(Debug, Default)]
 pub(crate) struct Tier {
-    pub(crate) list: Vec<u32>,
-    /// The servers' weights in rendezvous hashing, beside each other: a scan of the servers
-    /// themselves would miss the processor's cache for each.
+    pub(crate) servers: Vec<u32>,
+    /// The servers' seeds in rendezvous hashing. They are stored next to each other, as a scan of
+    /// the servers themselves would miss the processor's cache for each one.
     pub(crate) seeds: Vec<u64>,
-    /// How many servers the tier has for each one in the list.
-    pub(crate) cut: f64,
+    /// The number of servers in the tier for each one in the list, which may be a subset.
+    pub(crate) listed_ratio: f64,
     pub(crate) means: Means,
     pub(crate) spilling: bool,
 }
 
 impl Tier {
-    /// Turns spilling on over one bound and off under a lower one.
+    /// Starts spilling at one load and stops it below a lower one. Returns the new state if it
+    /// changed.
     ///
-    /// With one bound, a zone that hovers there would throw its whole excess back and forth.
-    pub(crate) fn judge(&mut self, policy: &SpillPolicy) -> Option<bool> {
-        let full = self.means.load >= policy.begin;
-        let calm = self.means.load < policy.end;
-        let next = if self.spilling { !calm } else { full };
+    /// With a single bound, a zone whose load is close to it would switch its whole excess back
+    /// and forth.
+    pub(crate) fn update_spilling(&mut self, policy: &SpillPolicy) -> Option<bool> {
+        let is_high = self.means.load >= policy.begin;
+        let is_low = self.means.load < policy.end;
+        let next = if self.spilling { !is_low } else { is_high };
         let changed = next != self.spilling;
         self.spilling = next;
         changed.then_some(next)
     }
 }
 
-/// The servers that answer for one thing.
+/// The servers that offer one model or service.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     pub(crate) tiers: [Tier; TIERS],
@@ -110,6 +112,6 @@
 
 impl Pool {
     pub(crate) fn len(&self) -> usize {
-        self.tiers.iter().map(|t| t.list.len()).sum()
+        self.tiers.iter().map(|t| t.servers.len()).sum()
     }
 }
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -1,4 +1,4 @@
-//! Prefix affinity: hints of which servers have a prompt's prefix in their caches.
+//! Prefix affinity: hints on which servers have the prefix of a prompt in their caches.
 
 use std::collections::HashMap;
 
@@ -6,94 +6,100 @@
 
 use crate::hash::stable_hash;
 
-/// How many servers are remembered for one prefix.
+/// The most servers that are remembered for one prefix.
 const HOLDERS: usize = 4;
 
-/// A workspace's prompt prefix, as a hash that every entry computes alike.
+/// The prefix of a workspace's prompt, as a hash that is the same at every entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Prefix(pub u64);
 
 impl Prefix {
-    /// The prefix of a workspace's prompt.
+    /// Returns the prefix of a workspace's prompt.
     ///
-    /// The workspace is part of it: many workspaces that share one long prefix spread over as many
-    /// servers, and none learns from timings what another has asked.
+    /// The workspace is part of the hash. Workspaces that share one long prefix therefore spread
+    /// over many servers, and none can learn from timings what another one has asked.
     pub fn new(workspace: &WorkspaceId, text: &[u8]) -> Self {
         Self(stable_hash(&(workspace, text)))
     }
 }
 
-/// How far a cached prefix may draw requests.
+/// The loads up to which a server attracts requests by a cached prefix.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PrefixPolicy {
-    /// The load, as a multiple of the tier's mean, up to which a server attracts.
-    pub bound: f64,
-    /// The load a slot over which a server does not attract: a wait costs more than a prefill.
-    pub cap: f64,
-    /// The load, as a multiple of the mean, up to which it does while requests wait at the entry.
-    pub backlog: f64,
-    /// The load a slot up to which a server attracts whatever the mean.
-    pub floor: f64,
-    /// How many prefixes are remembered.
-    pub hints: usize,
+    /// The load up to which a server attracts requests, as a multiple of the tier's mean.
+    pub mean_ratio: f64,
+    /// The load per slot over which a server attracts none, as a wait costs more than a prefill.
+    pub max_load: f64,
+    /// The load up to which a server attracts requests while others wait at the entry, as a
+    /// multiple of the tier's mean.
+    pub backlog_ratio: f64,
+    /// The load per slot up to which a server attracts requests for any mean.
+    pub min_load: f64,
+    /// The most prefixes that are remembered.
+    pub max_prefixes: usize,
 }
 
 impl Default for PrefixPolicy {
     fn default() -> Self {
         Self {
-            bound: 1.25,
-            cap: 0.95,
-            backlog: 1.15,
-            floor: 0.5,
-            hints: 16_384,
+            mean_ratio: 1.25,
+            max_load: 0.95,
+            backlog_ratio: 1.15,
+            min_load: 0.5,
+            max_prefixes: 16_384,
         }
     }
 }
 
 impl PrefixPolicy {
-    /// The load a slot up to which a server attracts, where the tier's mean is this.
+    /// Returns the load per slot up to which a server attracts requests in a tier with this mean.
     ///
-    /// In a tier with free slots no prefix is worth a wait. While requests wait at the entry they
-    /// wait wherever they go, and prompts computed anew would eat into what the tier gets through.
-    pub(crate) fn limit(&self, mean: f64, backlog: bool) -> f64 {
+    /// In a tier with free slots no prefix is worth a wait. While requests wait at the entry, they
+    /// wait at every server, and prompts that are computed again would reduce the tier's
+    /// throughput.
+    pub(crate) fn load_limit(&self, mean: f64, backlog: bool) -> f64 {
         if backlog {
-            (self.backlog * mean).max(self.cap)
+            (self.backlog_ratio * mean).max(self.max_load)
         } else {
-            (self.bound * mean).min(self.cap).max(self.floor)
+            (self.mean_ratio * mean)
+                .min(self.max_load)
+                .max(self.min_load)
         }
     }
 }
 
-/// Which servers have said that they hold a prefix.
+/// The servers that have reported that they cache a prefix.
 #[derive(Debug)]
 pub(crate) struct Hints {
-    bound: usize,
+    max_prefixes: usize,
     holders: HashMap<Prefix, [Option<u32>; HOLDERS]>,
-    numbers: HashMap<u32, u64>,
+    /// The number of the last event of each server.
+    last_events: HashMap<u32, u64>,
 }
 
 impl Hints {
-    pub(crate) fn new(bound: usize) -> Self {
+    pub(crate) fn new(max_prefixes: usize) -> Self {
         Self {
-            bound,
+            max_prefixes,
             holders: HashMap::new(),
-            numbers: HashMap::new(),
+            last_events: HashMap::new(),
         }
     }
 
-    /// Takes one cache event; a gap before it drops what the server said earlier.
+    /// Records a cache event. If events before it are missing, earlier hints of the server are
+    /// dropped.
     ///
-    /// The lost event may have been an eviction: a hint kept over it would send a hot prefix to
-    /// a server that must compute it anew, again and again.
-    pub(crate) fn note(&mut self, server: u32, number: u64, prefix: Prefix, held: bool) {
-        let last = self.numbers.get(&server).copied();
+    /// A missing event may have been an eviction. A hint that was kept would then send a frequent
+    /// prefix to a server that has to compute it again.
+    pub(crate) fn record_event(&mut self, server: u32, number: u64, prefix: Prefix, held: bool) {
+        let last = self.last_events.get(&server).copied();
         if last.is_some_and(|l| number <= l) {
             return;
         }
         if last.is_some_and(|l| number > l + 1) {
-            self.drop_holder(server);
+            self.drop_hints(server);
         }
-        self.numbers.insert(server, number);
+        self.last_events.insert(server, number);
         if held {
             self.add(server, prefix);
         } else {
@@ -112,7 +118,7 @@
 
     pub(crate) fn forget(&mut self, server: u32, prefix: Prefix) {
         if let Some(holders) = self.holders.get_mut(&prefix) {
-            clear(holders, server);
+            remove_holder(holders, server);
             if holders.iter().all(Option::is_none) {
                 self.holders.remove(&prefix);
             }
@@ -120,14 +126,14 @@
     }
 
     pub(crate) fn forget_server(&mut self, server: u32) {
-        self.numbers.remove(&server);
-        self.drop_holder(server);
+        self.last_events.remove(&server);
+        self.drop_hints(server);
     }
 
     fn add(&mut self, server: u32, prefix: Prefix) {
-        let full = self.holders.len() >= self.bound && !self.holders.contains_key(&prefix);
+        let full = self.holders.len() >= self.max_prefixes && !self.holders.contains_key(&prefix);
         if full {
-            // Any one gives way: a hint that is missed costs one prefill.
+            // Any prefix may be dropped, as a missing hint costs only one prefill.
             if let Some(old) = self.holders.keys().next().copied() {
                 self.holders.remove(&old);
             }
@@ -140,15 +146,15 @@
         holders[0] = Some(server);
     }
 
-    fn drop_holder(&mut self, server: u32) {
+    fn drop_hints(&mut self, server: u32) {
         self.holders.retain(|_, holders| {
-            clear(holders, server);
+            remove_holder(holders, server);
             holders.iter().any(Option::is_some)
         });
     }
 }
 
-fn clear(holders: &mut [Option<u32>; HOLDERS], server: u32) {
+fn remove_holder(holders: &mut [Option<u32>; HOLDERS], server: u32) {
     for holder in holders {
         if *holder == Some(server) {
             *holder = None;
--- a/crates/routing/src/query.rs
+++ b/crates/routing/src/query.rs
@@ -1,4 +1,4 @@
-//! What is asked of the choice, and what it says.
+//! The input and the result of a choice, and its policy.
 
 use snipemast_core::prelude::*;
 
@@ -7,20 +7,20 @@
 use crate::prefix::{Prefix, PrefixPolicy};
 use crate::wanted::Wanted;
 
-/// How servers are weighed.
+/// How servers are compared in a choice.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RoutingPolicy {
-    /// How many servers are drawn and compared.
+    /// The number of servers that are drawn and compared.
     pub draws: usize,
-    /// The age at which half of a report's word on other entries is believed.
-    pub fade: Span,
-    /// How old a tier's means may be.
-    pub refresh: Span,
-    /// When a server is held for ill.
+    /// The age at which a report's count of other entries' requests has half its weight.
+    pub trust_half_life: Span,
+    /// The age at which the means of a tier are refreshed.
+    pub refresh_interval: Span,
+    /// When a server counts as unhealthy.
     pub health: HealthPolicy,
-    /// When requests spill into another zone.
+    /// When requests spill to servers of the next tier.
     pub spill: SpillPolicy,
-    /// How far a cached prefix may draw requests.
+    /// The loads up to which a server attracts requests by a cached prefix.
     pub prefix: PrefixPolicy,
 }
 
@@ -28,8 +28,8 @@
     fn default() -> Self {
         Self {
             draws: 2,
-            fade: Span::from_millis(1_000),
-            refresh: Span::from_millis(20),
+            trust_half_life: Span::from_millis(1_000),
+            refresh_interval: Span::from_millis(20),
             health: HealthPolicy::default(),
             spill: SpillPolicy::default(),
             prefix: PrefixPolicy::default(),
@@ -37,27 +37,27 @@
     }
 }
 
-/// A server's position in the table; it is reused after the server left.
+/// The position of a server in the table, which is reused after the server has left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerIndex(pub(crate) u32);
 
-/// What is asked of the choice.
+/// What a request needs from the server that is chosen for it.
 #[derive(Debug, Clone, Copy)]
 pub struct Query<'a> {
-    /// What the server must offer.
+    /// The model or service that the server must offer.
     pub wanted: &'a Wanted,
-    /// What its engine must be able to do.
+    /// The capabilities that the server's engine must have.
     pub needs: Capabilities,
-    /// The prompt's prefix.
+    /// The prefix of the prompt.
     pub prefix: Option<Prefix>,
-    /// The servers that were tried and are left out.
+    /// The servers that were already tried and are left out.
     pub tried: &'a [ProcessId],
-    /// Whether requests wait at the entry.
+    /// Whether other requests wait at the entry.
     pub backlog: bool,
 }
 
 impl<'a> Query<'a> {
-    /// Asks for a server that offers this.
+    /// Creates a query for a server that offers this model or service.
     pub fn new(wanted: &'a Wanted) -> Self {
         Self {
             wanted,
@@ -75,21 +75,21 @@
         self
     }
 
-    /// Leaves out the servers that were tried.
+    /// Leaves out the servers that were already tried.
     #[must_use]
     pub fn with_tried(mut self, tried: &'a [ProcessId]) -> Self {
         self.tried = tried;
         self
     }
 
-    /// Says whether requests wait at the entry.
+    /// Sets whether other requests wait at the entry.
     #[must_use]
     pub fn with_backlog(mut self, backlog: bool) -> Self {
         self.backlog = backlog;
         self
     }
 
-    /// Asks for a server whose engine can do this.
+    /// Requires a server whose engine has these capabilities.
     #[must_use]
     pub fn with_needs(mut self, needs: Capabilities) -> Self {
         self.needs = needs;
@@ -102,37 +102,37 @@
 pub struct Choice {
     /// The server.
     pub server: ServerIndex,
-    /// Requests that run or wait there, a slot, as far as one can tell.
+    /// The estimated number of requests that run or wait there, per slot.
     pub load: f64,
-    /// How near it is.
+    /// How near the server is.
     pub proximity: Proximity,
 }
 
 /// Why no server was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoServer {
-    /// Nothing offers it.
+    /// No server offers the model or service.
     Unloaded,
-    /// What offers it is draining, suspect, ejected, unable or tried.
+    /// Every server that offers it is draining, lacks a capability or was already tried.
     Unfit,
 }
 
-/// Something that an operator should see.
+/// A change that an operator should see.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Notice {
     /// A server was ejected.
     Ejected(ServerId, EjectionCause),
     /// A server came back from its ejection.
     Returned(ServerId),
-    /// Requests begin to spill out of a tier, or stop.
+    /// Requests begin to spill out of a tier if true, or stop.
     Spilled(Proximity, bool),
 }
 
 /// Why a server was ejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EjectionCause {
-    /// It failed requests in a row.
+    /// The server failed too many requests in a row.
     Failures,
-    /// It has work and shows no progress.
+    /// The server has work and makes no progress.
     Stalled,
 }
--- a/crates/routing/src/refusal.rs
+++ b/crates/routing/src/refusal.rs
@@ -1,34 +1,34 @@
-//! Why a request is not let in, and when to come back.
+//! Why a request is refused, and when to retry it.
 
 use std::fmt;
 
 use snipemast_core::prelude::*;
 
 data! {
-    /// What held a request back.
+    /// Why a request was refused.
     #[derive(Copy, PartialOrd, Ord, Hash)]
     #[serde(rename_all = "kebab-case")]
     pub enum Reason {
-        /// The workspace asks for more requests a second than its limit.
+        /// The workspace asks for more requests per second than its limit.
         Requests,
-        /// The workspace asks for more tokens a second than its limit.
+        /// The workspace asks for more tokens per second than its limit.
         Tokens,
         /// The workspace has as many requests in flight as its limit.
         Concurrency,
         /// The workspace's queue is full.
         Queue,
-        /// It would wait past its deadline.
+        /// The request would wait past its deadline.
         Deadline,
-        /// No backend server has loaded what it asks for.
+        /// No backend server has loaded what the request asks for.
         Unloaded,
     }
 
-    /// A request that is not let in. It did not run.
+    /// The refusal of a request, which did not run.
     #[derive(Copy)]
     pub struct Refusal {
-        /// What held it back.
+        /// Why the request was refused.
         pub reason: Reason,
-        /// When to come back.
+        /// The time after which to retry.
         pub retry: Span,
     }
 }
@@ -36,19 +36,19 @@
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Requests => "the workspace is over its requests a second",
-            Self::Tokens => "the workspace is over its tokens a second",
-            Self::Concurrency => "the workspace has as many requests in flight as it may",
+            Self::Requests => "the workspace exceeds its limit of requests per second",
+            Self::Tokens => "the workspace exceeds its limit of tokens per second",
+            Self::Concurrency => "the workspace has reached its limit of requests in flight",
             Self::Queue => "the workspace's queue is full",
-            Self::Deadline => "it would wait past its deadline",
-            Self::Unloaded => "no backend server offers it now",
+            Self::Deadline => "the request would wait past its deadline",
+            Self::Unloaded => "no backend server offers the model or service now",
         })
     }
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}; come back in {}", self.reason, self.retry)
+        write!(f, "{}; retry in {}", self.reason, self.retry)
     }
 }
 
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -1,4 +1,4 @@
-//! One backend server, as one entry knows it.
+//! One backend server in the router's table.
 
 use snipemast_core::prelude::*;
 
@@ -6,24 +6,24 @@
 use crate::load::Load;
 use crate::wanted::Wanted;
 
-/// A backend server's word about itself, as its agent announced it.
+/// What the agent of a backend server announced about it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerFacts {
-    /// Its agent.
+    /// The agent process of the server.
     pub agent: ProcessId,
-    /// Its availability zone.
+    /// The availability zone of the server.
     pub zone: ZoneId,
-    /// Its region.
+    /// The region of the server.
     pub region: RegionId,
-    /// What it offers and can do.
+    /// What the server offers and is capable of.
     pub info: ServerInfo,
-    /// Whether it takes no new work.
+    /// Whether the server accepts no new requests.
     pub draining: bool,
 }
 
 impl ServerFacts {
-    /// Whether lists that are built from other facts still hold.
-    pub(crate) fn is_listed_like(&self, other: &Self) -> bool {
+    /// Whether pools that were built from other facts stay the same with these.
+    pub(crate) fn has_same_pools(&self, other: &Self) -> bool {
         self.zone == other.zone && self.region == other.region && self.info == other.info
     }
 }
@@ -34,11 +34,11 @@
     pub(crate) facts: ServerFacts,
     pub(crate) load: Load,
     pub(crate) health: Health,
-    /// Whether membership has doubts that it is alive.
+    /// Whether membership suspects that the server is dead.
     pub(crate) suspect: bool,
-    /// Weight of the server in rendezvous hashing.
+    /// The seed of the server's weights in rendezvous hashing.
     pub(crate) seed: u64,
-    /// Position of its group among all groups.
+    /// The index of the server's group among all groups.
     pub(crate) group: Option<u32>,
 }
 
@@ -47,7 +47,7 @@
         f64::from(self.facts.info.slots.max(1))
     }
 
-    pub(crate) fn wanted(&self) -> Vec<Wanted> {
+    pub(crate) fn offered(&self) -> Vec<Wanted> {
         let offers = self.facts.info.offers.iter();
         let mut all: Vec<_> = offers.flat_map(Wanted::offered_by).collect();
         all.sort();
@@ -55,7 +55,7 @@
         all
     }
 
-    pub(crate) fn covers(&self, needs: &Capabilities) -> bool {
+    pub(crate) fn has_capabilities(&self, needs: &Capabilities) -> bool {
         let has = &self.facts.info.capabilities;
         (has.fencing || !needs.fencing)
             && (has.resume || !needs.resume)
--- a/crates/routing/src/status.rs
+++ b/crates/routing/src/status.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of limits and routing: who is held back, and why.
+//! The status of limits and routing that operators see.
 
 use snipemast_core::prelude::*;
 
@@ -6,44 +6,44 @@
 use crate::wish::Wish;
 
 data! {
-    /// Limits and routing at one entry.
+    /// The status of limits and routing at one entry.
     #[derive(Default)]
     pub struct LimitStatus {
-        /// The workspaces that were held back lately.
+        /// The workspaces with recently refused requests.
         pub held: Vec<HeldWorkspace>,
         /// The pools that requests run in or wait for.
         pub lanes: Vec<LaneStatus>,
         /// The backend servers that are ejected.
         pub ejected: Vec<ServerId>,
-        /// The loads that are wished for.
+        /// The loads that are requested from the platform.
         pub wishes: Vec<Wish>,
     }
 
-    /// One workspace that is held back for one reason.
+    /// A workspace whose requests are refused for one reason.
     pub struct HeldWorkspace {
         /// The workspace.
         pub workspace: WorkspaceId,
-        /// What holds it back.
+        /// The reason for the refusals.
         pub reason: Reason,
-        /// Refusals a minute, lately.
+        /// The recent refusals per minute.
         pub rate: u32,
-        /// When the last refused caller was told to come back.
+        /// The time after which the last refused caller was told to retry.
         pub retry: Span,
-        /// This entry's share of the workspace's limits, in per cent.
+        /// The entry's share of the workspace's limits, in per cent.
         pub share: u32,
     }
 
-    /// One pool's requests at this entry.
+    /// The requests of one pool at one entry.
     pub struct LaneStatus {
-        /// What the pool answers for.
+        /// The model or service that the pool offers.
         pub pool: String,
-        /// Requests that run.
+        /// The number of requests that run.
         pub running: u32,
-        /// Requests that wait.
+        /// The number of requests that wait.
         pub waiting: u32,
-        /// The slots that are this entry's part.
+        /// The slots of the pool that are this entry's share.
         pub share: u32,
-        /// The slots of the pool that stand free, by what reports say.
+        /// The free slots of the pool, by the load reports.
         pub free: u32,
     }
 }
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -1,27 +1,27 @@
-//! Deterministic subsets: which servers an entry keeps connections to.
+//! Deterministic subsets of the servers that an entry keeps connections to.
 //!
-//! Entries have seats, numbered from 0 within their zone. A round of seats shuffles the servers
-//! alike and shares them out, so each server is taken once a round: whatever the number of
-//! entries, the servers' counts of entries differ by one at most.
+//! The entries of a zone are numbered from 0. A round of consecutive entries shuffles the servers
+//! in the same way and divides them up, so each server belongs to one entry of a round. For any
+//! number of entries, the counts of entries that the servers have differ by at most one.
 
 use crate::hash::{below, mix};
 
-/// An entry's place among the entries that share servers.
+/// The subset of servers that one entry keeps connections to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Subset {
-    /// The position, from 0.
+    /// The number of the entry in its zone, from 0.
     pub number: usize,
-    /// How many servers the entry keeps to, where there are more.
+    /// The number of servers in the subset, if there are enough.
     pub size: usize,
 }
 
 impl Subset {
-    /// A seat that keeps to this many servers.
+    /// Creates the subset of the entry with this number, with this many servers.
     pub const fn new(number: usize, size: usize) -> Self {
         Self { number, size }
     }
 
-    /// Cuts a list of servers, in an order that all entries share, down to the seat's own.
+    /// Reduces a list of servers to the subset. All entries must have the list in the same order.
     pub fn narrow(self, servers: &mut Vec<u32>) {
         let parts = servers.len() / self.size.max(1);
         if parts < 2 {
--- a/crates/routing/src/wanted.rs
+++ b/crates/routing/src/wanted.rs
@@ -1,4 +1,4 @@
-//! What a backend server must offer to answer a request.
+//! The model or service that a request needs.
 
 use std::fmt;
 
@@ -7,10 +7,10 @@
 use crate::hash::stable_hash;
 
 data! {
-    /// What a backend server must offer to answer a request.
+    /// The model or service that a backend server must offer to answer a request.
     #[derive(PartialOrd, Ord, Hash)]
     pub enum Wanted {
-        /// This model, in this version, with this adapter.
+        /// A model in one version, with or without an adapter.
         Model {
             /// The model.
             model: ModelId,
@@ -19,13 +19,13 @@
             /// The adapter.
             adapter: Option<AdapterId>,
         },
-        /// This plain service.
+        /// A plain service.
         Service(ServiceId),
     }
 }
 
 impl Wanted {
-    /// Whether an offer answers for it.
+    /// Returns whether an offer includes the model or service.
     pub fn matches(&self, offer: &Offer) -> bool {
         match (self, offer) {
             (
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Everything that an offer answers for.
+    /// Returns everything that an offer includes.
     pub fn offered_by(offer: &Offer) -> Vec<Self> {
         match offer {
             Offer::Model {
@@ -67,7 +67,8 @@
         }
     }
 
-    /// A hash of the model or service, the same for every adapter and version of a model.
+    /// Returns a hash of the model or service, which is the same for all versions and adapters of a
+    /// model.
     pub fn family(&self) -> u64 {
         match self {
             Self::Model { model, .. } => stable_hash(model),
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Lanes: who runs, who waits, who is refused.
+//! Lanes: which requests run, wait or are refused.
 
 mod common;
 
@@ -7,20 +7,20 @@
 use common::{seeded, workspace, CALM};
 use quickcheck::QuickCheck;
 use snipemast_core::prelude::*;
-use snipemast_routing::fair::{FairQueue, Waiting};
+use snipemast_routing::fair::{FairQueue, QueuedRequest};
 use snipemast_routing::{
     Arrival, Decision, Departure, Dequeued, Lane, LanePolicy, PoolCapacity, Priority, Reason,
     Ticket,
 };
 
-const ROOM: PoolCapacity = PoolCapacity {
+const CAPACITY: PoolCapacity = PoolCapacity {
     own_slots: 10.0,
     free_slots: 0.0,
 };
 
 fn lane() -> Lane {
     Lane::new(LanePolicy {
-        fill: 1.0,
+        slot_factor: 1.0,
         reserve: 0.2,
         ..LanePolicy::default()
     })
@@ -49,20 +49,20 @@
     CALM + Span::from_secs(600)
 }
 
-fn waiting(n: u64, name: &str, priority: Priority) -> Waiting {
+fn waiting(n: u64, name: &str, priority: Priority) -> QueuedRequest {
     let workspace = workspace(name);
-    Waiting {
+    QueuedRequest {
         ticket: Ticket(n),
         workspace,
         priority,
         cost: 1.0,
-        latest: Moment::NEVER,
+        latest_start: Moment::NEVER,
     }
 }
 
 #[test]
 fn shares_by_weight() {
-    // Shares of the output follow the weights, whatever the weights and however long the queues.
+    // The shares of the output must follow the weights, for any weights and long queues.
     fn property(weights: Vec<u8>) -> bool {
         let weights: Vec<f64> = weights
             .iter()
@@ -102,8 +102,8 @@
 
 #[test]
 fn none_starves() {
-    // A workspace sends urgent requests without end; its own patient ones must still move, and
-    // so must every other workspace's.
+    // A workspace sends urgent requests without a pause. Its own requests of low priority, and
+    // those of other workspaces, must still get their turn.
     let mut queue = FairQueue::new();
     queue.push(1.0, waiting(1, "a", Priority::Low));
     queue.push(0.01, waiting(2, "b", Priority::Low));
@@ -125,10 +125,10 @@
 
 #[test]
 fn idle_saves_little() {
-    // A workspace is idle for long and then comes with a flood; what it did not use must not let
-    // it hold the others back for as long.
+    // A workspace is idle for a long time and then sends a flood of requests. Its unused share must
+    // not let it hold back the others for as long as it was idle.
     let mut queue = FairQueue::new();
-    queue.allow(10.0);
+    queue.set_max_credit(10.0);
     for n in 0..1_000 {
         queue.push(1.0, waiting(n, "busy", Priority::Normal));
         queue.pop();
@@ -144,56 +144,61 @@
 
 #[test]
 fn flood_and_neighbour() {
-    // One workspace floods a pool. Another, well within its share, must not queue behind it.
+    // One workspace floods a pool. Another one, well within its share, must not wait for it.
     let mut lane = lane();
-    let doors: Vec<_> = (0..100)
-        .map(|_| lane.arrive(CALM, arrival("flood", late()), ROOM))
+    let decisions: Vec<_> = (0..100)
+        .map(|_| lane.arrive(CALM, arrival("flood", late()), CAPACITY))
         .collect();
-    assert_eq!(doors.iter().filter(|d| **d == Decision::Run).count(), 10);
     assert_eq!(
-        lane.arrive(CALM, arrival("calm", late()), ROOM),
+        decisions.iter().filter(|d| **d == Decision::Run).count(),
+        10
+    );
+    assert_eq!(
+        lane.arrive(CALM, arrival("calm", late()), CAPACITY),
         Decision::Run
     );
-    // The reserve is a bound too: no stream of neighbours may fill the servers without end.
+    // The reserve has a bound too, so that many other workspaces can't overfill the servers.
     let more: Vec<_> = (0..20)
-        .map(|n| lane.arrive(CALM, arrival(&format!("calm-{n}"), late()), ROOM))
+        .map(|n| lane.arrive(CALM, arrival(&format!("calm-{n}"), late()), CAPACITY))
         .collect();
     assert_eq!(more.iter().filter(|d| **d == Decision::Run).count(), 1);
 }
 
 #[test]
 fn work_conserving() {
-    // A workspace alone may use all that others leave, beyond its own entry's part too.
+    // A single workspace may use all free slots, also those beyond its entry's share. Idle slots
+    // would be wasted otherwise.
     let mut lane = lane();
-    let room = PoolCapacity {
+    let capacity = PoolCapacity {
         own_slots: 10.0,
         free_slots: 30.0,
     };
-    let open = (0..100).filter(|_| lane.arrive(CALM, arrival("a", late()), room) == Decision::Run);
+    let open =
+        (0..100).filter(|_| lane.arrive(CALM, arrival("a", late()), capacity) == Decision::Run);
     assert_eq!(open.count(), 40);
 }
 
 #[test]
 fn refused_early() {
-    // A request that would wait past its deadline is told so at once, with a time after which
-    // it would not; told late, its caller would have waited for nothing.
+    // A request that would wait past its deadline must be refused at once, with a time after which
+    // it would not. If it were refused late, its caller would have waited for nothing.
     let mut lane = lane();
     for _ in 0..10 {
-        lane.arrive(CALM, arrival("a", late()), ROOM);
+        lane.arrive(CALM, arrival("a", late()), CAPACITY);
     }
     for _ in 0..100 {
         lane.depart(&departure("a", Some(Span::from_secs(1))));
-        lane.arrive(CALM, arrival("a", late()), ROOM);
+        lane.arrive(CALM, arrival("a", late()), CAPACITY);
     }
     for _ in 0..50 {
-        lane.arrive(CALM, arrival("a", late()), ROOM);
+        lane.arrive(CALM, arrival("a", late()), CAPACITY);
     }
     let deadline = CALM + Span::from_secs(3);
-    let Decision::Refused(refusal) = lane.arrive(CALM, arrival("a", deadline), ROOM) else {
-        panic!("it can't come in time");
+    let Decision::Refused(refusal) = lane.arrive(CALM, arrival("a", deadline), CAPACITY) else {
+        panic!("the request can't be answered in time");
     };
     assert_eq!(refusal.reason, Reason::Deadline);
-    // Some 50 wait and 10 leave a second; 2 s are left to wait.
+    // About 50 requests wait, 10 end per second, and 2 s are left to wait.
     assert!(
         (2_000..5_000).contains(&refusal.retry.as_millis()),
         "{}",
@@ -203,23 +208,23 @@
 
 #[test]
 fn dead_work_dropped() {
-    // A burst queues up more than can be answered in time. Were the old ones run first, each
-    // would end past its deadline, its caller would send again, and the pool would work at full
-    // speed for nothing, long after the burst.
+    // A burst queues more requests than can be answered in time. If the old ones ran first, each
+    // would end past its deadline and its caller would send it again. The pool would do useless
+    // work at full speed long after the burst.
     let mut lane = lane();
     for _ in 0..10 {
-        lane.arrive(CALM, arrival("a", late()), ROOM);
+        lane.arrive(CALM, arrival("a", late()), CAPACITY);
     }
     let soon = CALM + Span::from_secs(1);
     for _ in 0..30 {
-        lane.arrive(CALM, arrival("a", soon), ROOM);
+        lane.arrive(CALM, arrival("a", soon), CAPACITY);
     }
-    let Decision::Wait(fresh) = lane.arrive(CALM, arrival("a", late()), ROOM) else {
-        panic!("it waits");
+    let Decision::Wait(fresh) = lane.arrive(CALM, arrival("a", late()), CAPACITY) else {
+        panic!("the request waits");
     };
     lane.depart(&departure("a", None));
     let now = CALM + Span::from_secs(2);
-    let called: Vec<_> = std::iter::from_fn(|| lane.dequeue(now, ROOM)).collect();
+    let called: Vec<_> = std::iter::from_fn(|| lane.dequeue(now, CAPACITY)).collect();
     let refused = called
         .iter()
         .filter(|c| matches!(c, Dequeued::Refused(..)))
@@ -231,29 +236,30 @@
 #[test]
 fn queue_bound() {
     let policy = LanePolicy {
-        queue: 5,
+        max_queue: 5,
         ..LanePolicy::default()
     };
     let mut lane = Lane::new(policy);
-    let doors: Vec<_> = (0..40)
-        .map(|_| lane.arrive(CALM, arrival("a", late()), ROOM))
+    let decisions: Vec<_> = (0..40)
+        .map(|_| lane.arrive(CALM, arrival("a", late()), CAPACITY))
         .collect();
     assert_eq!(lane.waiting(), 5);
-    assert!(matches!(doors.last(), Some(Decision::Refused(r)) if r.reason == Reason::Queue));
+    assert!(matches!(decisions.last(), Some(Decision::Refused(r)) if r.reason == Reason::Queue));
 }
 
 #[test]
 fn gone_leaves_place() {
-    // A caller leaves while it waits; its place must not count, nor its turn be taken.
+    // A caller disconnects while its request waits. The request must no longer count in the queue,
+    // and must not run.
     let mut lane = lane();
     for _ in 0..10 {
-        lane.arrive(CALM, arrival("a", late()), ROOM);
+        lane.arrive(CALM, arrival("a", late()), CAPACITY);
     }
-    let Decision::Wait(ticket) = lane.arrive(CALM, arrival("a", late()), ROOM) else {
-        panic!("it waits");
+    let Decision::Wait(ticket) = lane.arrive(CALM, arrival("a", late()), CAPACITY) else {
+        panic!("the request waits");
     };
     lane.abandon(ticket);
     lane.depart(&departure("a", None));
-    assert_eq!(lane.dequeue(CALM, ROOM), None);
+    assert_eq!(lane.dequeue(CALM, CAPACITY), None);
     assert_eq!((lane.waiting(), lane.running()), (0, 9));
 }
--- a/crates/routing/tests/affinity.rs
+++ b/crates/routing/tests/affinity.rs
@@ -31,7 +31,8 @@
 
 #[test]
 fn same_server() {
-    // Two entries that never speak to each other send one prefix to the same server.
+    // Two entries that exchange no hints must send a prefix to the same server, or each server
+    // would compute it again.
     let mut here = pool(16);
     let mut there = pool(16);
     for n in 0..50 {
@@ -42,8 +43,8 @@
 
 #[test]
 fn shared_prompt() {
-    // Many workspaces begin with the same long prompt of an application. Were the prompt alone
-    // the key, all of them would crowd one server.
+    // Many workspaces begin with the same long prompt of an application. If the prompt alone were
+    // the key, all of them would be sent to one server.
     let mut router = pool(16);
     let servers: BTreeSet<_> = (0..64)
         .map(|n| {
@@ -59,8 +60,8 @@
 
 #[test]
 fn load_bound() {
-    // One workspace's prompt is so popular that its server can't keep up. Requests must go
-    // elsewhere while others have room, or they wait for a cache that saves less than the wait.
+    // The prompt of one workspace is so frequent that its server can't keep up. Requests must go to
+    // other servers that have room, or they wait longer than the cache saves.
     let mut router = pool(8);
     let mut counts = vec![0; 8];
     for _ in 0..200 {
@@ -85,8 +86,8 @@
 
 #[test]
 fn gap_drops_hints() {
-    // Cache events are lost, the eviction of a prefix among them. Trusted on, the hint would send
-    // the prefix to a server that computes it anew each time.
+    // Cache events are lost, and one of them was the eviction of a prefix. If the hint were kept,
+    // it would send the prefix to a server that has to compute it again.
     let mut router = pool(8);
     let usual = choose(&mut router, Prefix(9));
     let other = if at(&router, usual) == host(3) { 4 } else { 3 };
@@ -99,7 +100,7 @@
 
 #[test]
 fn late_event() {
-    // An event that was overtaken says that a prefix is held which has been evicted since.
+    // A late event reports that a prefix is cached, although a later one has reported its eviction.
     let mut router = pool(8);
     let usual = choose(&mut router, Prefix(9));
     let other = if at(&router, usual) == host(3) { 4 } else { 3 };
@@ -110,7 +111,7 @@
 
 #[test]
 fn answer_reconciles() {
-    // An answer shows that nothing was cached, whatever the events said.
+    // An answer shows that a prefix was not cached, although an event had reported it.
     let mut router = pool(8);
     let usual = choose(&mut router, Prefix(9));
     let other = if at(&router, usual) == host(3) { 4 } else { 3 };
@@ -122,7 +123,7 @@
 
 #[test]
 fn restart_forgets() {
-    // An engine came up again with an empty cache.
+    // An engine has restarted with an empty cache, so the hints on it are wrong.
     let mut router = pool(8);
     let usual = choose(&mut router, Prefix(9));
     let other = if at(&router, usual) == host(3) { 4 } else { 3 };
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a server.
+//! The choice of a server for a request.
 
 mod common;
 
@@ -11,7 +11,7 @@
     router.choose(now, &Query::new(wanted))
 }
 
-/// Sends some requests and counts them by server.
+/// Sends some requests and returns their counts by server.
 fn spread(router: &mut Router, now: Moment, wanted: &Wanted, count: usize) -> Vec<usize> {
     let mut counts = Vec::new();
     for _ in 0..count {
@@ -30,8 +30,9 @@
 
 #[test]
 fn never_unfit() {
-    // A caller sees its request refused, or an answer in another model's voice: the server that
-    // it went to was leaving, or never had what was asked for. Any mix of servers must do.
+    // A request goes to a server that is draining, was already tried, or lacks the service or a
+    // capability. Its caller gets a refusal or a wrong answer. The property checks any mix of
+    // servers.
     fn property(draining: u16, offering: u16, able: u16, tried: u16) -> TestResult {
         let mut router = router();
         let wanted = service("a");
@@ -109,8 +110,8 @@
 
 #[test]
 fn own_requests_count() {
-    // One server gets a burst while the others idle: its last report said that it was idle, and
-    // what was sent since did not count.
+    // One server gets a burst while the others are idle. Its last report was of an idle server,
+    // and the requests that were sent since then did not count.
     let mut router = router();
     for n in 0..4 {
         router.upsert(CALM, facts(n, "a"), false);
@@ -128,8 +129,8 @@
 
 #[test]
 fn old_report() {
-    // Reports come by two ways. The slow way brings an old idle picture after the fast one has
-    // said that the server is full, and requests pile up on the full server.
+    // Reports arrive in two ways. The slow way brings an old report of an idle server after the
+    // fast one has reported that it is full, and requests pile up on the full server.
     let mut router = router();
     for n in 0..2 {
         router.upsert(CALM, facts(n, "a"), false);
@@ -152,8 +153,8 @@
 
 #[test]
 fn ended_not_counted_twice() {
-    // A server's report counts requests of one's own that have ended since; counted on, a server
-    // that works fast would look full for as long as reports lag.
+    // The report of a server counts requests of this entry that have ended since. If they still
+    // counted, a fast server would look full for as long as reports lag.
     let mut router = router();
     let slot = router.upsert(CALM, facts(0, "a"), false);
     let sent = CALM;
@@ -177,8 +178,8 @@
 
 #[test]
 fn prompt_step() {
-    // One step that took in a long prompt is twice as long. Taken at its word, every server that
-    // has just begun a request looks slow, and waits grow twentyfold.
+    // A step with a long prompt takes twice as long. If that counted as slowness, every server that
+    // has just begun a request would look slow, and waits would grow twentyfold.
     let mut router = router();
     for n in 0..3 {
         router.upsert(CALM, facts(n, "a"), false);
@@ -196,7 +197,8 @@
 
 #[test]
 fn slow_group() {
-    // A group steps as slowly as its slowest rank: a fast rank of a slow group is no better.
+    // All ranks of a group step as slowly as the slowest one, so a fast rank of a slow group is no
+    // better than the others.
     let mut router = router();
     for n in 0..4 {
         let mut facts = facts(n, "a");
@@ -221,8 +223,8 @@
 
 #[test]
 fn subset_counts() {
-    // At 350 entries before 600 servers no entry may hold connections to all, and every server
-    // must still be in as many subsets as any other, or some are full while others idle.
+    // With 350 entries and 600 servers no entry keeps connections to all servers. Every server must
+    // still be in as many subsets as any other, or some are full while others are idle.
     let mut counts = [0; 600];
     for entry in 0..350 {
         let mut list: Vec<u32> = (0..600).collect();
@@ -252,8 +254,8 @@
 
 #[test]
 fn spill_and_back() {
-    // Own servers fill up while another zone idles; then they empty slowly. With one bound, all
-    // requests would jump between the zones each time that the load crosses it.
+    // The servers of the own zone fill up while another zone is idle, and then empty slowly. With a
+    // single bound, all requests would switch zones each time that the load crosses it.
     let mut router = router();
     for n in 0..4 {
         let mut facts = facts(n, "a");
@@ -287,8 +289,8 @@
 
 #[test]
 fn cut_off() {
-    // A zone is cut off and membership doubts every server, its own too. Refusing all until the
-    // doubt is settled would turn a partition into an outage of what still works.
+    // A zone is cut off, and membership suspects every server, also those of the zone. Refusing all
+    // requests until then would stop servers that still work.
     let mut router = router();
     for n in 0..3 {
         router.upsert(CALM, facts(n, "a"), false);
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of routing share.
+//! Helpers that the routing tests share.
 
 #![allow(dead_code)]
 
@@ -6,15 +6,15 @@
 use snipemast_core::prelude::*;
 use snipemast_routing::{Location, Router, ServerFacts, Wanted};
 
-/// A moment after everything has warmed up.
+/// A moment at which every server has finished its slow start.
 pub(crate) const CALM: Moment = Moment::from_millis(100_000);
 
-/// A generator with a fixed seed, so that each run gives the same verdict.
+/// Returns a generator with a fixed seed, so that each run has the same result.
 pub(crate) fn seeded(seed: u64) -> Gen {
     Gen::from_size_and_seed(64, seed)
 }
 
-/// An empty router in the zone `near`.
+/// Returns an empty router in the zone `near`.
 pub(crate) fn router() -> Router {
     let place = Location {
         zone: "near".parse().expect("a name"),
@@ -23,12 +23,12 @@
     Router::new(place, 7)
 }
 
-/// The host of server `n`.
+/// Returns the host of server `n`.
 pub(crate) fn host(n: usize) -> HostId {
     format!("host-{n}").parse().expect("a name")
 }
 
-/// Server `n`, with 32 slots, which offers one service.
+/// Returns what server `n` announces: 32 slots and one service.
 pub(crate) fn facts(n: usize, service: &str) -> ServerFacts {
     let offer = Offer::Service {
         service: service.parse().expect("a name"),
@@ -48,12 +48,12 @@
     }
 }
 
-/// Asks for a service.
+/// Returns a request's need for a service.
 pub(crate) fn service(name: &str) -> Wanted {
     Wanted::Service(name.parse().expect("a name"))
 }
 
-/// A workspace's name.
+/// Returns the id of a workspace.
 pub(crate) fn workspace(name: &str) -> WorkspaceId {
     name.parse().expect("a name")
 }
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of workspaces and their split among entries.
+//! The limits of workspaces and their split among entries.
 
 mod common;
 
@@ -26,7 +26,7 @@
     CALM + Span::from_secs(n)
 }
 
-/// Entries that ask for so much a second, and have told each other so for some time.
+/// Returns entries with these demands per second, which have exchanged summaries for some time.
 fn entries(rates: &[f64], until: u64) -> Vec<Demands> {
     let mut all: Vec<_> = (0..rates.len()).map(|n| Demands::new(entry(n))).collect();
     for second in 0..until {
@@ -57,7 +57,7 @@
 
 #[test]
 fn shares_sum_up() {
-    // Shares of one limit sum up to it, whatever the demands: a little under, never over.
+    // The shares of a limit must add up to it for any demands: a little less, but never more.
     fn property(rates: Vec<u16>, whole: u16) -> bool {
         let rates: Vec<f64> = rates.iter().take(12).map(|r| f64::from(r % 500)).collect();
         if rates.is_empty() {
@@ -81,8 +81,8 @@
 
 #[test]
 fn rise_waits() {
-    // Demand jumps from one entry to another. Were the one to take its new share before the
-    // other has heard of it, both would let in their old and new parts together.
+    // Demand moves from one entry to others. If those took their new shares before the first knows
+    // of it, the entries would together admit more than the limit.
     let mut all = entries(&[100.0, 1.0, 1.0], 12);
     for second in 12..24 {
         exchange(&mut all, &[1.0, 100.0, 100.0], second, |_, _| true);
@@ -94,8 +94,8 @@
 
 #[test]
 fn cut_off_zone() {
-    // A partition cuts two entries off from four, and callers crowd onto the two. Each side hears
-    // nothing of the other; were each to split the whole limit, the fleet would let in twice it.
+    // A partition cuts two entries off from four, and most callers go to the two. If each side
+    // split the whole limit among its own entries, the fleet would admit twice the limit.
     let mut all = entries(&[10.0; 6], 12);
     let mut rates = [10.0; 6];
     rates[..2].fill(100.0);
@@ -104,7 +104,7 @@
         let total = sum(&all, second);
         assert!(total <= 1.05, "{total} after {} s", second - 12);
     }
-    // It heals: the split follows the demand again.
+    // The partition heals, and the split follows the demand again.
     for second in 60..72 {
         exchange(&mut all, &rates, second, |_, _| true);
     }
@@ -113,9 +113,9 @@
 
 #[test]
 fn uneven_silence() {
-    // The last words of a zone that is cut off arrive at different times, so its entries count as
-    // silent one after the other. The part of each is of the whole, not of what the ones before
-    // it left over.
+    // The last summaries of a zone that is cut off arrive at different times, so its entries count
+    // as silent one after the other. The share that is set aside for each must be of the whole
+    // limit, and not of what the earlier ones left.
     let mut all = entries(&[10.0; 6], 12);
     for second in 12..40 {
         let rates = [if second < 16 { 10.0 } else { 100.0 }; 6];
@@ -128,7 +128,7 @@
 
 #[test]
 fn death_gives_back() {
-    // An entry dies. Its part must not be lost for good once membership knows.
+    // An entry dies. Once membership knows, its share must go to the others and not be lost.
     let mut all = entries(&[50.0, 50.0], 12);
     for second in 12..30 {
         exchange(&mut all, &[50.0, 0.0], second, |a, b| a == b);
@@ -143,7 +143,7 @@
 
 #[test]
 fn old_summary() {
-    // A summary that was overtaken, or an earlier incarnation's, brings an old demand back.
+    // An old summary arrives after a later one. It must not restore the old demand.
     let mut here = Demands::new(entry(0));
     let mut there = Demands::new(entry(1));
     there.record(CALM, topic(), 1_000.0);
@@ -174,7 +174,7 @@
 
 #[test]
 fn truthful_retry() {
-    // A caller that comes back when it was told to is let in.
+    // A caller that retries after the time that it was told must be admitted.
     let limits = Limits {
         requests: Some(Rate::per_second(2)),
         tokens: Some(Rate::per_second(100)),
@@ -186,7 +186,7 @@
         let outcome = limiter.admit(now, &workspace("w"), &limits, WHOLE, 40.0);
         if let Err(refusal) = outcome {
             now = now + refusal.retry;
-            // Another limit may hold it back then, but not the same for the same reason.
+            // Another limit may refuse it then, but not the same one again.
             let again = limiter.admit(now, &workspace("w"), &limits, WHOLE, 40.0);
             assert!(again.is_ok_and(|()| true) || again.is_err_and(|r| r.reason != refusal.reason));
         }
@@ -195,8 +195,8 @@
 
 #[test]
 fn refused_uncharged() {
-    // Requests that are refused for one limit must not use up another: their tokens were never
-    // generated, and the workspace would pay for them with its next requests.
+    // A request that is refused for one limit must not use up another one. Its tokens were never
+    // generated, and the workspace's next requests would pay for them.
     let limits = Limits {
         requests: Some(Rate::per_second(2)),
         tokens: Some(Rate::per_second(90)),
@@ -230,15 +230,15 @@
 
 #[test]
 fn load_wished() {
-    // A model is asked for that nothing has loaded. Its callers are told at once how long a load
-    // is likely to take, and control is asked for no more loads than the platform takes.
+    // A model is requested that no server has loaded. Its callers must be told at once how long a
+    // load is likely to take, and no more loads may be requested than the platform allows.
     let wanted = |n: usize| Wanted::Model {
         model: format!("m-{n}").parse().expect("a name"),
         version: "1".into(),
         adapter: None,
     };
     let policy = WishPolicy {
-        at_once: 2,
+        max_loads: 2,
         ..WishPolicy::default()
     };
     let mut wishes = Wishes::new(policy);
