--- a/crates/requests/src/claimer.rs
+++ b/crates/requests/src/claimer.rs
@@ -29,6 +29,7 @@
     Done(ClaimResult, Option<ClaimValue>, u64),
 }
 
+/// What a claimer waits for in its round.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Phase {
     Preparing,
@@ -147,6 +148,9 @@
         }
     }
 
+    /// Asks the keepers to accept a value once a majority has promised the round.
+    ///
+    /// If they have accepted values before, the one of the latest round must be chosen.
     fn propose_if_promised(&mut self) -> ClaimStep {
         if self.promises.len() < MAJORITY {
             return self.wait_or_retry();
@@ -174,6 +178,7 @@
         ClaimStep::Ask(keepers, ask)
     }
 
+    /// Ends the claim once a majority has accepted the value.
     fn finish_if_accepted(&mut self, value: ClaimValue) -> ClaimStep {
         if self.accepts < MAJORITY {
             return self.wait_or_retry();
@@ -201,6 +206,7 @@
         }
     }
 
+    /// Gives the round up for a higher one, after a pause.
     fn next_round(&mut self, number: u64) -> ClaimStep {
         self.highest_round = self.highest_round.max(number);
         self.round.number = self.highest_round + 1;
--- a/crates/requests/src/keeper.rs
+++ b/crates/requests/src/keeper.rs
@@ -30,6 +30,7 @@
     Left,
 }
 
+/// The latest attempt of a key that a keeper knows.
 #[derive(Debug, Clone)]
 struct Claim {
     attempt: u64,
@@ -140,6 +141,7 @@
         self.shards.insert(number, Shard::new(state));
     }
 
+    /// Returns the state of a shard that has to be copied from these hosts.
     fn copying_state(&self, now: Moment, from: Vec<HostId>) -> VotingState {
         VotingState::Copying {
             from,
@@ -341,6 +343,7 @@
         !self.shards.values().any(copies)
     }
 
+    /// Returns the shard of a key, if the keeper votes in it.
     fn voting_shard(&mut self, now: Moment, key: &ClaimKey) -> Option<&mut Shard> {
         let number = key.shard(self.table.len()) as u32;
         let shard = self.shards.get_mut(&number)?;
--- a/crates/requests/src/ledger.rs
+++ b/crates/requests/src/ledger.rs
@@ -67,6 +67,7 @@
     pub offset: u64,
 }
 
+/// The state of a dispatch that is remembered.
 #[derive(Debug)]
 enum State {
     Running,
@@ -75,12 +76,15 @@
     Refused(RefusalReason),
 }
 
+/// A dispatch that is remembered.
 #[derive(Debug)]
 struct Entry {
     state: State,
     kept: KeptAnswer,
+    /// When the dispatch may be forgotten.
     until: Moment,
     suspect: bool,
+    /// The position of the dispatch among those that have ended.
     end_order: Option<u64>,
 }
 
@@ -103,7 +107,9 @@
     draining: bool,
     entries: HashMap<DispatchId, Entry>,
     expiry: BTreeSet<(Moment, DispatchId)>,
+    /// The highest forgotten id of each entry host.
     floors: HashMap<HostId, Floor>,
+    /// The dispatches that have ended, the oldest first.
     ended: BTreeMap<u64, DispatchId>,
     next_end_order: u64,
     bytes: usize,
@@ -160,6 +166,7 @@
         ArrivalOutcome::Run
     }
 
+    /// Returns the reason to refuse a dispatch that is not known yet, if there is one.
     fn refusal(&self, arrival: &Arrival) -> Option<RefusalReason> {
         if self.is_below_floor(&arrival.id) {
             Some(RefusalReason::Expired)
--- a/crates/requests/src/request.rs
+++ b/crates/requests/src/request.rs
@@ -10,9 +10,9 @@
 use crate::suspicion::Crash;
 use crate::verdict::{Reason, Verdict};
 
-/// The number of calls without progress after which the agent counts as lost.
+/// The most repeated calls without progress, after which the agent counts as lost.
 const MAX_TRIES: u32 = 6;
-/// The number of such calls if the request may simply run on another server.
+/// The most repeated calls if the request may simply run on another server.
 const MAX_TRIES_IDEMPOTENT: u32 = 2;
 /// The base of the pause between calls, which doubles with each call.
 const RETRY_PAUSE: Span = Span::from_millis(20);
@@ -66,6 +66,7 @@
     /// The worst outcome that earlier attempts may have had.
     worst_outcome: Outcome,
     assembler: Assembler,
+    /// The body so far, for a caller that doesn't stream.
     buffer: Vec<u8>,
     /// Whether a part of the answer was sent to the caller.
     has_forwarded: bool,
@@ -477,6 +478,7 @@
         }
     }
 
+    /// Ends the request because its deadline has passed.
     fn on_deadline(&mut self, out: &mut Outputs) {
         let outcome = match &self.state {
             State::Idle | State::Choosing | State::Claiming(_) => Outcome::NotRun,
--- a/crates/requests/src/suspicion.rs
+++ b/crates/requests/src/suspicion.rs
@@ -206,6 +206,7 @@
             .retain(|_, facts| facts.values().any(|(until, _)| *until > now));
     }
 
+    /// Returns the crashes that a request was in flight at and is not cleared of.
     fn open_crashes(&self, now: Moment, fingerprint: Fingerprint) -> BTreeSet<Crash> {
         let mut open = BTreeSet::new();
         let mut cleared = BTreeSet::new();
@@ -227,6 +228,7 @@
         open.difference(&cleared).cloned().collect()
     }
 
+    /// Returns the facts that have not expired.
     fn live_facts(&self, now: Moment) -> impl Iterator<Item = &Fact> {
         let facts = self.facts.values().flat_map(|facts| facts.values());
         facts
