--- a/crates/requests/tests/answers.rs
+++ b/crates/requests/tests/answers.rs
@@ -122,7 +122,7 @@
 // Finished answers fill the memory of the ledger. The oldest ones must be dropped first, and their
 // ids must stay known, or the dispatches could run again.
 #[test]
-fn answers_shed() {
+fn old_answers_dropped() {
     let mut ledger = ledger(100, 1_000);
     for n in 0..20 {
         assert_eq!(ledger.arrive(NOW, &arrival(n)), ArrivalOutcome::Run);
--- a/crates/requests/tests/suspicion.rs
+++ b/crates/requests/tests/suspicion.rs
@@ -35,7 +35,7 @@
 // Ten copies of a harmless request run beside one that crashes the server. If each copy counted,
 // the harmless request would be quarantined after a single crash.
 #[test]
-fn twins_count_once() {
+fn copies_count_once() {
     let (mut one, mut other) = (entry(0), entry(1));
     for _ in 0..10 {
         one.record_crash(NOW, request(1), crash(1));
@@ -51,7 +51,7 @@
 // A harmless request was in flight at a crash, is retried alone and finishes. It must not stay
 // suspected at any entry.
 #[test]
-fn innocent_cleared() {
+fn harmless_cleared() {
     let (mut one, mut other) = (entry(0), entry(1));
     one.record_crash(NOW, request(1), crash(1));
     exchange(&one, &mut other);
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn idle_saves_little() {
+fn idle_credit_bounded() {
     // A workspace is idle for a long time and then sends a flood of requests. Its unused share must
     // not let it hold back the others for as long as it was idle.
     let mut queue = FairQueue::new();
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn flood_and_neighbour() {
+fn flood_isolated() {
     // One workspace floods a pool. Another one, well within its share, must not wait for it.
     let mut lane = lane();
     let decisions: Vec<_> = (0..100)
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn dead_work_dropped() {
+fn late_requests_dropped() {
     // A burst queues more requests than can be answered in time. If the old ones ran first, each
     // would end past its deadline and its caller would send it again. The pool would do useless
     // work at full speed long after the burst.
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn gone_leaves_place() {
+fn abandoned_not_counted() {
     // A caller disconnects while its request waits. The request must no longer count in the queue,
     // and must not run.
     let mut lane = lane();
--- a/crates/routing/tests/health.rs
+++ b/crates/routing/tests/health.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn cold_wave() {
+fn restart_wave() {
     // In a wave of restarts most servers are cold for some time. If they got hardly any requests,
     // the few warm ones would fill up until requests wait there.
     let (mut router, servers) = pool();
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn rise_waits() {
+fn rising_demand_waits() {
     // Demand moves from one entry to others. If those took their new shares before the first knows
     // of it, the entries would together admit more than the limit.
     let mut all = entries(&[100.0, 1.0, 1.0], 12);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn death_gives_back() {
+fn dead_share_returned() {
     // An entry dies. Once membership knows, its share must go to the others and not be lost.
     let mut all = entries(&[50.0, 50.0], 12);
     for second in 12..30 {
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn truthful_retry() {
+fn retry_time_holds() {
     // A caller that retries after the time that it was told must be admitted.
     let limits = Limits {
         requests: Some(Rate::per_second(2)),
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn load_wished() {
+fn load_requested() {
     // A model is requested that no server has loaded. Its callers must be told at once how long a
     // load is likely to take, and no more loads may be requested than the platform allows.
     let wanted = |n: usize| Wanted::Model {
