--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -27,14 +27,14 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PrefixPolicy {
     /// The load up to which a server attracts requests, as a multiple of the tier's mean.
-    pub mean_ratio: f64,
+    pub bound: f64,
     /// The load per slot over which a server attracts none, as a wait costs more than a prefill.
-    pub max_load: f64,
+    pub cap: f64,
     /// The load up to which a server attracts requests while others wait at the entry, as a
     /// multiple of the tier's mean.
-    pub backlog_ratio: f64,
+    pub backlog: f64,
     /// The load per slot up to which a server attracts requests for any mean.
-    pub min_load: f64,
+    pub floor: f64,
     /// The most prefixes that are remembered.
     pub max_prefixes: usize,
 }
@@ -42,10 +42,10 @@
 impl Default for PrefixPolicy {
     fn default() -> Self {
         Self {
-            mean_ratio: 1.25,
-            max_load: 0.95,
-            backlog_ratio: 1.15,
-            min_load: 0.5,
+            bound: 1.25,
+            cap: 0.95,
+            backlog: 1.15,
+            floor: 0.5,
             max_prefixes: 16_384,
         }
     }
@@ -59,11 +59,9 @@
     /// throughput.
     pub(crate) fn load_limit(&self, mean: f64, backlog: bool) -> f64 {
         if backlog {
-            (self.backlog_ratio * mean).max(self.max_load)
+            (self.backlog * mean).max(self.cap)
         } else {
-            (self.mean_ratio * mean)
-                .min(self.max_load)
-                .max(self.min_load)
+            (self.bound * mean).min(self.cap).max(self.floor)
         }
     }
 }
