--- a/crates/groups/tests/draft.rs
+++ b/crates/groups/tests/draft.rs
@@ -4,16 +4,16 @@
 
 use quickcheck::quickcheck;
 
-use snipemast_control::Chance;
+use snipemast_control::SplitMix64;
 use snipemast_core::prelude::*;
 use snipemast_groups::draft::{Base, Draft, Told};
-use snipemast_groups::executor::{Executor, Next, OrderSeq};
+use snipemast_groups::executor::{Action, Executor, OrderSeq};
 use snipemast_groups::map::ExpertMap;
 use snipemast_groups::order::{Order, Outcome, RankState};
 use snipemast_groups::switch::Switch;
 
 const EPOCH: GroupIncarnation = GroupIncarnation(1);
-const DEALT: Base = Base::Dealt {
+const DEALT: Base = Base::RoundRobin {
     layers: 3,
     ranks: 8,
     slots: 3,
@@ -21,11 +21,11 @@
 };
 
 fn dealt() -> ExpertMap {
-    ExpertMap::dealt(3, 8, 3, 16)
+    ExpertMap::round_robin(3, 8, 3, 16)
 }
 
 /// A map with some slots that hold other experts.
-fn changed(map: &ExpertMap, chance: &mut Chance) -> Arc<ExpertMap> {
+fn changed(map: &ExpertMap, chance: &mut SplitMix64) -> Arc<ExpertMap> {
     let mut next = map.clone();
     for _ in 0..chance.below(20) {
         let layer = &mut next.layers[chance.below(3) as usize];
@@ -38,13 +38,13 @@
 quickcheck! {
     /// Whoever knows the base reads the map that was meant, one switch after another.
     fn map_read(seed: u64) -> bool {
-        let mut chance = Chance::new(seed);
+        let mut chance = SplitMix64::new(seed);
         let (mut told, mut base, mut from) = (Told::default(), DEALT, Arc::new(dealt()));
         (1..6).map(MapVersion).all(|version| {
             let map = changed(&from, &mut chance);
             let draft = Draft::new(base, &from, &map);
             let read = told.read(EPOCH, version, &draft);
-            (base, from) = (Base::Told(version), Arc::clone(&map));
+            (base, from) = (Base::Known(version), Arc::clone(&map));
             read == Some(map)
         })
     }
@@ -54,7 +54,7 @@
 /// the number of the base to another map; or a process knows the base with its experts in other slots.
 #[test]
 fn other_base_unread() {
-    let mut chance = Chance::new(3);
+    let mut chance = SplitMix64::new(3);
     let mut told = Told::default();
     let version = MapVersion(1);
     let first = changed(&dealt(), &mut chance);
@@ -62,7 +62,7 @@
         .read(EPOCH, version, &Draft::Whole(Arc::clone(&first)))
         .is_some());
     let second = changed(&first, &mut chance);
-    let draft = Draft::new(Base::Told(version), &first, &second);
+    let draft = Draft::new(Base::Known(version), &first, &second);
     assert!(told
         .clone()
         .read(GroupIncarnation(2), MapVersion(2), &draft)
@@ -78,8 +78,8 @@
 #[test]
 fn unread_map_told_whole() {
     let (from, epoch) = (Arc::new(dealt()), EPOCH);
-    let map = changed(&from, &mut Chance::new(5));
-    let draft = Draft::new(Base::Told(MapVersion(7)), &from, &map);
+    let map = changed(&from, &mut SplitMix64::new(5));
+    let draft = Draft::new(Base::Known(MapVersion(7)), &from, &map);
     let mut switch = Switch::new(2, Ballot(1));
     let now = Moment::from_millis(0);
     let sends = switch.begin(now, epoch, MapVersion(8), draft, Arc::clone(&map));
@@ -94,12 +94,14 @@
     };
     let (mut executor, lead) = (Executor::new(), Ballot(1));
     let first = OrderSeq { lead, number: 1 };
-    let mut task = executor.take(first, sends[1].order.clone(), epoch).unwrap();
+    let mut task = executor
+        .accept(first, sends[1].order.clone(), epoch)
+        .unwrap();
     assert_eq!(
-        executor.next(&mut task, &state),
-        Next::Settled(Outcome::Untold)
+        executor.next_action(&mut task, &state),
+        Action::Settled(Outcome::Untold)
     );
-    let again = switch.take(now, 1, sends[1].phase, Outcome::Untold);
+    let again = switch.handle_outcome(now, 1, sends[1].phase, Outcome::Untold);
     let [again] = again.as_slice() else {
         panic!("{again:?}");
     };
@@ -114,6 +116,9 @@
     );
     assert_eq!(again.rank, 1);
     let second = OrderSeq { lead, number: 2 };
-    let mut task = executor.take(second, again.order.clone(), epoch).unwrap();
-    assert!(matches!(executor.next(&mut task, &state), Next::Give(_)));
+    let mut task = executor.accept(second, again.order.clone(), epoch).unwrap();
+    assert!(matches!(
+        executor.next_action(&mut task, &state),
+        Action::Give(_)
+    ));
 }
