--- a/crates/requests/src/keeper.rs
+++ b/crates/requests/src/keeper.rs
@@ -95,17 +95,17 @@
         }
         for (number, hosts) in table.iter().enumerate() {
             let before = self.table[number].clone();
-            let (was, is) = (
+            let (was_keeper, is_keeper) = (
                 before.contains(&self.own.host),
                 hosts.contains(&self.own.host),
             );
             if let Some(shard) = self.shards.get_mut(&(number as u32)) {
                 shard.awaited_host.take_if(|host| hosts.contains(host));
             }
-            if !was && is {
+            if !was_keeper && is_keeper {
                 let from = self.other_hosts(&before);
                 self.add_shard(now, number as u32, from);
-            } else if was && !is {
+            } else if was_keeper && !is_keeper {
                 if let Some(shard) = self.shards.get_mut(&(number as u32)) {
                     shard.state = VotingState::Left;
                 }
@@ -438,7 +438,7 @@
 /// nothing of the earlier claims. A patch that fails this check must be split into two.
 pub fn moves_at_most_one(before: &KeeperTable, after: &KeeperTable) -> bool {
     let same_shape = before.is_empty() || before.len() == after.len();
-    let one =
+    let moves_at_most_one_host =
         |(b, a): (&[HostId; 3], &[HostId; 3])| a.iter().filter(|h| !b.contains(h)).count() <= 1;
-    same_shape && before.iter().zip(after).all(one)
+    same_shape && before.iter().zip(after).all(moves_at_most_one_host)
 }
--- a/crates/requests/tests/world/agent.rs
+++ b/crates/requests/tests/world/agent.rs
@@ -147,7 +147,7 @@
         }
     }
 
-    pub(crate) fn agent_gets(&mut self, number: usize, message: ToAgent, conn: Option<usize>) {
+    pub(crate) fn agent_receives(&mut self, number: usize, message: ToAgent, conn: Option<usize>) {
         // A connection ends with the process that accepted it.
         let conn =
             conn.filter(|c| self.conns[*c].incarnation == self.agents[number].process.incarnation);
--- a/crates/requests/tests/world/caller.rs
+++ b/crates/requests/tests/world/caller.rs
@@ -64,7 +64,7 @@
 }
 
 impl World {
-    pub(crate) fn caller_gets(&mut self, send: usize, message: ToCaller) {
+    pub(crate) fn caller_receives(&mut self, send: usize, message: ToCaller) {
         let entry_dead = self.dead[self.sends[send].entry];
         let CallerSend {
             bytes,
--- a/crates/requests/tests/world/keys.rs
+++ b/crates/requests/tests/world/keys.rs
@@ -89,14 +89,20 @@
         self.cut && (self.sends[send].entry == 0) != (keeper == 0)
     }
 
-    pub(crate) fn keeper_gets(&mut self, keeper: usize, send: usize, round: Round, ask: KeeperAsk) {
+    pub(crate) fn keeper_receives(
+        &mut self,
+        keeper: usize,
+        send: usize,
+        round: Round,
+        ask: KeeperAsk,
+    ) {
         let answer = self.keepers[keeper].handle(self.now, ask);
         if !self.cut_between(send, keeper) {
             self.schedule(HOP, Event::FromKeeper(send, round, keeper, Some(answer)));
         }
     }
 
-    pub(crate) fn claimer_gets(
+    pub(crate) fn claimer_receives(
         &mut self,
         send: usize,
         round: Round,
--- a/crates/requests/tests/world/mod.rs
+++ b/crates/requests/tests/world/mod.rs
@@ -30,33 +30,53 @@
 /// The time for which a zone stays cut off.
 const CUT: Span = Span::from_secs(5);
 
-/// The points of a request at which faults happen.
+/// The points of a request at which faults happen, in the order in which it reaches them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Step {
+    /// The connection is open, and nothing was written to it.
     Unwritten,
+    /// The dispatch was written to the connection.
     Written,
+    /// The agent has recorded the dispatch in its ledger.
     Recorded,
+    /// The engine has begun to work.
     AtWork,
+    /// The engine has produced some pieces of the answer.
     MidStream,
+    /// The engine has finished the answer.
     Finished,
+    /// The entry has the whole answer and is about to end it for the caller.
     Delivered,
+    /// The caller is about to send the request again.
     Resent,
 }
 
 /// A fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
+    /// The connection carries nothing more, and neither end notices.
     Silent,
+    /// The connection breaks, and both ends notice.
     Reset,
+    /// The next message on the connection arrives after the deadline.
     Delayed,
+    /// The next message on the connection arrives more than once.
     Duplicated,
+    /// Frames of another request arrive on the connection.
     Crossed,
+    /// The first entry dies.
     EntryDies,
+    /// The agent process restarts without its ledger.
     AgentRestarts,
+    /// The backend server dies.
     ServerDies,
+    /// The zone of the first entry is cut off for a while.
     ZoneCut,
+    /// The agent drains.
     Drain,
+    /// The ledger of the agent has no room for a while.
     MemoryBound,
+    /// The engine makes no more progress.
     Stall,
 }
 
@@ -213,12 +233,14 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::ToAgent(agent, message, conn) => self.agent_gets(agent, message, conn),
+            Event::ToAgent(agent, message, conn) => self.agent_receives(agent, message, conn),
             Event::ToEntry(send, input) => self.feed(send, input),
             Event::Wake(send) => self.wake(send),
-            Event::ToKeeper(keeper, send, round, ask) => self.keeper_gets(keeper, send, round, ask),
+            Event::ToKeeper(keeper, send, round, ask) => {
+                self.keeper_receives(keeper, send, round, ask)
+            }
             Event::FromKeeper(send, round, keeper, answer) => {
-                self.claimer_gets(send, round, keeper, answer);
+                self.claimer_receives(send, round, keeper, answer);
             }
             Event::ClaimAgain(send) => self.claim_again(send),
             Event::CopyShards(keeper) => self.copy_shards(keeper),
@@ -230,7 +252,7 @@
             Event::Heal => self.cut = false,
             Event::Relieve(agent) => self.agents[agent].restore_memory(),
             Event::Overdue(agent, incarnation, id) => self.overdue(agent, incarnation, &id),
-            Event::ToCaller(send, message) => self.caller_gets(send, message),
+            Event::ToCaller(send, message) => self.caller_receives(send, message),
             Event::Impatient(send) => self.caller_gives_up(send),
         }
     }
--- a/crates/routing/src/demand.rs
+++ b/crates/routing/src/demand.rs
@@ -356,8 +356,8 @@
     ///
     /// The entry may not know what the others have sent since, and continues with these shares.
     fn last_shares_of(&self, other: &OtherEntry) -> HashMap<Topic, f64> {
-        let then = self.snapshots.iter().find(|k| k.at <= other.last_heard);
-        let Some(snapshot) = then.or(self.snapshots.back()) else {
+        let as_last_heard = self.snapshots.iter().find(|k| k.at <= other.last_heard);
+        let Some(snapshot) = as_last_heard.or(self.snapshots.back()) else {
             return HashMap::new();
         };
         let part = |&topic: &Topic| {
--- a/crates/routing/src/pick.rs
+++ b/crates/routing/src/pick.rs
@@ -183,14 +183,18 @@
             let scored = fit.then(|| self.score(index, near, tier)).flatten()?;
             (scored.score <= bound).then_some(scored)
         };
-        let here = |index: &u32| tier.servers.contains(index);
-        let held = self.hints.holders(prefix).filter(here).filter_map(scored);
-        if let Some(held) = held.min_by(|a, b| a.score.total_cmp(&b.score)) {
-            return Some(held.choice);
+        let in_this_tier = |index: &u32| tier.servers.contains(index);
+        let cached = self
+            .hints
+            .holders(prefix)
+            .filter(in_this_tier)
+            .filter_map(scored);
+        if let Some(cached) = cached.min_by(|a, b| a.score.total_cmp(&b.score)) {
+            return Some(cached.choice);
         }
         let (first, second) = self.rendezvous(tier, prefix);
-        let taken = first.and_then(scored).or_else(|| second.and_then(scored));
-        taken.map(|s| s.choice)
+        let assigned = first.and_then(scored).or_else(|| second.and_then(scored));
+        assigned.map(|s| s.choice)
     }
 
     /// Returns the two servers with the highest rendezvous weights for a prefix.
--- a/crates/routing/src/upkeep.rs
+++ b/crates/routing/src/upkeep.rs
@@ -17,17 +17,17 @@
     /// them all would turn slow answers into none, so only a share of a pool is ever ejected.
     pub(crate) fn may_eject(&self, now: Moment, index: u32) -> bool {
         self.pools.values().all(|pool| {
-            let mut of_pool = pool.tiers.iter().flat_map(|t| &t.servers);
-            if !of_pool.clone().any(|&n| n == index) {
+            let mut members = pool.tiers.iter().flat_map(|t| &t.servers);
+            if !members.clone().any(|&n| n == index) {
                 return true;
             }
-            let out = |n: u32| {
+            let is_ejected = |n: u32| {
                 self.servers[n as usize]
                     .as_ref()
                     .is_some_and(|s| s.health.is_ejected(now))
             };
             let bound = (pool.len() as f64 * self.policy.health.max_ejected_share) as usize;
-            let count = of_pool.by_ref().filter(|&&n| out(n)).count();
+            let count = members.by_ref().filter(|&&n| is_ejected(n)).count();
             count < bound
         })
     }
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -45,7 +45,7 @@
     }
 }
 
-fn late() -> Moment {
+fn far_deadline() -> Moment {
     CALM + Span::from_secs(600)
 }
 
@@ -147,19 +147,25 @@
     // One workspace floods a pool. Another one, well within its share, must not wait for it.
     let mut lane = lane();
     let decisions: Vec<_> = (0..100)
-        .map(|_| lane.arrive(CALM, arrival("flood", late()), CAPACITY))
+        .map(|_| lane.arrive(CALM, arrival("flood", far_deadline()), CAPACITY))
         .collect();
     assert_eq!(
         decisions.iter().filter(|d| **d == Decision::Run).count(),
         10
     );
     assert_eq!(
-        lane.arrive(CALM, arrival("calm", late()), CAPACITY),
+        lane.arrive(CALM, arrival("calm", far_deadline()), CAPACITY),
         Decision::Run
     );
     // The reserve has a bound too, so that many other workspaces can't overfill the servers.
     let more: Vec<_> = (0..20)
-        .map(|n| lane.arrive(CALM, arrival(&format!("calm-{n}"), late()), CAPACITY))
+        .map(|n| {
+            lane.arrive(
+                CALM,
+                arrival(&format!("calm-{n}"), far_deadline()),
+                CAPACITY,
+            )
+        })
         .collect();
     assert_eq!(more.iter().filter(|d| **d == Decision::Run).count(), 1);
 }
@@ -173,8 +179,8 @@
         own_slots: 10.0,
         free_slots: 30.0,
     };
-    let open =
-        (0..100).filter(|_| lane.arrive(CALM, arrival("a", late()), capacity) == Decision::Run);
+    let open = (0..100)
+        .filter(|_| lane.arrive(CALM, arrival("a", far_deadline()), capacity) == Decision::Run);
     assert_eq!(open.count(), 40);
 }
 
@@ -184,14 +190,14 @@
     // it would not. If it were refused late, its caller would have waited for nothing.
     let mut lane = lane();
     for _ in 0..10 {
-        lane.arrive(CALM, arrival("a", late()), CAPACITY);
+        lane.arrive(CALM, arrival("a", far_deadline()), CAPACITY);
     }
     for _ in 0..100 {
         lane.depart(&departure("a", Some(Span::from_secs(1))));
-        lane.arrive(CALM, arrival("a", late()), CAPACITY);
+        lane.arrive(CALM, arrival("a", far_deadline()), CAPACITY);
     }
     for _ in 0..50 {
-        lane.arrive(CALM, arrival("a", late()), CAPACITY);
+        lane.arrive(CALM, arrival("a", far_deadline()), CAPACITY);
     }
     let deadline = CALM + Span::from_secs(3);
     let Decision::Refused(refusal) = lane.arrive(CALM, arrival("a", deadline), CAPACITY) else {
@@ -213,13 +219,13 @@
     // work at full speed long after the burst.
     let mut lane = lane();
     for _ in 0..10 {
-        lane.arrive(CALM, arrival("a", late()), CAPACITY);
+        lane.arrive(CALM, arrival("a", far_deadline()), CAPACITY);
     }
     let soon = CALM + Span::from_secs(1);
     for _ in 0..30 {
         lane.arrive(CALM, arrival("a", soon), CAPACITY);
     }
-    let Decision::Wait(fresh) = lane.arrive(CALM, arrival("a", late()), CAPACITY) else {
+    let Decision::Wait(fresh) = lane.arrive(CALM, arrival("a", far_deadline()), CAPACITY) else {
         panic!("the request waits");
     };
     lane.depart(&departure("a", None));
@@ -241,7 +247,7 @@
     };
     let mut lane = Lane::new(policy);
     let decisions: Vec<_> = (0..40)
-        .map(|_| lane.arrive(CALM, arrival("a", late()), CAPACITY))
+        .map(|_| lane.arrive(CALM, arrival("a", far_deadline()), CAPACITY))
         .collect();
     assert_eq!(lane.waiting(), 5);
     assert!(matches!(decisions.last(), Some(Decision::Refused(r)) if r.reason == Reason::Queue));
@@ -253,9 +259,9 @@
     // and must not run.
     let mut lane = lane();
     for _ in 0..10 {
-        lane.arrive(CALM, arrival("a", late()), CAPACITY);
+        lane.arrive(CALM, arrival("a", far_deadline()), CAPACITY);
     }
-    let Decision::Wait(ticket) = lane.arrive(CALM, arrival("a", late()), CAPACITY) else {
+    let Decision::Wait(ticket) = lane.arrive(CALM, arrival("a", far_deadline()), CAPACITY) else {
         panic!("the request waits");
     };
     lane.abandon(ticket);
