--- a/crates/registry/src/announcement.rs
+++ b/crates/registry/src/announcement.rs
@@ -1,4 +1,4 @@
-//! What a server says of itself.
+//! What a server announces about itself.
 
 use std::net::SocketAddr;
 
@@ -8,41 +8,44 @@
 data! {
     /// One heartbeat of a server.
     pub struct Announcement {
-        /// The server; it may start again under the same id.
+        /// The server's id, which it may keep when it restarts.
         pub id: ServerId,
-        /// Which start of it this is: a later one is higher, and knows nothing of those before. 0 where
-        /// the server does not tell; such a server has another id after each start.
+        /// The start of the server. A later start has a higher number and keeps no state of the
+        /// earlier ones. The number is 0 if the server doesn't report it; such a server has
+        /// another id after each start.
         pub start: Incarnation,
-        /// The service that it is part of.
+        /// The service that the server is part of.
         pub service: ServiceId,
-        /// Where it takes requests.
+        /// The address at which it accepts requests.
         pub address: SocketAddr,
         /// Its availability zone.
         pub zone: ZoneId,
         /// How many requests it runs at once.
         pub slots: u32,
-        /// Whether it leaves.
+        /// Whether it is draining.
         pub draining: bool,
-        /// Rises with each heartbeat of one start, so that a late one is known as such.
+        /// A number that rises with each heartbeat of one start, so that a late heartbeat can be
+        /// recognized.
         pub sequence: u64,
     }
 
-    /// Whether a server may be sent requests.
+    /// Whether requests may be sent to a server.
     #[derive(Copy, PartialOrd, Ord)]
     pub enum Standing {
-        /// It may.
+        /// Requests may be sent to it.
         Ready,
-        /// It was not heard for long, or another server announced itself at its address later.
+        /// It sent no heartbeat for a long time, or another server announced itself at its address
+        /// later.
         Lost,
-        /// It leaves, and serves only what it has.
+        /// It is draining: it serves only the requests that it already has.
         Draining,
-        /// It said good-bye, and serves nothing until it starts again.
+        /// It said goodbye, and serves nothing until it restarts.
         Gone,
     }
 }
 
 impl Announcement {
-    /// The standing that it asks for.
+    /// Returns the standing that the server asks for.
     pub fn standing(&self) -> Standing {
         if self.draining {
             Standing::Draining
--- a/crates/registry/src/grants.rs
+++ b/crates/registry/src/grants.rs
@@ -1,12 +1,13 @@
-//! Which gateway may send the next requests to a server that names a limit.
+//! Grants: which gateway may send the next requests to a server that names a limit.
 //!
-//! Answers the load of hundreds of gateways before a server that takes one request a second from all of
-//! them: no equal share is ever a whole request. So the leader grants requests one by one to gateways that
-//! ask for them, and a grant is used within a short time or lost.
+//! Hundreds of gateways may send to one server that accepts a single request per second from all of
+//! them together, so no equal share of the limit is ever a whole request. The leader therefore
+//! grants single requests to the gateways that ask for them. A grant that isn't used within a short
+//! time is lost.
 //!
-//! Whoever leads grants no more than a server's limit since it began to lead, and what another leader
-//! granted before ends within its [`grant_lease`]. So a server gets in any span `t` at most what its limit allows in
-//! `t` and a lease, and one account's savings, whoever leads when.
+//! A leader grants no more than a server's limit since it began to lead, and the grants of another
+//! leader end within their [`grant_lease`]. In any span `t`, whoever leads, a server therefore gets
+//! at most what its limit allows in `t` plus one lease, and the savings of one account.
 
 use std::collections::HashMap;
 
@@ -15,29 +16,32 @@
 
 use crate::limit::LimitEntry;
 
-/// How long a grant may be used after its gateway asked: two of the longest pauses between polls, and the time in which
-/// the limit allows one more, as a gateway with few requests has none to send at once.
+/// Returns how long a grant may be used after its gateway asked for it.
+///
+/// This is two of the longest pauses between polls, and the time in which the limit allows one more
+/// request, because a gateway with few requests has none to send at once.
 pub fn grant_lease(rate: Rate) -> Span {
-    const POLLS: u64 = 1_000;
-    const LONGEST: u64 = 4_000;
-    let one = 1_000_000 / rate.as_millis().max(1);
-    Span::from_millis((POLLS + one).min(LONGEST))
+    const POLL_MILLIS: u64 = 1_000;
+    const MAX_MILLIS: u64 = 4_000;
+    let one_request = 1_000_000 / rate.as_millis().max(1);
+    Span::from_millis((POLL_MILLIS + one_request).min(MAX_MILLIS))
 }
 
-/// For how long an account saves what nobody asks for: the longest pause between two polls of a gateway.
-const SAVED: Span = Span::from_millis(500);
+/// For how long an account saves requests that no gateway asks for: the longest pause between two
+/// polls of a gateway.
+const MAX_SAVING: Span = Span::from_millis(500);
 
-/// How often one grant is to be used before the gateway takes another server.
-const DUE: Span = Span::from_secs(1);
+/// How often one grant must be used before the gateway sends to another server.
+const DUE_INTERVAL: Span = Span::from_secs(1);
 
 data! {
     /// What a gateway knows of a server's limit, and how many requests it would send there.
     pub struct Demand {
         /// The server.
         pub server: ServerId,
-        /// Its limit.
+        /// The server's limit.
         pub limit: LimitEntry,
-        /// How many requests.
+        /// The number of requests.
         pub count: u32,
     }
 
@@ -45,19 +49,20 @@
     pub struct Grant {
         /// The server.
         pub server: ServerId,
-        /// Which start of it.
+        /// The start of the server that the grant holds for.
         pub start: Incarnation,
-        /// How many.
+        /// The number of requests.
         pub count: u32,
-        /// Whether one is to be sent as soon as there is a request: nobody has been asked to for long.
+        /// Whether one request must be sent as soon as there is one, because no gateway has been
+        /// asked to for a while.
         pub due: bool,
     }
 }
 
-/// What the leader has granted.
+/// The requests that the leader has granted.
 #[derive(Debug, Default)]
 pub struct Grants {
-    /// The term in which it was granted.
+    /// The term in which they were granted.
     term: Term,
     accounts: HashMap<ServerId, Account>,
 }
@@ -67,18 +72,20 @@
 struct Account {
     start: Incarnation,
     rate: Rate,
-    /// Requests that may be granted now.
+    /// The number of requests that may be granted now.
     saved: f64,
-    filled: Moment,
-    /// When a grant is due again.
+    /// When `saved` was last brought up to date.
+    refilled: Moment,
+    /// When the next grant is due.
     due: Moment,
     granted: u64,
 }
 
 impl Grants {
-    /// Grants what a gateway asks for, as far as limits allow; only for who leads for certain.
+    /// Grants the requests that a gateway asks for, within the limits.
     ///
-    /// `limit` tells a server's start and limit as the leader knows them.
+    /// Only a controller that is certain to be the leader may call this. `limit` returns a server's
+    /// start and limit as the leader knows them.
     pub fn grant(
         &mut self,
         now: Moment,
@@ -86,7 +93,7 @@
         demands: &[Demand],
         limit: impl Fn(&ServerId) -> Option<(Incarnation, Rate)>,
     ) -> Vec<Grant> {
-        // What an earlier term saved may have been granted by another leader since.
+        // Another leader may have granted what was saved in an earlier term.
         if self.term != term {
             self.term = term;
             self.accounts.clear();
@@ -97,7 +104,7 @@
             let (start, rate) = limit(&demand.server)?;
             let account = self.accounts.entry(demand.server.clone());
             let account = account.or_insert_with(|| Account::new(now, start, rate));
-            account.fill(now, rate);
+            account.refill(now, rate);
             let (count, due) = account.take(now, demand.count)?;
             Some(Grant {
                 server: demand.server.clone(),
@@ -109,7 +116,7 @@
         demands.iter().filter_map(grant).collect()
     }
 
-    /// How many requests were granted for each server that names a limit now.
+    /// Returns how many requests were granted for each server that currently names a limit.
     pub fn granted_counts(&self) -> impl Iterator<Item = (&ServerId, u64)> {
         self.accounts
             .iter()
@@ -123,25 +130,28 @@
             start,
             rate,
             saved: 0.0,
-            filled: now,
+            refilled: now,
             due: now,
             granted: 0,
         }
     }
 
-    /// Saves what was allowed since the last time, and follows the limit.
-    fn fill(&mut self, now: Moment, rate: Rate) {
-        // The lower one of both holds for the time between: a new limit may be as old as that.
-        let allowed = self.rate.min(rate).as_per_second() * now.since(self.filled).as_secs_f64();
-        let most = (rate.as_per_second() * SAVED.as_secs_f64()).max(1.0);
-        self.saved = (self.saved + allowed).min(most);
-        self.filled = self.filled.max(now);
+    /// Adds the requests that the limit allowed since the last call, and adopts the new limit.
+    fn refill(&mut self, now: Moment, rate: Rate) {
+        // The lower limit counts for the time in between, because the new one may have held
+        // throughout it.
+        let allowed = self.rate.min(rate).as_per_second() * now.since(self.refilled).as_secs_f64();
+        let max_saved = (rate.as_per_second() * MAX_SAVING.as_secs_f64()).max(1.0);
+        self.saved = (self.saved + allowed).min(max_saved);
+        self.refilled = self.refilled.max(now);
         self.rate = rate;
     }
 
-    /// Takes as many as are asked and saved, and whether one is due; nothing where there is none.
+    /// Takes up to `asked` of the saved requests.
+    ///
+    /// Returns their number and whether one of them is due, or `None` if no request is saved.
     fn take(&mut self, now: Moment, asked: u32) -> Option<(u32, bool)> {
-        // Sums of many small parts fall short of a whole by rounding.
+        // Due to rounding, the sum of many small parts falls short of a whole request.
         let whole = (self.saved + 1e-9) as u32;
         let count = whole.min(asked);
         if count == 0 {
@@ -151,7 +161,7 @@
         self.granted += u64::from(count);
         let due = now >= self.due;
         if due {
-            self.due = now + DUE;
+            self.due = now + DUE_INTERVAL;
         }
         Some((count, due))
     }
--- a/crates/registry/src/leaving.rs
+++ b/crates/registry/src/leaving.rs
@@ -1,80 +1,81 @@
-//! Servers that say in their answers that they leave, whatever they announce.
+//! Servers that say in their answers that they are leaving, whatever they announce.
 
 use snipemast_core::data;
 use snipemast_core::prelude::*;
 use snipemast_core::starts::Starts;
 
-/// How long a start that is not known any more is remembered to leave: it may come back to the news.
-const REMEMBERED: Span = Span::from_secs(3_600);
+/// How long a leaving start is remembered once the table doesn't know it any more, because it may
+/// come back with later news.
+const RETENTION: Span = Span::from_secs(3_600);
 
-/// The most starts that are remembered.
-const MOST: usize = 4_096;
+/// The largest number of starts that are remembered.
+const MAX_STARTS: usize = 4_096;
 
 data! {
-    /// A start of a server that leaves, as a gateway tells of it.
+    /// A start of a server that is leaving, as a gateway reports it.
     pub struct LeavingServer {
         /// The server.
         pub server: ServerId,
-        /// Which start of it.
+        /// The start of the server.
         pub start: Incarnation,
-        /// How long ago it said so first.
+        /// How long ago the server first said that it is leaving.
         pub age: Span,
     }
 }
 
-/// The starts of servers that leave; none of them ever becomes ready again.
+/// The starts of servers that are leaving. None of them ever becomes ready again.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct LeavingServers {
-    known: Starts<Word>,
+    known: Starts<Notice>,
 }
 
-/// What is known of a start that leaves.
+/// What is known of a start that is leaving.
 #[derive(Debug, Clone)]
-struct Word {
-    /// When it said so first.
+struct Notice {
+    /// When the start first said so.
     first: Moment,
-    /// Whether a controller knows.
-    spread: bool,
+    /// Whether a controller knows of it.
+    reported: bool,
 }
 
 impl LeavingServers {
-    /// A start said at a moment that it leaves; true where that is news.
-    pub(crate) fn note(
+    /// Records that a start said at a moment that it is leaving; returns whether that is news.
+    pub(crate) fn record(
         &mut self,
         first: Moment,
         server: &ServerId,
         start: Incarnation,
-        spread: bool,
+        reported: bool,
     ) -> bool {
-        if let Some(word) = self.known.get_mut(server, start) {
-            word.first = word.first.min(first);
-            word.spread |= spread;
+        if let Some(notice) = self.known.get_mut(server, start) {
+            notice.first = notice.first.min(first);
+            notice.reported |= reported;
             return false;
         }
-        self.known.insert(server, start, Word { first, spread });
-        self.known.shrink(MOST, |word| word.first);
+        self.known.insert(server, start, Notice { first, reported });
+        self.known.shrink(MAX_STARTS, |notice| notice.first);
         true
     }
 
-    /// When a start said first that it leaves, if it did.
-    pub(crate) fn first(&self, server: &ServerId, start: Incarnation) -> Option<Moment> {
-        self.known.get(server, start).map(|word| word.first)
+    /// Returns when a start first said that it is leaving, if it did.
+    pub(crate) fn leaving_since(&self, server: &ServerId, start: Incarnation) -> Option<Moment> {
+        self.known.get(server, start).map(|notice| notice.first)
     }
 
-    /// The starts of which no controller is known to have heard.
-    pub(crate) fn unspread(&self, now: Moment) -> impl Iterator<Item = LeavingServer> + '_ {
-        let unspread = self.known.iter().filter(|(_, _, word)| !word.spread);
-        unspread.map(move |(server, start, word)| LeavingServer {
+    /// Returns the starts that no controller is known to have heard of.
+    pub(crate) fn unreported(&self, now: Moment) -> impl Iterator<Item = LeavingServer> + '_ {
+        let unreported = self.known.iter().filter(|(_, _, notice)| !notice.reported);
+        unreported.map(move |(server, start, notice)| LeavingServer {
             server: server.clone(),
             start,
-            age: now.since(word.first),
+            age: now.since(notice.first),
         })
     }
 
-    /// Forgets starts that left long ago, but for those that are known still.
+    /// Forgets the starts that left long ago, except for those that `knows` returns true for.
     pub(crate) fn forget(&mut self, now: Moment, knows: impl Fn(&ServerId, Incarnation) -> bool) {
-        let recent = |word: &Word| now < word.first + REMEMBERED;
+        let recent = |notice: &Notice| now < notice.first + RETENTION;
         self.known
-            .retain(|server, start, word| recent(word) || knows(server, start));
+            .retain(|server, start, notice| recent(notice) || knows(server, start));
     }
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,14 +1,14 @@
-//! Decisions about servers that announce themselves, and the news that spreads them.
+//! Decisions about the servers that announce themselves, and the news that spreads them.
 //!
-//! - [`announcement`]: what a server says of itself.
-//! - [`table`]: the servers that are known, with their last word.
-//! - [`news`]: what gateways and controllers ask a controller, and its answers.
+//! - [`announcement`]: what a server announces about itself.
+//! - [`table`]: the known servers, each with its latest announcement.
+//! - [`news`]: the polls of gateways, sidecars and controllers, and a controller's answers.
 //! - [`grants`]: which gateway may send the next requests to a server that names a limit.
-//! - [`limit`]: a server's limit on the requests that all gateways together send it.
-//! - [`leaving`]: servers that say in their answers that they leave.
+//! - [`limit`]: a server's limit on the requests that all gateways together send to it.
+//! - [`leaving`]: servers that say in their answers that they are leaving.
 //! - [`rank`]: a server's place in a group of ranks.
-//! - [`source`]: of whom a gateway asks a configuration.
-//! - [`pollers`]: who polls a controller, and what each one has.
+//! - [`source`]: which controllers a gateway requests a configuration from.
+//! - [`pollers`]: which hosts poll a controller, and what each of them has.
 
 pub mod announcement;
 pub mod grants;
--- a/crates/registry/src/limit.rs
+++ b/crates/registry/src/limit.rs
@@ -1,4 +1,5 @@
-//! A server's limit on the requests that it takes from all gateways together, as its answers name it.
+//! A server's limit on the requests that it accepts from all gateways together, as its answers name
+//! it.
 
 use std::fmt;
 
@@ -6,32 +7,33 @@
 use snipemast_core::prelude::*;
 
 data! {
-    /// What one answer of a server tells of its limit, as a process passes it on.
+    /// What one answer of a server says about its limit, with ages instead of moments so that
+    /// processes can exchange it.
     #[derive(Copy)]
     pub struct LimitEntry {
-        /// Which start of the server answered.
+        /// The start of the server that answered.
         pub start: Incarnation,
-        /// The limit; nothing where the answer names none.
+        /// The limit, or `None` if the answer names none.
         pub rate: Option<Rate>,
         /// How long ago the request was sent.
         pub sent: Span,
-        /// How long ago the answer came.
+        /// How long ago the answer arrived.
         pub seen: Span,
     }
 }
 
 impl LimitEntry {
-    /// A word as it is passed on at a moment.
-    pub fn new(word: &LimitUpdate, now: Moment) -> Self {
+    /// Converts an update to the form in which it is passed on at a moment.
+    pub fn new(update: &LimitUpdate, now: Moment) -> Self {
         Self {
-            start: word.start,
-            rate: word.rate,
-            sent: now.since(word.sent),
-            seen: now.since(word.seen),
+            start: update.start,
+            rate: update.rate,
+            sent: now.since(update.sent),
+            seen: now.since(update.seen),
         }
     }
 
-    /// The word, received at a moment.
+    /// Converts the entry back to the update, for an entry that was received at a moment.
     pub fn to_update(&self, now: Moment) -> LimitUpdate {
         LimitUpdate {
             start: self.start,
@@ -42,25 +44,26 @@
     }
 }
 
-/// What one answer of a server tells of its limit.
+/// What one answer of a server says about its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitUpdate {
-    /// Which start of the server answered.
+    /// The start of the server that answered.
     pub start: Incarnation,
-    /// The limit; nothing where the answer names none.
+    /// The limit, or `None` if the answer names none.
     pub rate: Option<Rate>,
-    /// When the request was sent: the answer was begun later.
+    /// When the request was sent; the server began the answer later than this.
     pub sent: Moment,
-    /// When the answer came.
+    /// When the answer arrived.
     pub seen: Moment,
 }
 
 impl LimitUpdate {
-    /// Whether it tells another limit than a word of the same start, and takes its place.
+    /// Whether this update names another limit than a known one of the same start, and replaces it.
     ///
-    /// Failure guarded against: an answer that was begun before the server named a limit comes after the one that
-    /// names it, and ends it. So a higher limit, or none, is taken only from an answer whose request was sent after
-    /// the lower one was seen; a lower one holds at once, unless it is older than all of what is known.
+    /// Failure guarded against: an answer that was begun before the server named a limit arrives
+    /// after the answer that names it, and ends the limit. A higher limit, or none, therefore
+    /// counts only if the request of its answer was sent after the lower limit was seen. A lower
+    /// limit holds at once, unless it is older than everything that is known.
     pub fn replaces(&self, known: &Self) -> bool {
         if self.is_below(known) {
             known.sent <= self.seen
@@ -69,7 +72,7 @@
         }
     }
 
-    /// Takes note of another answer that tells the same.
+    /// Adopts the later moments of another answer that names the same limit.
     fn confirm(&mut self, other: &Self) {
         self.sent = self.sent.max(other.sent);
         self.seen = self.seen.max(other.seen);
@@ -86,35 +89,35 @@
 /// What is known of a server's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct KnownLimit {
-    /// What was told last.
-    pub(crate) word: LimitUpdate,
-    /// Whether this start has named a limit at all.
+    /// The update that holds.
+    pub(crate) update: LimitUpdate,
+    /// Whether this start has ever named a limit.
     pub(crate) named: bool,
 }
 
 impl KnownLimit {
-    /// What the first word of a start tells.
-    pub(crate) fn new(word: LimitUpdate) -> Self {
+    /// Creates the limit from the first update of a start.
+    pub(crate) fn new(update: LimitUpdate) -> Self {
         Self {
-            word,
-            named: word.rate.is_some(),
+            update,
+            named: update.rate.is_some(),
         }
     }
 
-    /// Takes one more word of the same start; true where the limit is another one by it.
-    pub(crate) fn take(&mut self, word: LimitUpdate) -> bool {
-        let news = word.replaces(&self.word);
-        if news {
-            self.word = word;
+    /// Applies a further update of the same start; returns whether the limit changed.
+    pub(crate) fn apply(&mut self, update: LimitUpdate) -> bool {
+        let changed = update.replaces(&self.update);
+        if changed {
+            self.update = update;
             self.named = true;
-        } else if word.rate == self.word.rate {
-            self.word.confirm(&word);
+        } else if update.rate == self.update.rate {
+            self.update.confirm(&update);
         }
-        news
+        changed
     }
 }
 
-/// The log's line on a limit that is another one now, and where that was learnt.
+/// Returns the event and its detail for a limit that changed, with the source of the change.
 pub fn limit_change_event(
     before: Option<Rate>,
     rate: Option<Rate>,
--- a/crates/registry/src/news.rs
+++ b/crates/registry/src/news.rs
@@ -1,7 +1,7 @@
-//! What gateways and controllers ask a controller, and its answers.
+//! The polls that gateways, sidecars and controllers send to a controller, and its answers.
 //!
-//! A poll says what the asker has, and waits until there is more or for a bound; so the next poll
-//! acknowledges the answer before it.
+//! A poll says what the poller has. The controller answers as soon as there is news, or after a
+//! bounded wait. The next poll thus acknowledges the answer before it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,24 +16,25 @@
 /// The path of a poll.
 pub const PATH: &str = "/news";
 
-/// Requests in flight by server.
+/// The number of requests in flight, by server.
 ///
-/// Load answered: 149 gateways are told those at 198 servers four times a second. With a name for each field
-/// they took twice the bytes, 3.7 MB/s of a controller's link and most of it between availability zones.
-pub type Flying = BTreeMap<ServerId, u32>;
+/// It is a plain map to keep the messages short: 149 gateways receive the counts of 198 servers
+/// four times a second. With a name for each field they took twice the bytes, 3.7 MB/s of a
+/// controller's link and most of it between availability zones.
+pub type InFlight = BTreeMap<ServerId, u32>;
 
 data! {
-    /// A place in a controller's table.
+    /// A position in the history of a controller's table.
     #[derive(Copy, Default)]
     pub struct Cursor {
-        /// Drawn by the controller's process when it starts.
+        /// A number that the controller's process draws when it starts.
         pub epoch: u64,
-        /// The place.
+        /// The revision of the table.
         #[serde(rename = "place")]
         pub revision: u64,
     }
 
-    /// Who polls.
+    /// The kind of process that polls.
     #[derive(Copy)]
     pub enum PollerKind {
         /// An entry host.
@@ -48,44 +49,46 @@
     pub struct SlowServer {
         /// The server.
         pub server: ServerId,
-        /// How much longer, in hundredths of the usual time.
+        /// How much longer it takes, in hundredths of the usual time.
         pub pace: u32,
     }
 
-    /// What the asker has, and what it wants.
+    /// What the poller has, and what it wants.
     pub struct Poll {
-        /// The asker's host.
+        /// The poller's host.
         pub host: HostId,
-        /// What it is.
+        /// The poller's kind.
         pub kind: PollerKind,
-        /// The version that it has in force.
+        /// The configuration version that the poller has in force.
         pub version: Version,
-        /// The highest version that it was told of by this controller.
+        /// The highest version that this controller has told it of.
         pub told: Version,
-        /// Whether the answer is to carry the document, if there is a newer one.
+        /// Whether the answer should carry the document, if there is a newer one.
         #[serde(rename = "wanted")]
         pub wants_document: bool,
-        /// What it has of the controller's table.
+        /// How much of the controller's table the poller has.
         pub cursor: Cursor,
         /// How long the answer may wait for news.
         pub wait: Span,
-        /// Its own requests in flight, where this controller adds them up.
+        /// The poller's own requests in flight, if this controller adds them up.
         #[serde(rename = "flying")]
-        pub in_flight: Flying,
-        /// The slow servers of its group, where it leads one.
+        pub in_flight: InFlight,
+        /// The slow servers of the poller's group, if it leads one.
         pub slow: Vec<SlowServer>,
-        /// What it knows of servers' limits and would send there, where this controller grants that.
+        /// What the poller knows of servers' limits and would send there, if this controller
+        /// grants that.
         pub demands: Vec<Demand>,
-        /// Servers that answer it nothing, where this controller leads.
+        /// The servers that don't answer the poller, if this controller leads.
         #[serde(rename = "still")]
         pub silent: Vec<ServerId>,
-        /// Servers that told it that they leave, where this controller leads and hasn't told of them.
+        /// The servers that told the poller that they are leaving, if this controller leads and
+        /// hasn't reported them.
         pub leaving: Vec<LeavingServer>,
     }
 
-    /// What is new.
+    /// A controller's answer to a poll.
     pub struct News {
-        /// The place up to which the entries reach.
+        /// The position up to which the entries reach.
         pub cursor: Cursor,
         /// What changed in the table.
         pub entries: Vec<Entry>,
@@ -95,32 +98,33 @@
         pub document: Option<RawDocument>,
         /// The controller's availability zone.
         pub zone: ZoneId,
-        /// Where all controllers take polls.
+        /// The addresses at which all controllers accept polls.
         pub controllers: Vec<SocketAddr>,
-        /// Where the leader takes them.
+        /// The address at which the leader accepts polls.
         pub leader: Option<SocketAddr>,
-        /// How many gateways poll.
+        /// The number of gateways that poll.
         pub gateways: u32,
         /// The requests in flight of all other gateways.
         #[serde(rename = "flying")]
-        pub in_flight: Flying,
-        /// How long ago those gateways told of them, in the mean.
+        pub in_flight: InFlight,
+        /// The mean age of those gateways' counts.
         pub age: Span,
         /// The slow servers of all groups.
         pub slow: Vec<SlowServer>,
-        /// Servers that answer some gateway nothing.
+        /// The servers that don't answer some gateway.
         #[serde(rename = "still")]
         pub silent: Vec<ServerId>,
-        /// What the asker may send to servers that name limits; nothing where this controller can't tell.
+        /// The requests that the poller may send to servers that name limits, or `None` if this
+        /// controller can't tell.
         pub grants: Option<Vec<Grant>>,
     }
 
-    /// A document's text.
+    /// The text of a document.
     pub struct RawDocument(#[serde(with = "serde_bytes")] pub Vec<u8>);
 }
 
 impl Poll {
-    /// A poll of somebody who has nothing yet, tells nothing, and waits for nothing.
+    /// Creates the poll of a process that has nothing yet, reports nothing, and doesn't wait.
     pub fn new(host: HostId, kind: PollerKind) -> Self {
         Self {
             host,
@@ -130,7 +134,7 @@
             wants_document: false,
             cursor: Cursor::default(),
             wait: Span::default(),
-            in_flight: Flying::new(),
+            in_flight: InFlight::new(),
             slow: Vec::new(),
             demands: Vec::new(),
             silent: Vec::new(),
--- a/crates/registry/src/pollers.rs
+++ b/crates/registry/src/pollers.rs
@@ -1,19 +1,21 @@
-//! Who polls a controller, and what each one has.
+//! Which hosts poll a controller, and what each of them has.
 
 use std::collections::{BTreeSet, HashMap};
 
 use snipemast_core::prelude::*;
 
-use crate::news::{Cursor, Flying, Poll, PollerKind, SlowServer};
+use crate::news::{Cursor, InFlight, Poll, PollerKind, SlowServer};
 
-/// How long after its last poll a poller counts as connected: its longest wait and some round
-/// trips, below the time after which the platform's rules expect a host in reach to know.
-pub const CONNECTED: Span = Span::from_millis(1_800);
+/// How long after its last poll a poller counts as connected.
+///
+/// This is its longest wait and some round-trips, and less than the time after which the platform's
+/// rules expect a reachable host to know.
+pub const POLLER_TIMEOUT: Span = Span::from_millis(1_800);
 
-/// How long counts in flight are believed: four of their usual exchanges.
-pub const FLYING: Span = Span::from_millis(1_000);
+/// How long counts of requests in flight are valid: four of their usual exchanges.
+pub const IN_FLIGHT_TIMEOUT: Span = Span::from_millis(1_000);
 
-/// Who polls.
+/// The hosts that poll a controller.
 #[derive(Debug, Default)]
 pub struct Pollers {
     known: HashMap<HostId, Poller>,
@@ -25,60 +27,60 @@
     version: Version,
     cursor: Cursor,
     last: Moment,
-    flying: Flying,
+    in_flight: InFlight,
     slow: Vec<SlowServer>,
-    still: Vec<ServerId>,
+    silent: Vec<ServerId>,
 }
 
 impl Pollers {
-    /// Takes note of a poll; whether the poller has another configuration or more of the table than when
-    /// it polled before.
+    /// Records a poll; returns whether the poller has another configuration or more of the table
+    /// than at its previous poll.
     ///
-    /// Load answered: whoever waits until all gateways have something is woken by this alone. Woken by
-    /// every poll, with 350 hosts that poll four times a second, 350 waiting answers would be looked
-    /// at half a million times a second.
+    /// Whoever waits until all gateways have something is woken only if this returns true. With 350
+    /// hosts that poll four times a second, waking for every poll would mean looking at 350 waiting
+    /// answers half a million times a second in all.
     pub fn record(&mut self, now: Moment, poll: &Poll) -> bool {
         let poller = Poller {
             kind: poll.kind,
             version: poll.version,
             cursor: poll.cursor,
             last: now,
-            flying: poll.in_flight.clone(),
+            in_flight: poll.in_flight.clone(),
             slow: poll.slow.clone(),
-            still: poll.silent.clone(),
+            silent: poll.silent.clone(),
         };
         let before = self.known.insert(poll.host.clone(), poller);
         before.is_none_or(|b| b.version != poll.version || b.cursor != poll.cursor)
     }
 
-    /// How many gateways are connected.
+    /// Returns how many gateways are connected.
     pub fn gateway_count(&self, now: Moment) -> u32 {
-        self.connected(now).count() as u32
+        self.connected_gateways(now).count() as u32
     }
 
     /// Whether every connected gateway has this version in force.
     pub fn has_version(&self, now: Moment, version: Version) -> bool {
-        self.connected(now).all(|p| p.version >= version)
+        self.connected_gateways(now).all(|p| p.version >= version)
     }
 
-    /// Whether every connected gateway has the table up to this place.
+    /// Whether every connected gateway has the table up to this revision.
     pub fn has_revision(&self, now: Moment, cursor: Cursor) -> bool {
-        let has = |c: Cursor| c.epoch == cursor.epoch && c.revision >= cursor.revision;
-        self.connected(now).all(|p| has(p.cursor))
+        let reaches = |c: Cursor| c.epoch == cursor.epoch && c.revision >= cursor.revision;
+        self.connected_gateways(now).all(|p| reaches(p.cursor))
     }
 
-    /// The requests in flight of all gateways but one, and how long ago those told of them, in the mean.
-    pub fn in_flight(&self, now: Moment, but: &HostId) -> (Flying, Span) {
-        let mut sums = Flying::new();
-        let (mut ages, mut told) = (0, 0);
-        let fresh = |p: &Poller| p.kind == PollerKind::Gateway && now < p.last + FLYING;
+    /// Returns the requests in flight of all gateways but one, and the mean age of their counts.
+    pub fn in_flight(&self, now: Moment, except: &HostId) -> (InFlight, Span) {
+        let mut sums = InFlight::new();
+        let (mut ages, mut reporters) = (0, 0);
+        let fresh = |p: &Poller| p.kind == PollerKind::Gateway && now < p.last + IN_FLIGHT_TIMEOUT;
         for (host, poller) in &self.known {
-            if host == but || !fresh(poller) {
+            if host == except || !fresh(poller) {
                 continue;
             }
             ages += poller.last.until(now).as_micros();
-            told += 1;
-            for (server, count) in &poller.flying {
+            reporters += 1;
+            for (server, count) in &poller.in_flight {
                 match sums.get_mut(server) {
                     Some(sum) => *sum += count,
                     None => {
@@ -87,29 +89,34 @@
                 }
             }
         }
-        (sums, Span::from_micros(ages / told.max(1)))
+        (sums, Span::from_micros(ages / reporters.max(1)))
     }
 
-    /// The slow servers that leads of groups told of.
+    /// Returns the slow servers that the leads of groups report.
     pub fn slow_servers(&self, now: Moment) -> Vec<SlowServer> {
-        let fresh = self.known.values().filter(|p| now < p.last + CONNECTED);
+        let fresh = self
+            .known
+            .values()
+            .filter(|p| now < p.last + POLLER_TIMEOUT);
         fresh.flat_map(|p| p.slow.iter().cloned()).collect()
     }
 
-    /// The servers that answer some gateway nothing.
+    /// Returns the servers that don't answer some gateway.
     pub fn silent_servers(&self, now: Moment) -> Vec<ServerId> {
-        let told = self.connected(now).flat_map(|p| &p.still);
-        let told: BTreeSet<&ServerId> = told.collect();
-        told.into_iter().cloned().collect()
+        let silent = self.connected_gateways(now).flat_map(|p| &p.silent);
+        let silent: BTreeSet<&ServerId> = silent.collect();
+        silent.into_iter().cloned().collect()
     }
 
-    /// Forgets who has not polled for long.
+    /// Forgets the hosts that have not polled for a long time.
     pub fn expire(&mut self, now: Moment) {
-        self.known.retain(|_, p| now < p.last + CONNECTED.times(4));
+        self.known
+            .retain(|_, p| now < p.last + POLLER_TIMEOUT.times(4));
     }
 
-    fn connected(&self, now: Moment) -> impl Iterator<Item = &Poller> {
-        let gateways = self.known.values();
-        gateways.filter(move |p| p.kind == PollerKind::Gateway && now < p.last + CONNECTED)
+    /// Returns the connected gateways.
+    fn connected_gateways(&self, now: Moment) -> impl Iterator<Item = &Poller> {
+        let known = self.known.values();
+        known.filter(move |p| p.kind == PollerKind::Gateway && now < p.last + POLLER_TIMEOUT)
     }
 }
--- a/crates/registry/src/rank.rs
+++ b/crates/registry/src/rank.rs
@@ -1,4 +1,4 @@
-//! A server's place in a group of ranks, as the process beside it tells.
+//! A server's place in a group of ranks, as the sidecar beside it reports.
 
 use std::net::SocketAddr;
 
@@ -6,64 +6,66 @@
 use snipemast_core::prelude::*;
 pub use snipemast_core::server::GroupRank;
 
-/// The path of a call that tells of ranks.
+/// The path of a call that reports a rank.
 pub const PATH: &str = "/ranks";
 
-/// How often the process beside a rank tells of it although nothing has changed: a controller that has lost all
-/// it knew learns of every group within this.
+/// How often a sidecar reports its rank although nothing has changed, so that a controller that has
+/// lost its state learns of every group within this time.
 pub const REFRESH_INTERVAL: Span = Span::from_secs(2);
 
 data! {
-    /// What the process beside a rank tells of it.
+    /// What a sidecar reports about the rank beside it.
     pub struct RankUpdate {
-        /// Where the server takes requests.
+        /// The address at which the server accepts requests.
         pub address: SocketAddr,
-        /// Which start of it.
+        /// The start of the server.
         pub start: Incarnation,
-        /// Its place; nothing where it is a rank of no group.
+        /// The server's place, or `None` if it is a rank of no group.
         pub rank: Option<GroupRank>,
-        /// Drawn by the process that tells when it starts.
+        /// A number that the reporting process draws when it starts.
         #[serde(rename = "teller")]
         pub sender: u64,
-        /// Rises with each word of that process, so that a late one is known as such.
+        /// A number that rises with each update of that process, so that a late update can be
+        /// recognized.
         pub number: u64,
     }
 
-    /// A word was taken.
+    /// The answer to an update that was accepted.
     pub struct RankAck {}
 
-    /// What a table holds of a rank, and how old it is.
+    /// What a table holds about a rank, and how old it is.
     pub struct RankEntry {
-        /// What was told.
-        pub word: RankUpdate,
-        /// How long ago the process beside the rank told it.
+        /// The update.
+        #[serde(rename = "word")]
+        pub update: RankUpdate,
+        /// How long ago the sidecar sent it.
         pub age: Span,
     }
 }
 
 impl RankUpdate {
-    /// Whether it says the same as another one.
+    /// Whether it reports the same place as another update.
     pub fn has_same_rank(&self, other: &Self) -> bool {
         (self.start, &self.rank) == (other.start, &other.rank)
     }
 }
 
-/// What was told of a rank last.
+/// The latest update of a rank.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct KnownRank {
-    /// What was told.
-    pub(crate) word: RankUpdate,
-    /// When it was told, at any controller.
-    pub(crate) told: Moment,
+    /// The update.
+    pub(crate) update: RankUpdate,
+    /// When a controller received it.
+    pub(crate) received: Moment,
 }
 
 impl KnownRank {
-    /// Whether a word that was told at a moment takes its place.
-    pub(crate) fn yields_to(&self, word: &RankUpdate, told: Moment) -> bool {
-        if word.sender == self.word.sender {
-            word.number >= self.word.number
+    /// Whether an update that a controller received at a moment replaces this one.
+    pub(crate) fn yields_to(&self, update: &RankUpdate, received: Moment) -> bool {
+        if update.sender == self.update.sender {
+            update.number >= self.update.number
         } else {
-            told >= self.told
+            received >= self.received
         }
     }
 }
--- a/crates/registry/src/source.rs
+++ b/crates/registry/src/source.rs
@@ -1,23 +1,30 @@
-//! Of whom a gateway asks a configuration that it was told of.
+//! Which controllers a gateway requests a configuration from.
 //!
-//! Load answered: a document of 350 routes and more takes some 165 kB, and a controller of five hands it out to 30
-//! gateways of its availability zone, which takes 0.2 s of its link. Gateways that ask every other controller
-//! for it meanwhile get it up to five times, most of it over the links between availability zones.
+//! A document of 350 routes and more takes some 165 kB. A controller out of five sends it to the 30
+//! gateways of its availability zone, which takes 0.2 s of its link. If gateways asked every other
+//! controller in the meantime, they would get the document up to five times, most of it over the
+//! links between availability zones.
 
 use snipemast_core::prelude::*;
 
-/// How long the controller of the own availability zone, and then each other one that is asked, may take to hand out
-/// a configuration: twice what a large one takes, and a fifth of the shortest time within which one must be in force.
+/// How long the controller of the own availability zone, and then each further controller that is
+/// asked, may take to send a configuration.
+///
+/// This is twice what a large configuration takes, and a fifth of the shortest time within which
+/// one must be in force.
 pub const FETCH_TIMEOUT: Span = Span::from_millis(400);
 
-/// Who was asked for a configuration besides the controller of the own availability zone.
+/// Limits how often controllers other than that of the own availability zone are asked for a
+/// configuration.
 #[derive(Debug, Default)]
 pub struct Source {
     asked: Option<Moment>,
 }
 
 impl Source {
-    /// Whether another controller is asked now; one at a time.
+    /// Returns whether another controller may be asked now, and counts it as asked if so.
+    ///
+    /// Only one is asked at a time.
     pub fn try_ask(&mut self, now: Moment) -> bool {
         let due = self.asked.is_none_or(|asked| now >= asked + FETCH_TIMEOUT);
         if due {
--- a/crates/registry/src/table.rs
+++ b/crates/registry/src/table.rs
@@ -1,8 +1,9 @@
-//! The servers that are known, with their last word.
+//! The known servers, each with its latest announcement.
 //!
-//! Controllers fill a table from heartbeats and from each other; gateways fill theirs from the
-//! controllers. Entries of two tables merge in any order: of a server's starts the later one wins, of one
-//! start the higher sequence, and a good-bye wins over every heartbeat before it.
+//! A controller fills its table from heartbeats and from the tables of other controllers; a gateway
+//! fills its table from the controllers. Entries of two tables may be merged in any order: a later
+//! start of a server wins over an earlier one, within one start the higher sequence wins, and a
+//! goodbye wins over every heartbeat before it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,77 +17,82 @@
 use crate::limit::{KnownLimit, LimitEntry, LimitUpdate};
 use crate::rank::{GroupRank, KnownRank, RankEntry, RankUpdate};
 
-/// How long a server that is not heard any more is kept: past any cut between it and control
-/// that gateways don't share, so that only their own failures take it out of use. No heartbeat is as late
-/// as this, so what is heard after it was said after it.
-pub const SILENCE: Span = Span::from_secs(30);
+/// How long a server that sends no heartbeat stays ready.
+///
+/// This is longer than any cut between the server and the controllers that the gateways don't
+/// share, so that only failures that gateways see themselves take the server out of use. No
+/// heartbeat is late by this much, so whatever is heard after this time was also sent after it.
+pub const SILENCE_TIMEOUT: Span = Span::from_secs(30);
 
-/// How long a good-bye is remembered: longer than any heartbeat can be late.
-pub const MEMORY: Span = Span::from_secs(120);
+/// How long a goodbye, a lost server and a rank are remembered: longer than any heartbeat can be
+/// late.
+pub const RETENTION: Span = Span::from_secs(120);
 
 data! {
-    /// What one table tells another of a server.
+    /// What one table tells another about a server.
     pub struct Entry {
-        /// The server's last heartbeat.
+        /// The server's latest heartbeat.
         pub announcement: Announcement,
-        /// Its standing.
+        /// The server's standing.
         pub standing: Standing,
-        /// How long ago it was heard.
+        /// How long ago the server was heard.
         pub age: Span,
-        /// Its place in a group, where that is known.
+        /// The server's place in a group, if it is known.
         pub rank: Option<RankEntry>,
-        /// What was told of its limit, where it has named one.
+        /// The server's limit, if it has named one.
         pub limit: Option<LimitEntry>,
-        /// How long ago this start said first in an answer that it leaves, if it did.
+        /// How long ago this start first said in an answer that it is leaving, if it did.
         pub leaving: Option<Span>,
     }
 }
 
-/// What a table holds of a server.
+/// What a table holds about a server.
 #[derive(Debug, Clone)]
 pub struct KnownServer {
-    /// Its last heartbeat.
+    /// The server's latest heartbeat.
     pub announcement: Announcement,
-    /// Its standing.
+    /// The server's standing.
     pub standing: Standing,
-    /// When it was heard, at any controller.
+    /// When any controller last heard the server.
     pub heard: Moment,
-    /// The place of its last change.
+    /// The table's revision at the server's last change.
     changed: u64,
 }
 
-/// The servers that are known.
+/// The known servers.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
     servers: HashMap<ServerId, KnownServer>,
+    /// The server that holds each address.
     holders: HashMap<SocketAddr, ServerId>,
     ranks: HashMap<SocketAddr, KnownRank>,
-    /// What answers told last of servers' limits.
+    /// The latest limits that servers named in their answers.
     limits: Starts<KnownLimit>,
     leaving: LeavingServers,
-    /// When servers said good-bye here last: it may be for a start that is not known here yet.
-    departed: HashMap<ServerId, Moment>,
+    /// When servers last said goodbye to this process; the start that did may not be known yet.
+    goodbyes: HashMap<ServerId, Moment>,
     revision: u64,
 }
 
 impl Table {
-    /// A table that knows nobody.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a heartbeat; true where it changed more than the time.
+    /// Records a heartbeat; returns whether it changed more than the time.
     pub fn record_heartbeat(&mut self, now: Moment, announcement: Announcement) -> bool {
         let standing = announcement.standing();
-        self.take(now, announcement, standing)
+        self.apply(now, announcement, standing)
     }
 
-    /// Takes a good-bye; true where it is news.
+    /// Records a goodbye; returns whether it is news.
     ///
-    /// A good-bye names no start. It is taken for the latest that is known, and remembered: the server may
-    /// have been heard by other controllers only, or have started again since it was heard here.
+    /// A goodbye names no start, so it counts for the latest known one. It is also remembered,
+    /// because the server may have been heard by other controllers only, or may have restarted
+    /// since it was heard here.
     pub fn record_goodbye(&mut self, now: Moment, id: &ServerId) -> bool {
-        self.departed.insert(id.clone(), now);
+        self.goodbyes.insert(id.clone(), now);
         match self.servers.get(id) {
             Some(known) if known.standing != Standing::Gone => {
                 let announcement = known.announcement.clone();
@@ -96,45 +102,48 @@
         }
     }
 
-    /// Takes what another table says; true where it changed more than the time.
+    /// Merges an entry of another table; returns whether it changed more than the time.
     pub fn merge(&mut self, now: Moment, entry: Entry) -> bool {
         let heard = now - entry.age;
-        let told = entry.rank.map(|r| (now - r.age, r.word));
+        let rank = entry.rank.map(|r| (now - r.age, r.update));
         let (id, start) = (entry.announcement.id.clone(), entry.announcement.start);
-        let changed = self.take(heard, entry.announcement, entry.standing);
-        let ranked = told.is_some_and(|(at, word)| self.record_rank(at, word));
+        let changed = self.apply(heard, entry.announcement, entry.standing);
+        let ranked = rank.is_some_and(|(at, update)| self.record_rank(at, update));
         let limit = entry.limit.map(|limit| limit.to_update(now));
-        let limited = limit.is_some_and(|word| self.record_limit(&id, word));
+        let limited = limit.is_some_and(|update| self.record_limit(&id, update));
         let leaving = entry.leaving.map(|age| now - age);
         let leaves = leaving.is_some_and(|first| self.put_leaving(first, &id, start, true));
         changed || ranked || limited || leaves
     }
 
-    /// Takes an answer's word that a start of a server leaves, whatever it announces; true where that is news.
+    /// Records that a start of a server said in an answer that it is leaving, whatever it
+    /// announces; returns whether that is news.
     pub fn record_leaving(&mut self, now: Moment, id: &ServerId, start: Incarnation) -> bool {
         self.put_leaving(now, id, start, false)
     }
 
-    /// Takes what a gateway tells of a server that leaves; true where that is news.
-    pub fn merge_leaving(&mut self, now: Moment, told: &LeavingServer) -> bool {
-        self.put_leaving(now - told.age, &told.server, told.start, true)
+    /// Merges a gateway's report of a server that is leaving; returns whether it is news.
+    pub fn merge_leaving(&mut self, now: Moment, report: &LeavingServer) -> bool {
+        self.put_leaving(now - report.age, &report.server, report.start, true)
     }
 
-    /// When the latest start of a server said first that it leaves; nothing where it did not.
+    /// Returns when the latest start of a server first said that it is leaving, or `None` if it
+    /// didn't.
     pub fn leaving_since(&self, id: &ServerId) -> Option<Moment> {
         let start = self.servers.get(id)?.announcement.start;
-        self.leaving.first(id, start)
+        self.leaving.leaving_since(id, start)
     }
 
-    /// The servers on offer that leave, as far as no controller is known to have heard of it.
+    /// Returns the ready servers that are leaving without any controller being known to have heard
+    /// of it.
     pub fn unreported_leaving(&self, now: Moment) -> Vec<LeavingServer> {
-        let offered = |leaving: &LeavingServer| {
+        let ready = |leaving: &LeavingServer| {
             let known = self.servers.get(&leaving.server);
             known.is_some_and(|k| {
                 k.announcement.start == leaving.start && k.standing == Standing::Ready
             })
         };
-        self.leaving.unspread(now).filter(offered).collect()
+        self.leaving.unreported(now).filter(ready).collect()
     }
 
     fn put_leaving(
@@ -142,9 +151,9 @@
         first: Moment,
         id: &ServerId,
         start: Incarnation,
-        spread: bool,
+        reported: bool,
     ) -> bool {
-        if !self.leaving.note(first, id, start, spread) {
+        if !self.leaving.record(first, id, start, reported) {
             return false;
         }
         let known = self.servers.get_mut(id);
@@ -155,18 +164,20 @@
         true
     }
 
-    /// Takes what the process beside a rank told at a moment; true where it is news.
+    /// Records a rank update that a controller received at a moment; returns whether it is news.
     ///
-    /// The word that was told last holds, whatever group it names: a rank may move to a group whose epochs are
-    /// lower. Of one process the words are numbered, and one that was long on its way is outdated. It is kept by address, because it may come before the first heartbeat of the server's start.
-    pub fn record_rank(&mut self, told: Moment, word: RankUpdate) -> bool {
-        let address = word.address;
+    /// The latest update holds, whatever group it names, because a rank may move to a group whose
+    /// epochs are lower. The updates of one process are numbered, so that one that was delayed for
+    /// long is recognized as outdated. Updates are kept by address, because an update may arrive
+    /// before the first heartbeat of the server's start.
+    pub fn record_rank(&mut self, received: Moment, update: RankUpdate) -> bool {
+        let address = update.address;
         let before = self.ranks.get(&address);
-        if before.is_some_and(|known| !known.yields_to(&word, told)) {
+        if before.is_some_and(|known| !known.yields_to(&update, received)) {
             return false;
         }
-        let changed = before.is_none_or(|known| !known.word.has_same_rank(&word));
-        self.ranks.insert(address, KnownRank { word, told });
+        let changed = before.is_none_or(|known| !known.update.has_same_rank(&update));
+        self.ranks.insert(address, KnownRank { update, received });
         let holder = self.holders.get(&address);
         let Some(known) = holder.and_then(|id| self.servers.get_mut(id)) else {
             return false;
@@ -178,24 +189,25 @@
         changed
     }
 
-    /// The place of a server in its group, where that is known.
+    /// Returns the server's place in its group, if it is known.
     pub fn rank(&self, known: &KnownServer) -> Option<&GroupRank> {
-        self.known_rank(known)?.word.rank.as_ref()
+        self.known_rank(known)?.update.rank.as_ref()
     }
 
-    /// Takes what an answer of a server tells of its limit; true where it is news.
-    pub fn record_limit(&mut self, id: &ServerId, word: LimitUpdate) -> bool {
+    /// Records what an answer of a server says about its limit; returns whether it is news.
+    pub fn record_limit(&mut self, id: &ServerId, update: LimitUpdate) -> bool {
         let Some(known) = self.servers.get_mut(id) else {
             return false;
         };
-        if known.announcement.start != word.start {
+        if known.announcement.start != update.start {
             return false;
         }
-        let changed = match self.limits.get_mut(id, word.start) {
-            Some(before) => before.take(word),
+        let changed = match self.limits.get_mut(id, update.start) {
+            Some(before) => before.apply(update),
             None => {
-                self.limits.insert(id, word.start, KnownLimit::new(word));
-                word.rate.is_some()
+                self.limits
+                    .insert(id, update.start, KnownLimit::new(update));
+                update.rate.is_some()
             }
         };
         if changed {
@@ -205,59 +217,59 @@
         changed
     }
 
-    /// The limit that a server's latest start names; nothing where it names none.
+    /// Returns the limit that a server's latest start names, or `None` if it names none.
     pub fn limit(&self, id: &ServerId) -> Option<Rate> {
-        self.limit_word(self.servers.get(id)?)?.rate
+        self.limit_update(self.servers.get(id)?)?.rate
     }
 
-    /// What was told of the limits of all servers that have named one since they started.
+    /// Returns the latest limit updates of all servers that have named a limit since they started.
     pub fn limits(&self) -> impl Iterator<Item = (&ServerId, &LimitUpdate)> {
         let latest = |id: &ServerId| self.servers.get(id).map(|k| k.announcement.start);
         let limits = self.limits.iter();
         let named = limits.filter(move |(id, start, l)| l.named && latest(id) == Some(*start));
-        named.map(|(id, _, limit)| (id, &limit.word))
+        named.map(|(id, _, limit)| (id, &limit.update))
     }
 
-    /// What was told of the limit of a server that has named one since it started.
-    fn limit_word(&self, known: &KnownServer) -> Option<&LimitUpdate> {
+    /// Returns a server's latest limit update, if the server has named a limit since it started.
+    fn limit_update(&self, known: &KnownServer) -> Option<&LimitUpdate> {
         let Announcement { id, start, .. } = &known.announcement;
         let limit = self.limits.get(id, *start).filter(|limit| limit.named);
-        limit.map(|limit| &limit.word)
+        limit.map(|limit| &limit.update)
     }
 
-    /// What was told of the start of a server that holds its address.
+    /// Returns the rank of a server's start, if the server holds its address.
     fn known_rank(&self, known: &KnownServer) -> Option<&KnownRank> {
-        let said = &known.announcement;
-        let holds = self.holders.get(&said.address) == Some(&said.id);
-        let told = self.ranks.get(&said.address).filter(|_| holds)?;
-        (told.word.start == said.start).then_some(told)
+        let server = &known.announcement;
+        let holds = self.holders.get(&server.address) == Some(&server.id);
+        let rank = self.ranks.get(&server.address).filter(|_| holds)?;
+        (rank.update.start == server.start).then_some(rank)
     }
 
-    /// What changed after a place, as another table takes it.
-    pub fn since(&self, place: u64, now: Moment) -> Vec<Entry> {
-        let known = self.servers.values().filter(|k| k.changed > place);
+    /// Returns what changed after a revision, as entries for another table.
+    pub fn since(&self, revision: u64, now: Moment) -> Vec<Entry> {
+        let known = self.servers.values().filter(|k| k.changed > revision);
         let mut known: Vec<&KnownServer> = known.collect();
-        // Later holders of an address come last, so that they win where they are merged.
+        // Later holders of an address come last, so that they win when the entries are merged.
         known.sort_unstable_by_key(|k| k.heard);
         known.into_iter().map(|k| self.to_entry(k, now)).collect()
     }
 
-    /// The place of the last change.
+    /// Returns the table's revision, a number that rises with each change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Every server that is known.
+    /// Returns all known servers.
     pub fn iter(&self) -> impl Iterator<Item = &KnownServer> {
         self.servers.values()
     }
 
-    /// One server.
+    /// Returns one server.
     pub fn get(&self, id: &ServerId) -> Option<&KnownServer> {
         self.servers.get(id)
     }
 
-    /// Takes what another table says; true where a server's start or standing changed by it.
+    /// Merges an entry of another table; returns whether the server's start or standing changed.
     pub fn merge_standing(&mut self, now: Moment, entry: Entry) -> bool {
         let id = entry.announcement.id.clone();
         let before = self.standing(&id);
@@ -265,31 +277,32 @@
         self.standing(&id) != before
     }
 
-    /// Which start of a server is known, and its standing.
+    /// Returns the known start of a server and its standing.
     fn standing(&self, id: &ServerId) -> Option<(Incarnation, Standing)> {
         let known = self.servers.get(id)?;
         Some((known.announcement.start, known.standing))
     }
 
-    /// Gives up who was silent for long; true where that is a change.
+    /// Marks servers that were silent for a long time as lost; returns whether that changed
+    /// anything.
     ///
-    /// Only a table that hears heartbeats, or hears of each one, may call this.
+    /// Only the owner of a table that receives heartbeats, or learns of each one, may call this.
     pub fn expire(&mut self, now: Moment) -> bool {
-        let place = self.revision;
+        let before = self.revision;
         for known in self.servers.values_mut() {
-            if known.standing == Standing::Ready && now >= known.heard + SILENCE {
+            if known.standing == Standing::Ready && now >= known.heard + SILENCE_TIMEOUT {
                 self.revision += 1;
                 known.standing = Standing::Lost;
                 known.changed = self.revision;
             }
         }
         self.forget(now);
-        self.revision > place
+        self.revision > before
     }
 
-    /// Forgets servers that left or were lost long ago.
+    /// Forgets servers that were lost or left a long time ago.
     pub fn forget(&mut self, now: Moment) {
-        let past = |heard: Moment| now >= heard + MEMORY;
+        let past = |heard: Moment| now >= heard + RETENTION;
         self.servers
             .retain(|_, k| k.standing < Standing::Lost || !past(k.heard));
         let servers = &self.servers;
@@ -300,8 +313,8 @@
         };
         self.limits.retain(|id, start, _| is_latest(id, start));
         self.leaving.forget(now, is_latest);
-        self.departed.retain(|_, at| !past(*at));
-        self.ranks.retain(|_, rank| !past(rank.told));
+        self.goodbyes.retain(|_, at| !past(*at));
+        self.ranks.retain(|_, rank| !past(rank.received));
     }
 
     fn to_entry(&self, known: &KnownServer, now: Moment) -> Entry {
@@ -311,48 +324,52 @@
             standing: known.standing,
             age: now.since(known.heard),
             rank: rank.map(|rank| RankEntry {
-                word: rank.word.clone(),
-                age: now.since(rank.told),
+                update: rank.update.clone(),
+                age: now.since(rank.received),
             }),
             limit: self
-                .limit_word(known)
-                .map(|word| LimitEntry::new(word, now)),
+                .limit_update(known)
+                .map(|update| LimitEntry::new(update, now)),
             leaving: self
                 .leaving_since(&known.announcement.id)
                 .map(|first| now.since(first)),
         }
     }
 
-    /// Failure guarded against: a heartbeat that was held up arrives after a later one, or after
-    /// the server's good-bye, and brings back a server that leaves or left.
-    fn take(&mut self, heard: Moment, announcement: Announcement, standing: Standing) -> bool {
-        let said = Word {
+    /// Applies an announcement with the standing that it leads to; returns whether it changed more
+    /// than the time.
+    ///
+    /// Failure guarded against: a delayed heartbeat arrives after a later one, or after the
+    /// server's goodbye, and brings back a server that is leaving or gone.
+    fn apply(&mut self, heard: Moment, announcement: Announcement, standing: Standing) -> bool {
+        let report = Report {
             start: announcement.start,
             sequence: announcement.sequence,
             standing,
             heard,
         };
-        let departed = self.departed.get(&announcement.id).copied();
+        let goodbye = self.goodbyes.get(&announcement.id).copied();
         let Some(known) = self.servers.get_mut(&announcement.id) else {
-            return match departed {
+            return match goodbye {
                 Some(at) => self.put(at.max(heard), announcement, Standing::Gone),
                 None => self.put(heard, announcement, standing),
             };
         };
-        let last = known.word();
-        if said.start != last.start {
-            if !said.outranks(&last) {
+        let last = known.report();
+        if report.start != last.start {
+            if !report.outranks(&last) {
                 return false;
             }
-            // Failure guarded against: the good-bye of this start came here while only the one before it was
-            // known, and was acknowledged; other controllers had heard the start before that.
-            return match departed.filter(|at| heard <= *at) {
+            // Failure guarded against: the goodbye of this start arrived and was acknowledged
+            // while only the start before it was known here, although other controllers had
+            // already heard this start.
+            return match goodbye.filter(|at| heard <= *at) {
                 Some(at) => self.put(at, announcement, Standing::Gone),
                 None => self.put(heard, announcement, standing),
             };
         }
-        let Some(standing) = last.joined(&said) else {
-            if said.sequence == last.sequence && standing != Standing::Gone {
+        let Some(standing) = last.merged_standing(&report) else {
+            if report.sequence == last.sequence && standing != Standing::Gone {
                 known.heard = known.heard.max(heard);
             }
             return false;
@@ -379,18 +396,21 @@
         };
         self.servers.insert(id.clone(), known);
         if matches!(standing, Standing::Ready | Standing::Draining) {
-            self.hold(address, id);
+            self.assign_address(address, id);
         }
         true
     }
 
-    /// Failure guarded against: a server crashed, another one got its address, and requests for
-    /// the first reach the second. Whoever started last holds the address, and where servers do not
-    /// tell their starts, whoever was heard last: then a held-up heartbeat may take it away until the
-    /// holder's next one, and the instance that each request names keeps even those requests from
-    /// running at the wrong server.
-    fn hold(&mut self, address: SocketAddr, id: ServerId) {
-        let word = self.servers[&id].word();
+    /// Decides whether a server or the previous holder of its address holds the address; the other
+    /// one is lost.
+    ///
+    /// Failure guarded against: a server crashes, another one gets its address, and requests for
+    /// the first one reach the second. The server that started last holds the address. If servers
+    /// don't report their starts, the server that was heard last holds it: a delayed heartbeat may
+    /// then take the address away until the holder's next heartbeat. Even in that time no request
+    /// runs at the wrong server, because each request names its instance.
+    fn assign_address(&mut self, address: SocketAddr, id: ServerId) {
+        let report = self.servers[&id].report();
         let Some(other) = self.holders.insert(address, id.clone()) else {
             return;
         };
@@ -400,77 +420,82 @@
         let Some(known) = self.servers.get(&other) else {
             return;
         };
-        let (loser, winner) = if known.word().outranks(&word) {
+        let (loser, winner) = if known.report().outranks(&report) {
             (id, other)
         } else {
             (other, id)
         };
         self.holders.insert(address, winner);
         self.revision += 1;
-        let place = self.revision;
+        let revision = self.revision;
         if let Some(known) = self.servers.get_mut(&loser) {
             if known.standing < Standing::Lost {
                 known.standing = Standing::Lost;
             }
-            known.changed = place;
+            known.changed = revision;
         }
     }
 }
 
-/// The last word of one start of a server.
+/// What was last heard of one start of a server.
 #[derive(Debug, Clone, Copy)]
-struct Word {
+struct Report {
     start: Incarnation,
     sequence: u64,
     standing: Standing,
     heard: Moment,
 }
 
-impl Word {
-    /// Whether it is of a later start than another word, of the same server or of one at its address.
+impl Report {
+    /// Whether it is of a later start than another report, of the same server or of one at its
+    /// address.
     ///
-    /// Starts are ordered by the time that servers give for them. A clock that is set back between two
-    /// starts turns them round, so a start that is heard long after the other one fell silent is later.
+    /// Starts are ordered by the time that servers give for them. A clock that is set back between
+    /// two starts reverses this order, so a start that is heard long after the other one fell
+    /// silent counts as the later one.
     fn outranks(&self, other: &Self) -> bool {
         if self.start == other.start {
             return self.heard > other.heard;
         }
         if self.start > other.start {
-            return other.heard < self.heard + SILENCE;
+            return other.heard < self.heard + SILENCE_TIMEOUT;
         }
-        self.heard >= other.heard + SILENCE
+        self.heard >= other.heard + SILENCE_TIMEOUT
     }
 
-    /// The standing after one more word of the same start; nothing where that is outdated.
-    fn joined(&self, said: &Self) -> Option<Standing> {
-        let outdated = said.sequence <= self.sequence;
+    /// Returns the standing after a further report of the same start, or `None` if that report is
+    /// outdated.
+    fn merged_standing(&self, report: &Self) -> Option<Standing> {
+        let outdated = report.sequence <= self.sequence;
         if self.standing == Standing::Gone {
-            return (!outdated && said.is_after(self)).then_some(said.standing);
+            return (!outdated && report.refutes(self)).then_some(report.standing);
         }
-        if said.standing == Standing::Gone {
-            let before = self.sequence > said.sequence && self.is_after(said);
-            return (!before).then_some(Standing::Gone);
+        if report.standing == Standing::Gone {
+            let refuted = self.sequence > report.sequence && self.refutes(report);
+            return (!refuted).then_some(Standing::Gone);
         }
-        if outdated && said.standing <= self.standing {
+        if outdated && report.standing <= self.standing {
             return None;
         }
         Some(match self.standing {
-            // A server that began to leave goes on leaving until it starts again.
-            Standing::Draining => said.standing.max(Standing::Draining),
-            _ => said.standing,
+            // A server that is draining goes on draining until it restarts.
+            Standing::Draining => report.standing.max(Standing::Draining),
+            _ => report.standing,
         })
     }
 
-    /// Whether it shows that a good-bye was not this start's: the good-bye of the start before it was
-    /// held up and crossed its first heartbeats, and it goes on announcing itself.
-    fn is_after(&self, farewell: &Self) -> bool {
-        self.standing != Standing::Gone && self.heard >= farewell.heard + SILENCE
+    /// Whether it shows that a goodbye was not from this start.
+    ///
+    /// The goodbye of the previous start may be delayed and cross the first heartbeats of this one,
+    /// which goes on announcing itself.
+    fn refutes(&self, goodbye: &Self) -> bool {
+        self.standing != Standing::Gone && self.heard >= goodbye.heard + SILENCE_TIMEOUT
     }
 }
 
 impl KnownServer {
-    fn word(&self) -> Word {
-        Word {
+    fn report(&self) -> Report {
+        Report {
             start: self.announcement.start,
             sequence: self.announcement.sequence,
             standing: self.standing,
--- a/crates/registry/tests/common/mod.rs
+++ b/crates/registry/tests/common/mod.rs
@@ -1,22 +1,22 @@
-//! One server, and moments from when it is known on.
+//! A server, and moments after its first heartbeat.
 
 use snipemast_core::prelude::*;
 use snipemast_registry::Announcement;
 
-/// When it is announced.
+/// The moment of the first heartbeat.
 pub(crate) const START: Moment = Moment::from_millis(50_000);
 
-/// A moment after that.
+/// Returns a moment after [`START`].
 pub(crate) fn at(millis: u64) -> Moment {
     START + Span::from_millis(millis)
 }
 
-/// Its id.
+/// Returns the server's id.
 pub(crate) fn id() -> ServerId {
     ServerId::new("i-1").unwrap()
 }
 
-/// The first heartbeat of a start of it.
+/// Returns the first heartbeat of a start of the server.
 pub(crate) fn announced(start: u64) -> Announcement {
     Announcement {
         id: id(),
--- a/crates/registry/tests/grants.rs
+++ b/crates/registry/tests/grants.rs
@@ -1,4 +1,4 @@
-//! What the leader grants of a server's limit.
+//! The grants of the leader within a server's limit.
 
 use snipemast_core::prelude::*;
 use snipemast_registry::{Demand, Grants, LimitEntry};
@@ -25,7 +25,8 @@
     }]
 }
 
-/// Grants a demand at a moment of a term, where the server's start and limit are known.
+/// Grants a demand at a moment of a term, for a server whose start and limit are known; returns the
+/// number of granted requests.
 fn grant(grants: &mut Grants, now: Moment, term: u64, known: (u64, u64), count: u32) -> u32 {
     let (start, rate) = known;
     let limit = |_: &ServerId| Some((Incarnation(start), Rate::per_second(rate)));
@@ -33,7 +34,7 @@
     granted.iter().map(|g| g.count).sum()
 }
 
-/// A leader that has just been elected grants at once what the one before it granted too.
+/// Guards against a new leader that at once grants again what its predecessor has just granted.
 #[test]
 fn new_leader_waits() {
     let mut grants = Grants::default();
@@ -43,32 +44,36 @@
     assert_eq!(grant(&mut grants, at(10_500), 2, (1, 2), 9), 1);
 }
 
-/// Nobody asks for long, and then all of that comes at once.
+/// Guards against a burst after a time in which no gateway asks: the requests that were allowed
+/// meanwhile would all be granted at once.
 #[test]
-fn savings_are_bounded() {
+fn savings_bounded() {
     let mut grants = Grants::default();
     grant(&mut grants, at(0), 1, (1, 8), 0);
     assert_eq!(grant(&mut grants, at(60_000), 1, (1, 8), 99), 4);
 }
 
-/// A lower limit holds at once: neither is more saved than it allows, nor does the time before it count by the higher one.
+/// Guards against a lower limit that takes effect late: more is saved than it allows, or the time
+/// before it counts by the higher limit.
 #[test]
-fn lower_limit_at_once() {
+fn lower_limit_immediate() {
     let mut grants = Grants::default();
     grant(&mut grants, at(0), 1, (1, 8), 0);
     assert_eq!(grant(&mut grants, at(10_000), 1, (1, 1), 99), 1);
     assert_eq!(grant(&mut grants, at(10_500), 1, (1, 1), 99), 0);
 }
 
-/// A server starts anew under its id, and gets what its earlier start was granted.
+/// Guards against a server that restarts under its id and gets what was saved for its earlier
+/// start.
 #[test]
-fn start_anew_saves_nothing() {
+fn restart_resets_savings() {
     let mut grants = Grants::default();
     grant(&mut grants, at(0), 1, (1, 8), 0);
     assert_eq!(grant(&mut grants, at(10_000), 1, (2, 8), 99), 0);
 }
 
-/// One gateway asks for all of it, and a server's limit is used by requests of one zone in a burst.
+/// Guards against one gateway that gets more than it asks for, so that requests of a single zone
+/// use up a server's limit in a burst.
 #[test]
 fn no_more_than_asked() {
     let mut grants = Grants::default();
@@ -78,10 +83,10 @@
     assert_eq!(grant(&mut grants, at(1_000), 1, (1, 8), 9), 1);
 }
 
-/// A limit that is over never shows, because each gateway that is granted a request prefers another server: one a second
-/// is due.
+/// Guards against the end of a limit that nobody notices, because each gateway that is granted a
+/// request prefers another server. One request a second is therefore due.
 #[test]
-fn one_is_due() {
+fn one_request_due() {
     let mut grants = Grants::default();
     let limit = |_: &ServerId| Some((Incarnation(1), Rate::per_second(20)));
     let mut due = |millis| {
--- a/crates/registry/tests/leaving.rs
+++ b/crates/registry/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Servers that say in their answers that they leave.
+//! Servers that say in their answers that they are leaving.
 
 mod common;
 
@@ -27,44 +27,47 @@
     }
 }
 
-/// A table that knows the first start of a server.
+/// Returns a table that knows the first start of a server.
 fn table() -> Table {
     let mut table = Table::new();
     table.record_heartbeat(START, announced(1));
     table
 }
 
-fn leave(table: &mut Table, now: Moment) -> bool {
+fn announce_leaving(table: &mut Table, now: Moment) -> bool {
     table.record_leaving(now, &id(), Incarnation(1))
 }
 
-/// A late heartbeat, or what another controller had before, takes a server that leaves for ready.
+/// Guards against a server that is leaving and becomes ready again, due to a late heartbeat or an
+/// older entry of another controller.
 #[test]
 fn leaving_is_final() {
     let mut table = table();
-    assert!(leave(&mut table, at(10)));
-    assert!(!leave(&mut table, at(20)));
+    assert!(announce_leaving(&mut table, at(10)));
+    assert!(!announce_leaving(&mut table, at(20)));
     table.record_heartbeat(at(30), heartbeat(1, 2));
     table.merge(at(40), entry(1, 3, Standing::Ready));
     assert_eq!(table.leaving_since(&id()), Some(at(10)));
 }
 
-/// A server that started again is sent nothing for good.
+/// Guards against a server that restarted and never gets a request again, because its earlier start
+/// was leaving.
 #[test]
-fn new_start_stays() {
+fn restart_not_leaving() {
     let mut table = table();
-    leave(&mut table, at(10));
+    announce_leaving(&mut table, at(10));
     table.record_heartbeat(at(2_000), announced(2));
     assert_eq!(table.leaving_since(&id()), None);
     assert!(!table.record_leaving(at(2_010), &id(), Incarnation(1)));
     assert_eq!(table.leaving_since(&id()), None);
 }
 
-/// A server that leaves is off the news for a while, and comes back as a ready one.
+/// Guards against a leaving server that is absent from the news for a while and comes back as
+/// ready.
 #[test]
-fn leaving_outlives_news() {
+fn leaving_remembered() {
     let mut table = table();
-    leave(&mut table, at(10));
+    announce_leaving(&mut table, at(10));
     table.merge(at(100), entry(1, 2, Standing::Lost));
     table.forget(at(400_000));
     assert_eq!(table.get(&id()).map(|k| k.standing), None);
@@ -72,22 +75,23 @@
     assert_eq!(table.leaving_since(&id()), Some(at(10)));
 }
 
-/// One gateway hears that a server leaves, and all others go on sending there.
+/// Guards against a server that told only one gateway that it is leaving, so that all the others go
+/// on sending to it.
 #[test]
-fn all_are_told() {
+fn all_gateways_told() {
     let (mut gateway, mut leader, mut other) = (table(), table(), table());
-    leave(&mut gateway, at(10));
-    let told = gateway.unreported_leaving(at(110));
+    announce_leaving(&mut gateway, at(10));
+    let reports = gateway.unreported_leaving(at(110));
     let age = Span::from_millis(100);
     let expected = LeavingServer {
         server: id(),
         start: Incarnation(1),
         age,
     };
-    assert_eq!(told, [expected]);
-    let place = leader.revision();
-    assert!(leader.merge_leaving(at(110), &told[0]));
-    let news = leader.since(place, at(210));
+    assert_eq!(reports, [expected]);
+    let revision = leader.revision();
+    assert!(leader.merge_leaving(at(110), &reports[0]));
+    let news = leader.since(revision, at(210));
     assert_eq!(news.len(), 1);
     for table in [&mut other, &mut gateway] {
         table.merge(at(210), news[0].clone());
@@ -97,12 +101,12 @@
     assert_eq!(leader.get(&id()).unwrap().standing, Standing::Ready);
 }
 
-/// Servers that leave and start again under other ids without end fill the memory.
+/// Guards against servers that leave and restart under other ids without end and fill the memory.
 #[test]
-fn memory_is_bounded() {
-    const MOST: usize = 4_096;
+fn memory_bounded() {
+    const MAX_STARTS: usize = 4_096;
     let mut table = Table::new();
-    for number in 0..MOST + 500 {
+    for number in 0..MAX_STARTS + 500 {
         let server = ServerId::new(format!("i-{number}")).unwrap();
         table.record_leaving(at(number as u64), &server, Incarnation(1));
     }
@@ -111,9 +115,9 @@
     assert_eq!(
         table.leaving_since(&id()),
         None,
-        "the first ones are forgotten"
+        "the oldest starts are forgotten"
     );
-    let last = ServerId::new(format!("i-{}", MOST + 499)).unwrap();
+    let last = ServerId::new(format!("i-{}", MAX_STARTS + 499)).unwrap();
     let announcement = Announcement {
         id: last.clone(),
         address: "10.0.0.2:80".parse().unwrap(),
@@ -127,18 +131,19 @@
     assert_eq!(
         table.leaving_since(&last),
         None,
-        "an hour after it was gone"
+        "it is forgotten an hour after it was gone"
     );
 }
 
 quickcheck! {
-    /// Whatever is heard in whatever order, a start that said once that it leaves goes on leaving.
-    fn never_ready_again(words: Vec<(u8, u8)>) -> bool {
+    /// A start that once said that it is leaving goes on leaving, whatever is heard in whatever
+    /// order.
+    fn never_ready_again(reports: Vec<(u8, u8)>) -> bool {
         let mut table = table();
-        leave(&mut table, at(0));
-        words.into_iter().enumerate().all(|(step, (word, sequence))| {
+        announce_leaving(&mut table, at(0));
+        reports.into_iter().enumerate().all(|(step, (kind, sequence))| {
             let (now, sequence) = (at(step as u64 * 3_000), u64::from(sequence));
-            match word % 6 {
+            match kind % 6 {
                 0 => drop(table.record_heartbeat(now, heartbeat(1, sequence))),
                 1 => drop(table.merge(now, entry(1, sequence, Standing::Ready))),
                 2 => drop(table.merge(now, entry(1, sequence, Standing::Lost))),
--- a/crates/registry/tests/limits.rs
+++ b/crates/registry/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What answers tell of a server's limit.
+//! What answers say about a server's limit.
 
 mod common;
 
@@ -15,8 +15,8 @@
     table
 }
 
-/// A word of a request that was sent and answered at these moments.
-fn word(rate: Option<u64>, sent: u64, seen: u64) -> LimitUpdate {
+/// Returns the update of a request that was sent and answered at these moments.
+fn update(rate: Option<u64>, sent: u64, seen: u64) -> LimitUpdate {
     LimitUpdate {
         start: Incarnation(1),
         rate: rate.map(Rate::per_second),
@@ -25,69 +25,73 @@
     }
 }
 
-/// An answer that was begun before a server named its limit comes after the one that names it, and ends it.
+/// Guards against an answer that was begun before a server named its limit, arrives after the
+/// answer that names it, and ends the limit.
 #[test]
-fn older_answer_ends_nothing() {
+fn older_answer_ignored() {
     let mut table = table(1);
-    assert!(!table.record_limit(&id(), word(None, 0, 10)));
-    assert!(table.record_limit(&id(), word(Some(2), 100, 200)));
-    assert!(!table.record_limit(&id(), word(None, 150, 900)));
-    assert!(!table.record_limit(&id(), word(Some(5), 150, 900)));
+    assert!(!table.record_limit(&id(), update(None, 0, 10)));
+    assert!(table.record_limit(&id(), update(Some(2), 100, 200)));
+    assert!(!table.record_limit(&id(), update(None, 150, 900)));
+    assert!(!table.record_limit(&id(), update(Some(5), 150, 900)));
     assert_eq!(table.limit(&id()), Some(Rate::per_second(2)));
-    assert!(table.record_limit(&id(), word(None, 201, 300)));
+    assert!(table.record_limit(&id(), update(None, 201, 300)));
     assert_eq!(table.limit(&id()), None);
-    assert!(!table.record_limit(&id(), word(Some(2), 50, 150)));
+    assert!(!table.record_limit(&id(), update(Some(2), 50, 150)));
 }
 
-/// A lower limit holds at once, also where its request was sent long before the higher one was seen.
+/// Guards against a lower limit that is ignored because its request was sent long before the higher
+/// limit was seen.
 #[test]
-fn lower_holds_at_once() {
+fn lower_limit_immediate() {
     let mut table = table(1);
-    assert!(table.record_limit(&id(), word(Some(5), 100, 200)));
-    assert!(table.record_limit(&id(), word(Some(1), 50, 210)));
+    assert!(table.record_limit(&id(), update(Some(5), 100, 200)));
+    assert!(table.record_limit(&id(), update(Some(1), 50, 210)));
     assert_eq!(table.limit(&id()), Some(Rate::per_second(1)));
 }
 
-/// A server starts again under its id, and is kept to the limit of its earlier start.
+/// Guards against a server that restarts under its id and is held to the limit of its earlier
+/// start.
 #[test]
-fn start_anew_forgets() {
+fn restart_resets_limit() {
     let mut table = table(1);
-    assert!(table.record_limit(&id(), word(Some(1), 100, 200)));
+    assert!(table.record_limit(&id(), update(Some(1), 100, 200)));
     table.record_heartbeat(at(1_000), announced(2));
     assert_eq!(table.limit(&id()), None);
-    assert!(!table.record_limit(&id(), word(Some(1), 900, 1_100)));
+    assert!(!table.record_limit(&id(), update(Some(1), 900, 1_100)));
     assert_eq!(table.limit(&id()), None);
 }
 
 quickcheck! {
-    /// Two hosts that hear of two answers in another order believe different limits.
-    fn order_does_not_matter(one: (Option<u8>, u8, u8), other: (Option<u8>, u8, u8)) -> bool {
-        let word = |(rate, sent, took): (Option<u8>, u8, u8)| {
+    /// Guards against two hosts that hear of two answers in different orders and end with different
+    /// limits.
+    fn any_order(one: (Option<u8>, u8, u8), other: (Option<u8>, u8, u8)) -> bool {
+        let update = |(rate, sent, took): (Option<u8>, u8, u8)| {
             let sent = u64::from(sent);
-            word(rate.map(u64::from), sent, sent + u64::from(took) + 1)
+            update(rate.map(u64::from), sent, sent + u64::from(took) + 1)
         };
-        let (one, other) = (word(one), word(other));
-        let limit = |words: [LimitUpdate; 2]| {
+        let (one, other) = (update(one), update(other));
+        let limit = |updates: [LimitUpdate; 2]| {
             let mut table = table(1);
-            words.into_iter().for_each(|word| { table.record_limit(&id(), word); });
+            updates.into_iter().for_each(|update| { table.record_limit(&id(), update); });
             table.limit(&id())
         };
         limit([one, other]) == limit([other, one])
     }
 }
 
-/// A limit comes back a little lower from the leader than a gateway told it, and each of its answers is taken for another
-/// limit: what was granted is lost each time.
+/// Guards against a limit that comes back from the leader a little lower than a gateway reported
+/// it: each answer would seem to name another limit, and the grants would be lost each time.
 #[test]
 fn passed_on_unchanged() {
     for thousandths in [1, 333, 1_234, 2_137, 999_999] {
-        let word = LimitUpdate {
+        let update = LimitUpdate {
             rate: Some(Rate::from_millis(thousandths)),
-            ..word(None, 100, 200)
+            ..update(None, 100, 200)
         };
-        let entry = LimitEntry::new(&word, at(300));
+        let entry = LimitEntry::new(&update, at(300));
         let bytes = rmp_serde::to_vec_named(&entry).unwrap();
         let read: LimitEntry = rmp_serde::from_slice(&bytes).unwrap();
-        assert_eq!(read.to_update(at(300)), word);
+        assert_eq!(read.to_update(at(300)), update);
     }
 }
--- a/crates/registry/tests/pollers.rs
+++ b/crates/registry/tests/pollers.rs
@@ -1,11 +1,11 @@
-//! Who polls a controller, and whom that wakes.
+//! Which hosts poll a controller, and which waiting answers that wakes.
 
 use snipemast_core::prelude::*;
-use snipemast_registry::news::Flying;
+use snipemast_registry::news::InFlight;
 use snipemast_registry::{Cursor, Poll, PollerKind, Pollers};
 
 fn poll(version: u64, place: u64) -> Poll {
-    let host = HostId::new("host-11").expect("a host's name");
+    let host = HostId::new("host-11").expect("a valid host name");
     Poll {
         version: Version(version),
         told: Version(version),
@@ -19,8 +19,9 @@
     }
 }
 
-/// A controller of 350 hosts has no processor left for operators: each of its hosts' polls wakes all
-/// answers that wait, half a million times a second. Only a poll that shows something new does.
+/// Guards against a controller of 350 hosts that has no processor time left for operators, because
+/// each poll wakes all waiting answers, half a million times a second. Only a poll that shows
+/// something new may wake them.
 #[test]
 fn only_news_wakes() {
     let mut pollers = Pollers::default();
@@ -32,7 +33,7 @@
     assert!(!note(1_000, poll(2, 6)));
 }
 
-/// Whoever waits until all have a version learns of the last one's.
+/// Guards against a wait for a version on all gateways that misses the last gateway to have it.
 #[test]
 fn version_everywhere() {
     let mut pollers = Pollers::default();
@@ -43,25 +44,27 @@
     assert!(pollers.has_version(now, Version(2)));
 }
 
-/// A controller's link carries little but counts: 149 gateways are told four times a second what others have in
-/// flight at 198 servers. They fit into a tenth of the link of 170 Mbit/s.
+/// Guards against counts that fill a controller's link: 149 gateways receive four times a second
+/// what the others have in flight at 198 servers. The counts must fit into a tenth of the link of
+/// 170 Mbit/s.
 #[test]
 fn counts_are_short() {
     let mut pollers = Pollers::default();
     let now = Moment::from_millis(100);
-    let servers = (0..198).map(|n| ServerId::new(format!("i-{n:010x}")).expect("a server's name"));
-    let in_flight: Flying = servers.map(|server| (server, 7)).collect();
+    let servers =
+        (0..198).map(|n| ServerId::new(format!("i-{n:010x}")).expect("a valid server id"));
+    let in_flight: InFlight = servers.map(|server| (server, 7)).collect();
     let with_counts = Poll {
         in_flight,
         ..poll(1, 5)
     };
     pollers.record(now, &with_counts);
-    let other = HostId::new("host-12").expect("a host's name");
+    let other = HostId::new("host-12").expect("a valid host name");
     let later = now + Span::from_millis(200);
-    let (told, age) = pollers.in_flight(later, &other);
+    let (counts, age) = pollers.in_flight(later, &other);
     assert_eq!(age, Span::from_millis(200));
-    assert_eq!(told.values().sum::<u32>(), 198 * 7);
-    let bytes = rmp_serde::to_vec_named(&told)
+    assert_eq!(counts.values().sum::<u32>(), 198 * 7);
+    let bytes = rmp_serde::to_vec_named(&counts)
         .expect("counts can be written")
         .len();
     assert!(149 * 4 * bytes * 8 <= 17_000_000, "{bytes} bytes");
--- a/crates/registry/tests/ranks.rs
+++ b/crates/registry/tests/ranks.rs
@@ -1,4 +1,4 @@
-//! A server's place in a group, as the process beside it tells.
+//! A server's place in a group, as the sidecar beside it reports.
 
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
     }
 }
 
-fn word(group: &str, start: u64, epoch: u64, number: u64) -> RankUpdate {
+fn update(group: &str, start: u64, epoch: u64, number: u64) -> RankUpdate {
     RankUpdate {
         sender: 9,
         number,
@@ -48,23 +48,23 @@
     Some(table.rank(known)?.group.to_string())
 }
 
-/// A rank moves to another group, whose epochs are lower: what was told last holds, also where another table tells the
-/// older word later.
+/// Guards against a rank that moves to a group whose epochs are lower and stays in the old group,
+/// also if another table passes on the older update later.
 #[test]
-fn last_word_holds() {
+fn last_update_holds() {
     let mut table = Table::new();
     table.record_heartbeat(at(0), heartbeat("i-1", 0, 1));
-    assert!(table.record_rank(at(10), word("g0", 0, 7, 1)));
+    assert!(table.record_rank(at(10), update("g0", 0, 7, 1)));
     let before = table.since(0, at(20));
-    assert!(!table.record_rank(at(30), word("g0", 0, 7, 2)));
-    assert!(table.record_rank(at(40), word("g1", 0, 2, 3)));
-    let place = table.revision();
+    assert!(!table.record_rank(at(30), update("g0", 0, 7, 2)));
+    assert!(table.record_rank(at(40), update("g1", 0, 2, 3)));
+    let revision = table.revision();
     for entry in before {
         table.merge(at(50), entry);
     }
     assert_eq!(
         (group(&table, "i-1").as_deref(), table.revision()),
-        (Some("g1"), place)
+        (Some("g1"), revision)
     );
     let mut other = Table::new();
     for entry in table.since(0, at(60)) {
@@ -73,38 +73,39 @@
     assert_eq!(group(&other, "i-1").as_deref(), Some("g1"));
 }
 
-/// A server crashes and starts again under its address: the place of its earlier start is not that of the new one, and
-/// what the process beside it tells before the first heartbeat is not lost.
+/// Guards against a server that crashes, restarts at its address and inherits the place of its
+/// earlier start, and against the loss of an update that arrives before the first heartbeat.
 #[test]
-fn place_of_one_start() {
+fn place_per_start() {
     let mut table = Table::new();
-    assert!(!table.record_rank(at(0), word("g0", 1, 1, 4)));
+    assert!(!table.record_rank(at(0), update("g0", 1, 1, 4)));
     table.record_heartbeat(at(10), heartbeat("i-1", 1, 1));
     assert_eq!(group(&table, "i-1").as_deref(), Some("g0"));
     table.record_heartbeat(at(20), heartbeat("i-1", 2, 1));
     assert_eq!(group(&table, "i-1"), None);
-    table.record_rank(at(30), word("g0", 2, 2, 5));
+    table.record_rank(at(30), update("g0", 2, 2, 5));
     assert_eq!(group(&table, "i-1").as_deref(), Some("g0"));
     table.record_heartbeat(at(40), heartbeat("i-2", 3, 1));
     assert_eq!(group(&table, "i-1"), None);
 }
 
-/// Whoever polls is told of a place that changed, and of nothing where it did not.
+/// Guards against a changed place that isn't in the news, and against news of a place that didn't
+/// change.
 #[test]
-fn changes_are_news() {
+fn only_changes_reported() {
     let mut table = Table::new();
     table.record_heartbeat(at(0), heartbeat("i-1", 0, 1));
-    let place = table.revision();
-    table.record_rank(at(10), word("g0", 0, 1, 6));
-    let news = table.since(place, at(20));
+    let revision = table.revision();
+    table.record_rank(at(10), update("g0", 0, 1, 6));
+    let news = table.since(revision, at(20));
     assert_eq!(news.len(), 1);
     assert!(news[0].rank.is_some());
-    let place = table.revision();
-    table.record_rank(at(30), word("g0", 0, 1, 7));
-    assert!(table.since(place, at(40)).is_empty());
+    let revision = table.revision();
+    table.record_rank(at(30), update("g0", 0, 1, 7));
+    assert!(table.since(revision, at(40)).is_empty());
     let gone = RankUpdate {
         rank: None,
-        ..word("g0", 0, 1, 8)
+        ..update("g0", 0, 1, 8)
     };
     assert!(table.record_rank(at(50), gone));
     assert_eq!(group(&table, "i-1"), None);
--- a/crates/registry/tests/restarts.rs
+++ b/crates/registry/tests/restarts.rs
@@ -1,15 +1,15 @@
-//! Servers that start again under the id that they had.
+//! Servers that restart under their previous id.
 
 use std::net::SocketAddr;
 
 use quickcheck::{quickcheck, Arbitrary, Gen};
 
 use snipemast_core::prelude::*;
-use snipemast_registry::table::SILENCE;
+use snipemast_registry::table::SILENCE_TIMEOUT;
 use snipemast_registry::{Announcement, Standing, Table};
 
 fn id() -> ServerId {
-    ServerId::new("i-1").expect("an id")
+    ServerId::new("i-1").expect("a valid id")
 }
 
 fn address(number: u8) -> SocketAddr {
@@ -20,9 +20,9 @@
     Announcement {
         id: id(),
         start: Incarnation(start),
-        service: ServiceId::new("lector").expect("a name"),
+        service: ServiceId::new("lector").expect("a valid name"),
         address: address(1),
-        zone: ZoneId::new("a").expect("a name"),
+        zone: ZoneId::new("a").expect("a valid name"),
         slots: 4,
         draining,
         sequence,
@@ -37,7 +37,7 @@
     table.get(&id()).map(|k| k.standing)
 }
 
-/// Tells each table what the other one knows, until neither learns anything.
+/// Merges each table into the other one, until neither changes.
 fn exchange(now: Moment, a: &mut Table, b: &mut Table) {
     for _ in 0..2 {
         for entry in a.since(0, now) {
@@ -49,10 +49,10 @@
     }
 }
 
-/// A user's requests get no answer from a server that stands idle: it crashed and started again under its
-/// id, its heartbeats count from 1 again, and each one is taken for an old one that comes late.
+/// Guards against a server that restarts under its id and gets no requests: its heartbeats count
+/// from 1 again, and each of them seems to be a late one of the earlier start.
 #[test]
-fn counts_begin_anew() {
+fn sequence_restarts() {
     let mut table = Table::new();
     for sequence in 1..40 {
         table.record_heartbeat(at(sequence * 1_200), heartbeat(1_000, sequence, false));
@@ -61,13 +61,14 @@
     table.record_heartbeat(at(61_200), heartbeat(53_000, 2, false));
     table.expire(at(80_000));
     assert_eq!(standing(&table), Some(Standing::Ready));
-    let known = table.get(&id()).expect("it is known");
+    let known = table.get(&id()).expect("the server is known");
     assert_eq!(known.announcement.start, Incarnation(53_000));
 }
 
-/// A server that was leaving, or had said good-bye, takes requests again once it has started again.
+/// Guards against a server that was draining or had said goodbye and gets no requests after it
+/// restarted.
 #[test]
-fn leaving_ends_with_the_start() {
+fn leaving_ends_with_start() {
     let mut table = Table::new();
     table.record_heartbeat(at(0), heartbeat(1_000, 5, true));
     assert_eq!(standing(&table), Some(Standing::Draining));
@@ -79,22 +80,23 @@
     assert_eq!(standing(&table), Some(Standing::Ready));
 }
 
-/// A user's request is sent to a server's earlier start: a heartbeat of that one was held up behind a cut,
-/// and arrives after the new one's. It counts for nothing, whatever its count.
+/// Guards against a request that is sent to a server's earlier start, because a heartbeat of it was
+/// delayed by a cut and arrives after one of the new start. It is ignored, whatever its sequence.
 #[test]
 fn earlier_start_outdated() {
     let mut table = Table::new();
     table.record_heartbeat(at(0), heartbeat(2_000, 1, false));
     assert!(!table.record_heartbeat(at(500), heartbeat(1_000, 90, true)));
     assert_eq!(standing(&table), Some(Standing::Ready));
-    let known = table.get(&id()).expect("it is known");
+    let known = table.get(&id()).expect("the server is known");
     assert_eq!((known.announcement.sequence, known.heard), (1, at(0)));
 }
 
-/// A user's request reaches a server that has left: its good-bye came to a controller that was cut off and
-/// knew only the start before. What the others tell of the later one is older than the good-bye.
+/// Guards against a request that reaches a server that has left: its goodbye arrived at a
+/// controller that was cut off and knew only the previous start. What the others report of the
+/// later start is older than the goodbye.
 #[test]
-fn farewell_of_unknown_start() {
+fn goodbye_of_unknown_start() {
     let (mut cut, mut other) = (Table::new(), Table::new());
     cut.record_heartbeat(at(0), heartbeat(1_000, 9, false));
     other.record_heartbeat(at(4_000), heartbeat(3_000, 1, false));
@@ -104,10 +106,11 @@
     assert_eq!(standing(&other), Some(Standing::Gone));
 }
 
-/// A server stands idle for as long as it runs: the good-bye of its earlier start was held up and crossed
-/// the first heartbeats of the new one. It goes on announcing itself, and is believed in the end.
+/// Guards against a server that gets no requests for as long as it runs: the goodbye of its earlier
+/// start was delayed and crossed the first heartbeats of the new one. The new start goes on
+/// announcing itself and becomes ready in the end.
 #[test]
-fn crossed_farewell_outlived() {
+fn crossed_goodbye_refuted() {
     let mut table = Table::new();
     table.record_heartbeat(at(0), heartbeat(1_000, 9, false));
     table.record_heartbeat(at(3_000), heartbeat(3_000, 1, false));
@@ -121,7 +124,8 @@
     assert_eq!(standing(&table), Some(Standing::Ready));
 }
 
-/// A heartbeat that was sent before a good-bye and arrives some seconds after it brings nobody back.
+/// Guards against a heartbeat that was sent before a goodbye, arrives some seconds after it, and
+/// brings the server back.
 #[test]
 fn late_heartbeat_ignored() {
     let mut table = Table::new();
@@ -131,30 +135,32 @@
     assert_eq!(standing(&table), Some(Standing::Gone));
 }
 
-/// A server stands idle for good: the time of day was set back between two of its starts, so the later one
-/// seems the earlier. It is believed once the other has been silent for long.
+/// Guards against a server that never gets requests again: its clock was set back between two
+/// starts, so that the later one seems to be the earlier. It becomes ready once the other start has
+/// been silent for a long time.
 #[test]
 fn clock_set_back() {
     let (mut table, mut other) = (Table::new(), Table::new());
     table.record_heartbeat(at(0), heartbeat(9_000, 3, false));
     exchange(at(10), &mut table, &mut other);
-    let later = at(SILENCE.as_millis() + 2_000);
+    let later = at(SILENCE_TIMEOUT.as_millis() + 2_000);
     table.record_heartbeat(at(2_000), heartbeat(7_000, 1, false));
     assert!(table.record_heartbeat(later, heartbeat(7_000, 25, false)));
     exchange(later + Span::from_millis(5), &mut table, &mut other);
     for table in [&table, &other] {
-        let known = table.get(&id()).expect("it is known");
+        let known = table.get(&id()).expect("the server is known");
         assert_eq!(known.announcement.start, Incarnation(7_000));
         assert_eq!(known.standing, Standing::Ready);
     }
 }
 
-/// A user's request is sent to a server that crashed, at an address that another one has by now: a held-up
-/// heartbeat of the first came after the other's. Whoever started last holds the address.
+/// Guards against requests for a crashed server that reach the server which has its address by now:
+/// a delayed heartbeat of the first server arrives after the other's. The server that started last
+/// holds the address.
 #[test]
 fn address_of_later_start() {
     let mut table = Table::new();
-    let other = ServerId::new("i-2").expect("an id");
+    let other = ServerId::new("i-2").expect("a valid id");
     table.record_heartbeat(at(0), heartbeat(1_000, 1, false));
     table.record_heartbeat(
         at(5_000),
@@ -168,15 +174,15 @@
     assert_eq!(table.get(&other).map(|k| k.standing), Some(Standing::Ready));
 }
 
-/// What a server says: a heartbeat of one of its starts, or a good-bye of the start that is known.
+/// A heartbeat of one of a server's starts.
 #[derive(Debug, Clone)]
-struct Said {
+struct Heartbeat {
     start: u64,
     sequence: u64,
     draining: bool,
 }
 
-impl Arbitrary for Said {
+impl Arbitrary for Heartbeat {
     fn arbitrary(g: &mut Gen) -> Self {
         Self {
             start: u64::arbitrary(g) % 3 * 1_000 + 1_000,
@@ -187,40 +193,40 @@
 }
 
 quickcheck! {
-    /// Heartbeats of several starts come in any order to any of two tables, which tell each other: both end
-    /// alike, with the latest start, and that one leaves if it ever said so.
-    fn any_order_ends_alike(said: Vec<(Said, bool)>, between: Vec<bool>) -> bool {
+    /// Heartbeats of several starts arrive in any order at either of two tables, which exchange
+    /// entries. Both tables end with the latest start, which drains if it ever said so.
+    fn any_order_converges(heartbeats: Vec<(Heartbeat, bool)>, between: Vec<bool>) -> bool {
         let (mut a, mut b) = (Table::new(), Table::new());
         let mut now = at(0);
         let mut between = between.into_iter();
-        for (said, first) in &said {
+        for (sent, first) in &heartbeats {
             now = now + Span::from_millis(20);
             let table = if *first { &mut a } else { &mut b };
-            table.record_heartbeat(now, heartbeat(said.start, said.sequence, said.draining));
+            table.record_heartbeat(now, heartbeat(sent.start, sent.sequence, sent.draining));
             if between.next().unwrap_or(false) {
                 exchange(now, &mut a, &mut b);
             }
         }
         exchange(now, &mut a, &mut b);
-        let start = said.iter().map(|(s, _)| s.start).max();
-        let mut latest = said.iter().filter(|(s, _)| Some(s.start) == start);
-        let leaves = latest.any(|(s, _)| s.draining);
-        let told = |table: &Table| {
+        let start = heartbeats.iter().map(|(s, _)| s.start).max();
+        let mut latest = heartbeats.iter().filter(|(s, _)| Some(s.start) == start);
+        let drains = latest.any(|(s, _)| s.draining);
+        let state = |table: &Table| {
             table.get(&id()).map(|k| (k.announcement.start.get(), k.standing))
         };
-        let standing = if leaves { Standing::Draining } else { Standing::Ready };
-        told(&a) == told(&b) && told(&a) == start.map(|start| (start, standing))
+        let standing = if drains { Standing::Draining } else { Standing::Ready };
+        state(&a) == state(&b) && state(&a) == start.map(|start| (start, standing))
     }
 
-    /// A good-bye comes to one of two tables among heartbeats: once both have told each other, none takes
-    /// the start for ready that was known where the good-bye came.
-    fn farewell_holds(said: Vec<(Said, bool)>, at_first: bool) -> bool {
+    /// A goodbye arrives at one of two tables among heartbeats. Once both have exchanged entries,
+    /// none has the start as ready that was known where the goodbye arrived.
+    fn goodbye_holds(heartbeats: Vec<(Heartbeat, bool)>, at_first: bool) -> bool {
         let (mut a, mut b) = (Table::new(), Table::new());
         let mut now = at(0);
-        for (said, first) in &said {
+        for (sent, first) in &heartbeats {
             now = now + Span::from_millis(20);
             let table = if *first { &mut a } else { &mut b };
-            table.record_heartbeat(now, heartbeat(said.start, said.sequence, said.draining));
+            table.record_heartbeat(now, heartbeat(sent.start, sent.sequence, sent.draining));
         }
         let table = if at_first { &mut a } else { &mut b };
         now = now + Span::from_millis(20);
--- a/crates/registry/tests/source.rs
+++ b/crates/registry/tests/source.rs
@@ -1,10 +1,11 @@
-//! Of whom a gateway asks a configuration.
+//! Which controllers a gateway requests a configuration from.
 
 use snipemast_core::prelude::*;
 use snipemast_registry::source::{Source, FETCH_TIMEOUT};
 
-/// Links between availability zones carry each configuration five times to each gateway: while the controller of its own
-/// zone hands it out, a gateway asks all others that told of it. It asks one of them at a time.
+/// Guards against links between availability zones that carry each configuration five times to each
+/// gateway. This happens if a gateway asks all other controllers that announced it while the one of
+/// its own zone still sends it. It may ask only one of them at a time.
 #[test]
 fn one_asked_at_a_time() {
     let mut source = Source::default();
