--- a/crates/membership/src/agents.rs
+++ b/crates/membership/src/agents.rs
@@ -1,4 +1,4 @@
-//! What agents tell their entry, and the entry's answers.
+//! How an entry handles the messages of agents.
 
 use std::net::SocketAddr;
 
@@ -7,18 +7,18 @@
 use crate::card::AgentCard;
 use crate::message::{AgentMessage, LeaseReply, Load};
 use crate::node::{Node, Output};
-use crate::spread::Rank;
+use crate::spread::Priority;
 use crate::table::{Row, Standing};
 
-/// How many other entries an agent is told of.
-const OTHERS: usize = 4;
+/// How many other entries an answer names.
+const MAX_ALTERNATIVES: usize = 4;
 
-/// How many agents more than twice its share an entry takes before it sends agents elsewhere.
-const SLACK: usize = 4;
+/// How many agents beyond twice its share an entry accepts before it sends agents elsewhere.
+const SHARE_SLACK: usize = 4;
 
 impl Node {
-    /// An agent spoke.
-    pub(crate) fn agent(&mut self, now: Moment, message: AgentMessage) {
+    /// Handles a message of an agent.
+    pub(crate) fn handle_agent(&mut self, now: Moment, message: AgentMessage) {
         let reply = match message {
             AgentMessage::Enrol { card, load } => self.enrol(now, *card, load),
             AgentMessage::Renew {
@@ -29,7 +29,7 @@
             } => self.renew(now, &agent, news, load, ask),
             AgentMessage::Leave { agent } => self.release(now, &agent),
         };
-        self.out.push(Output::Lease(reply));
+        self.outputs.push(Output::Lease(reply));
     }
 
     fn enrol(&mut self, now: Moment, card: AgentCard, load: Load) -> LeaseReply {
@@ -40,23 +40,23 @@
                 return self.supersede(known, &card);
             }
             if known.agent == card.agent && known.address != card.address {
-                self.agent_clash(known, &card);
+                self.record_agent_clash(known, &card);
             }
         }
         let fresh = known.as_ref().is_none_or(|k| k.agent != card.agent);
-        if known.is_none() && !self.has_room(now) {
+        if known.is_none() && !self.try_admit(now) {
             let others = self.other_entries();
             return LeaseReply::Busy { others };
         }
         self.leases.renew(now, &host);
-        self.loads.take(now, &host, load);
-        if known.as_ref().is_none_or(|k| card.is_after(k)) {
-            self.own(now, card, fresh);
+        self.loads.record(now, &host, load);
+        if known.as_ref().is_none_or(|k| card.is_newer_than(k)) {
+            self.put_own(now, card, fresh);
         }
         self.grant(true)
     }
 
-    fn own(&mut self, now: Moment, card: AgentCard, fresh: bool) {
+    fn put_own(&mut self, now: Moment, card: AgentCard, fresh: bool) {
         let event = if card.draining {
             Event::MemberDraining
         } else {
@@ -64,15 +64,15 @@
         };
         let host = card.agent.host.clone();
         if fresh || card.draining {
-            self.note(event, &card.agent, &card.info.server);
+            self.record_event(event, &card.agent, &card.info.server);
         }
-        let rank = if card.draining {
-            Rank::Leaving
+        let priority = if card.draining {
+            Priority::Leaving
         } else {
-            Rank::Other
+            Priority::Other
         };
-        self.change_own(now, rank, |row| row.set.put(card));
-        self.note_changed(vec![host]);
+        self.change_own(now, priority, |row| row.set.put(card));
+        self.report_changed(vec![host]);
     }
 
     fn renew(
@@ -88,7 +88,7 @@
             return LeaseReply::Unknown;
         }
         self.leases.renew(now, &agent.host);
-        self.loads.take(now, &agent.host, load);
+        self.loads.record(now, &agent.host, load);
         self.grant(ask)
     }
 
@@ -97,59 +97,59 @@
             .own_agent(&agent.host)
             .is_some_and(|k| k.agent == *agent)
         {
-            self.disown(now, &agent.host.clone(), "it left");
+            self.remove_own(now, &agent.host.clone(), "it left");
         }
         self.grant(false)
     }
 
-    /// Takes an agent out of the own set.
-    pub(crate) fn disown(&mut self, now: Moment, host: &HostId, reason: &str) {
+    /// Removes an agent from the own set.
+    pub(crate) fn remove_own(&mut self, now: Moment, host: &HostId, reason: &str) {
         self.leases.end(host);
-        self.change_own(now, Rank::Leaving, |row| {
+        self.change_own(now, Priority::Leaving, |row| {
             row.set.remove(host);
         });
         if self.table.agent(host).is_none() {
             self.loads.forget(host);
-            self.note(Event::MemberRemoved, host, reason);
+            self.record_event(Event::MemberRemoved, host, reason);
         }
-        self.note_changed(vec![host.clone()]);
+        self.report_changed(vec![host.clone()]);
     }
 
-    fn change_own(&mut self, now: Moment, rank: Rank, change: impl FnOnce(&mut Row)) {
-        self.heard = now;
+    fn change_own(&mut self, now: Moment, priority: Priority, change: impl FnOnce(&mut Row)) {
+        self.last_news = now;
         let from = self.own_version();
         let own = self.me.process.host.clone();
         self.table.change(&own, change);
-        self.spread.push(&own, from, rank);
-        self.hurry(now);
+        self.queue.push(&own, from, priority);
+        self.schedule_burst(now);
     }
 
-    /// Another process runs under the agent's name, started later: the earlier one is told.
+    /// Tells an agent that a process which started later runs under its name.
     fn supersede(&mut self, known: &AgentCard, card: &AgentCard) -> LeaseReply {
-        self.agent_clash(known, card);
+        self.record_agent_clash(known, card);
         LeaseReply::Superseded {
             by: known.agent.clone(),
             address: known.address,
         }
     }
 
-    fn agent_clash(&mut self, known: &AgentCard, other: &AgentCard) {
+    fn record_agent_clash(&mut self, known: &AgentCard, other: &AgentCard) {
         let key = (other.agent.clone(), other.address);
         if self.clashes.len() < 64 && self.clashes.insert(key) {
             let detail = format!(
                 "{} at {} and {} at {}",
                 known.agent, known.address, other.agent, other.address
             );
-            self.note(Event::IdentityClash, &known.agent.host, detail);
+            self.record_event(Event::IdentityClash, &known.agent.host, detail);
         }
     }
 
-    /// Whether a further agent can be taken in now.
+    /// Whether a further agent can be accepted now; counts the enrolment.
     ///
-    /// Failure guarded against: all agents of a zone move to the one entry that is up first. It
-    /// shows as one host with all leases and a burst of news that fills the links. The rate of
+    /// Failure guarded against: all agents of a zone move to the one entry that is up first, which
+    /// then holds all leases and causes a burst of news that fills the links. The rate of
     /// enrolments is bounded, and beyond twice its share an entry sends agents elsewhere.
-    fn has_room(&mut self, now: Moment) -> bool {
+    fn try_admit(&mut self, now: Moment) -> bool {
         if self.me.draining || self.superseded || !self.leases.admit(now) {
             return false;
         }
@@ -158,11 +158,11 @@
         let sizes: Vec<_> = entries.map(|r| r.set.len()).collect();
         let share = sizes.iter().sum::<usize>() / sizes.len().max(1);
         let own = self.own_row().map_or(0, |r| r.set.len());
-        own < 2 * share + SLACK
+        own < 2 * share + SHARE_SLACK
     }
 
-    fn grant(&mut self, name: bool) -> LeaseReply {
-        let others = if name || self.me.draining {
+    fn grant(&mut self, with_others: bool) -> LeaseReply {
+        let others = if with_others || self.me.draining {
             self.other_entries()
         } else {
             Vec::new()
@@ -174,14 +174,14 @@
         }
     }
 
-    /// Some other entries of the zone that agents can move to.
+    /// Returns some other entries of the zone that agents can move to.
     fn other_entries(&mut self) -> Vec<SocketAddr> {
         let zone = &self.me.zone;
         let serves =
             |r: &&Row| r.card.zone == *zone && !r.card.draining && r.standing == Standing::Alive;
         let others = self.others().filter(serves);
         let addresses = others.map(|r| r.card.address).collect();
-        self.sample(addresses, OTHERS)
+        self.sample(addresses, MAX_ALTERNATIVES)
     }
 
     fn own_row(&self) -> Option<&Row> {
--- a/crates/membership/src/announcer.rs
+++ b/crates/membership/src/announcer.rs
@@ -1,4 +1,5 @@
-//! An agent's side of its leases: which entries it announces itself to, and when.
+//! The state machine of an agent, which decides at which entries it holds leases and when it renews
+//! them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -12,28 +13,28 @@
 use crate::message::{AgentMessage, LeaseReply, Load};
 use crate::node::Token;
 
-/// How many learnt entries an agent remembers besides its seeds.
-const MAX_LEARNT: usize = 16;
+/// How many learned entries an agent remembers besides its seeds.
+const MAX_LEARNED: usize = 16;
 
-/// An agent that knows fewer entries asks for others with every renewal.
-const FEW: usize = 3;
+/// An agent that has learned of fewer entries asks for others with every renewal.
+const MIN_LEARNED: usize = 3;
 
-/// The share of its renewals with which an agent asks for other entries besides.
-const ASKED: f64 = 1.0 / 16.0;
+/// The probability with which any other renewal asks for other entries.
+const ASK_PROBABILITY: f64 = 1.0 / 16.0;
 
-/// Calls without answer in a row until an agent moves away from an entry.
+/// How many calls in a row may time out before an agent leaves an entry.
 const MAX_MISSES: u32 = 2;
 
-/// The most misses that lengthen the pause until the next call.
-const MAX_BACKOFF: u32 = 10;
+/// How many timeouts in a row lengthen the delay before the next call.
+const MAX_BACKOFF_MISSES: u32 = 10;
 
-/// The longest pause of an agent that finds no entry.
-const MAX_PAUSE: Span = Span::from_secs(4);
+/// The longest delay between two attempts of an agent that finds no entry.
+const MAX_RETRY_DELAY: Span = Span::from_secs(4);
 
-/// How an agent keeps its leases.
+/// The bounds and intervals of an agent's leases.
 #[derive(Debug, Clone)]
 pub struct AnnounceTuning {
-    /// How many entries hold a lease at once.
+    /// How many leases the agent holds at once.
     pub lease_count: usize,
     /// How often each lease is renewed.
     pub renew_interval: Span,
@@ -54,7 +55,7 @@
     }
 }
 
-/// What an announcer is told.
+/// An input of an announcer.
 #[derive(Debug, Clone)]
 pub enum AnnounceInput {
     /// Time has passed; see [`Announcer::next_tick`].
@@ -65,24 +66,25 @@
     TimedOut(Token),
     /// The agent refuses new dispatches from now on.
     Drain,
-    /// The backend server offers something else.
+    /// The backend server's description changed.
     Info(Box<ServerInfo>),
-    /// The backend server's load.
+    /// The backend server reported its load.
     Load(Load),
     /// The agent ends.
     Leave,
 }
 
-/// What an announcer wants done.
+/// An action that an announcer requests.
 #[derive(Debug, Clone)]
 pub enum AnnounceOutput {
-    /// Tell an entry; answer with [`AnnounceInput::Answered`] or [`AnnounceInput::TimedOut`].
+    /// Call an entry; the call ends with [`AnnounceInput::Answered`] or
+    /// [`AnnounceInput::TimedOut`].
     Send {
         /// The call.
         token: Token,
-        /// Which entry.
+        /// The address of the entry.
         to: SocketAddr,
-        /// What to say.
+        /// The message to send.
         message: Box<AgentMessage>,
         /// How long the answer may take.
         timeout: Span,
@@ -91,18 +93,22 @@
     Superseded {
         /// The other process.
         by: ProcessId,
-        /// Where it listens.
+        /// The address at which it listens.
         address: SocketAddr,
     },
 }
 
-/// One entry that holds or should hold a lease.
+/// An entry that holds a lease or was chosen to hold one.
 #[derive(Debug, Clone)]
-struct Home {
+struct Holder {
     address: SocketAddr,
+    /// The number of the latest description that the entry knows, if it holds a lease.
     enrolled: Option<u64>,
+    /// The number of calls in a row that timed out.
     misses: u32,
+    /// When the next call is due.
     due: Moment,
+    /// Whether a call awaits its answer.
     waiting: bool,
 }
 
@@ -113,20 +119,24 @@
     load: Load,
     tuning: AnnounceTuning,
     seeds: Vec<SocketAddr>,
-    learnt: VecDeque<SocketAddr>,
+    /// The entries that answers have named, the latest last.
+    learned: VecDeque<SocketAddr>,
+    /// The entries that failed, with the moment until which they are not chosen again.
     avoided: BTreeMap<SocketAddr, Moment>,
-    homes: Vec<Home>,
+    holders: Vec<Holder>,
+    /// The calls that await answers: the entry, and the number of the description at the time.
     calls: BTreeMap<Token, (SocketAddr, u64)>,
-    dice: StdRng,
-    counter: u64,
-    pause: Span,
-    retry: Moment,
+    rng: StdRng,
+    last_token: u64,
+    retry_delay: Span,
+    /// When entries are next chosen, if there are too few.
+    retry_at: Moment,
     ended: bool,
-    out: Vec<AnnounceOutput>,
+    outputs: Vec<AnnounceOutput>,
 }
 
 impl Announcer {
-    /// The leases of an agent that starts now and holds none.
+    /// Creates the announcer of an agent that starts now and holds no lease.
     pub fn new(
         now: Moment,
         card: AgentCard,
@@ -134,70 +144,70 @@
         tuning: AnnounceTuning,
         seed: u64,
     ) -> Self {
-        let mut dice = StdRng::seed_from_u64(seed);
-        let retry = now + part(tuning.renew_interval, 0.2 * dice.random::<f64>());
+        let mut rng = StdRng::seed_from_u64(seed);
+        let retry_at = now + scale(tuning.renew_interval, 0.2 * rng.random::<f64>());
         Self {
             card,
             load: Load::default(),
             tuning,
             seeds,
-            learnt: VecDeque::new(),
+            learned: VecDeque::new(),
             avoided: BTreeMap::new(),
-            homes: Vec::new(),
+            holders: Vec::new(),
             calls: BTreeMap::new(),
-            dice,
-            counter: 0,
-            pause: Span::default(),
-            retry,
+            rng,
+            last_token: 0,
+            retry_delay: Span::default(),
+            retry_at,
             ended: false,
-            out: Vec::new(),
+            outputs: Vec::new(),
         }
     }
 
-    /// Takes an input at a moment and says what to do.
+    /// Handles an input at a moment; returns the actions to take.
     pub fn handle(&mut self, now: Moment, input: AnnounceInput) -> Vec<AnnounceOutput> {
         match input {
             AnnounceInput::Tick => self.tick(now),
-            AnnounceInput::Answered(token, reply) => self.answered(now, token, reply),
-            AnnounceInput::TimedOut(token) => self.missed(now, token),
+            AnnounceInput::Answered(token, reply) => self.handle_reply(now, token, reply),
+            AnnounceInput::TimedOut(token) => self.handle_timeout(now, token),
             AnnounceInput::Drain => {
                 self.card.draining = true;
-                self.tell_news(now);
+                self.announce_change(now);
             }
             AnnounceInput::Info(info) => {
                 if self.card.info != *info {
                     self.card.info = *info;
-                    self.tell_news(now);
+                    self.announce_change(now);
                 }
             }
             AnnounceInput::Load(load) => self.load = load,
             AnnounceInput::Leave => self.leave(),
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// When the next [`AnnounceInput::Tick`] is due.
+    /// Returns when the next [`AnnounceInput::Tick`] is due.
     pub fn next_tick(&self) -> Moment {
         if self.ended {
             return Moment::NEVER;
         }
-        let ready = self.homes.iter().filter(|h| !h.waiting).map(|h| h.due);
+        let ready = self.holders.iter().filter(|h| !h.waiting).map(|h| h.due);
         let first = ready.min().unwrap_or(Moment::NEVER);
-        if self.homes.len() < self.tuning.lease_count {
-            first.min(self.retry)
+        if self.holders.len() < self.tuning.lease_count {
+            first.min(self.retry_at)
         } else {
             first
         }
     }
 
-    /// The agent's description of itself.
+    /// Returns the agent's description of itself.
     pub fn card(&self) -> &AgentCard {
         &self.card
     }
 
-    /// The entries that hold a lease.
-    pub fn homes(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        let enrolled = self.homes.iter().filter(|h| h.enrolled.is_some());
+    /// Returns the entries that hold a lease.
+    pub fn lease_holders(&self) -> impl Iterator<Item = SocketAddr> + '_ {
+        let enrolled = self.holders.iter().filter(|h| h.enrolled.is_some());
         enrolled.map(|h| h.address)
     }
 
@@ -205,34 +215,34 @@
         if self.ended {
             return;
         }
-        if self.homes.len() < self.tuning.lease_count && now >= self.retry {
-            self.find_homes(now);
+        if self.holders.len() < self.tuning.lease_count && now >= self.retry_at {
+            self.choose_holders(now);
         }
-        for index in 0..self.homes.len() {
-            if self.homes[index].due <= now && !self.homes[index].waiting {
-                self.call(now, index);
+        for index in 0..self.holders.len() {
+            if self.holders[index].due <= now && !self.holders[index].waiting {
+                self.send_renewal(now, index);
             }
         }
     }
 
-    /// Chooses entries until enough hold a lease, or waits where none is left to choose.
+    /// Chooses entries until there are enough of them, or waits if none is left to choose.
     ///
-    /// Failure guarded against: every agent of a zone that comes back calls at the same moment,
-    /// again and again. It shows as a burst that keeps the entries from coming up. The pause
-    /// doubles up to a bound, and each agent waits a random part of it.
-    fn find_homes(&mut self, now: Moment) {
-        while self.homes.len() < self.tuning.lease_count {
+    /// Failure guarded against: all agents of a zone that comes back call at the same moment, again
+    /// and again, and the bursts keep the entries from coming up. The delay doubles up to a bound,
+    /// and each agent waits for a random part of it.
+    fn choose_holders(&mut self, now: Moment) {
+        while self.holders.len() < self.tuning.lease_count {
             let Some(address) = self.candidate(now) else {
-                self.pause = self
-                    .pause
+                self.retry_delay = self
+                    .retry_delay
                     .times(2)
                     .max(self.tuning.renew_interval)
-                    .min(MAX_PAUSE);
-                let share = 0.5 + 0.5 * self.dice.random::<f64>();
-                self.retry = now + part(self.pause, share);
+                    .min(MAX_RETRY_DELAY);
+                let share = 0.5 + 0.5 * self.rng.random::<f64>();
+                self.retry_at = now + scale(self.retry_delay, share);
                 return;
             };
-            self.homes.push(Home {
+            self.holders.push(Holder {
                 address,
                 enrolled: None,
                 misses: 0,
@@ -244,25 +254,25 @@
 
     fn candidate(&mut self, now: Moment) -> Option<SocketAddr> {
         self.avoided.retain(|_, until| *until > now);
-        let known = self.learnt.iter().chain(&self.seeds).copied();
+        let known = self.learned.iter().chain(&self.seeds).copied();
         let mut free: Vec<_> = known
             .filter(|a| !self.avoided.contains_key(a))
-            .filter(|a| self.homes.iter().all(|h| h.address != *a))
+            .filter(|a| self.holders.iter().all(|h| h.address != *a))
             .collect();
         free.sort();
         free.dedup();
         if free.is_empty() {
             return None;
         }
-        let index = self.dice.random_range(0..free.len());
+        let index = self.rng.random_range(0..free.len());
         Some(free[index])
     }
 
-    fn call(&mut self, now: Moment, index: usize) {
+    fn send_renewal(&mut self, now: Moment, index: usize) {
         let news = self.card.news;
-        let ask = self.learnt.len() < FEW || self.dice.random::<f64>() < ASKED;
-        let home = &mut self.homes[index];
-        let message = if home.enrolled == Some(news) {
+        let ask = self.learned.len() < MIN_LEARNED || self.rng.random::<f64>() < ASK_PROBABILITY;
+        let holder = &mut self.holders[index];
+        let message = if holder.enrolled == Some(news) {
             AgentMessage::Renew {
                 agent: self.card.agent.clone(),
                 news,
@@ -275,21 +285,21 @@
                 load: self.load,
             }
         };
-        home.waiting = true;
-        home.due = now
-            + part(
+        holder.waiting = true;
+        holder.due = now
+            + scale(
                 self.tuning.renew_interval,
-                0.9 + 0.2 * self.dice.random::<f64>(),
+                0.9 + 0.2 * self.rng.random::<f64>(),
             );
-        let to = home.address;
+        let to = holder.address;
         self.send(to, message);
     }
 
     fn send(&mut self, to: SocketAddr, message: AgentMessage) {
-        self.counter += 1;
-        let token = Token(self.counter);
+        self.last_token += 1;
+        let token = Token(self.last_token);
         self.calls.insert(token, (to, self.card.news));
-        self.out.push(AnnounceOutput::Send {
+        self.outputs.push(AnnounceOutput::Send {
             token,
             to,
             message: Box::new(message),
@@ -297,25 +307,25 @@
         });
     }
 
-    fn answered(&mut self, now: Moment, token: Token, reply: LeaseReply) {
+    fn handle_reply(&mut self, now: Moment, token: Token, reply: LeaseReply) {
         let Some((address, news)) = self.calls.remove(&token) else {
             return;
         };
-        let Some(index) = self.homes.iter().position(|h| h.address == address) else {
+        let Some(index) = self.holders.iter().position(|h| h.address == address) else {
             return;
         };
-        self.homes[index].waiting = false;
-        self.homes[index].misses = 0;
+        self.holders[index].waiting = false;
+        self.holders[index].misses = 0;
         match reply {
             LeaseReply::Granted {
                 leaving, others, ..
             } => {
                 self.learn(others);
-                self.granted(now, index, news, leaving);
+                self.handle_grant(now, index, news, leaving);
             }
             LeaseReply::Unknown => {
-                self.homes[index].enrolled = None;
-                self.homes[index].due = now;
+                self.holders[index].enrolled = None;
+                self.holders[index].due = now;
             }
             LeaseReply::Busy { others } => {
                 self.learn(others);
@@ -323,63 +333,66 @@
             }
             LeaseReply::Superseded { by, address } => {
                 self.ended = true;
-                self.out.push(AnnounceOutput::Superseded { by, address });
+                self.outputs
+                    .push(AnnounceOutput::Superseded { by, address });
             }
         }
     }
 
-    fn granted(&mut self, now: Moment, index: usize, news: u64, leaving: bool) {
-        self.pause = Span::default();
-        // The entry knows what the call said; what is newer goes out with the next one.
-        self.homes[index].enrolled = Some(news);
+    fn handle_grant(&mut self, now: Moment, index: usize, news: u64, leaving: bool) {
+        self.retry_delay = Span::default();
+        // The entry knows the description that the call carried; a newer one goes out with the next
+        // call.
+        self.holders[index].enrolled = Some(news);
         if leaving && self.candidate(now).is_some() {
             self.abandon(now, index);
         }
     }
 
-    fn missed(&mut self, now: Moment, token: Token) {
+    fn handle_timeout(&mut self, now: Moment, token: Token) {
         let Some((address, _)) = self.calls.remove(&token) else {
             return;
         };
-        let Some(index) = self.homes.iter().position(|h| h.address == address) else {
+        let Some(index) = self.holders.iter().position(|h| h.address == address) else {
             return;
         };
-        let home = &mut self.homes[index];
-        home.waiting = false;
-        home.misses += 1;
-        let pause = 50 * u64::from(home.misses.min(MAX_BACKOFF));
-        home.due = now + part(Span::from_millis(pause), self.dice.random::<f64>());
-        // An entry that gives no answer is better than none: it may be the link that is bad.
-        if home.misses >= MAX_MISSES && self.candidate(now).is_some() {
+        let holder = &mut self.holders[index];
+        holder.waiting = false;
+        holder.misses += 1;
+        let delay = 50 * u64::from(holder.misses.min(MAX_BACKOFF_MISSES));
+        holder.due = now + scale(Span::from_millis(delay), self.rng.random::<f64>());
+        // An entry that doesn't answer is better than none, because the link may be the cause.
+        if holder.misses >= MAX_MISSES && self.candidate(now).is_some() {
             self.abandon(now, index);
         }
     }
 
-    /// Looks for another entry in the place of this one.
+    /// Gives up an entry, so that another one is chosen in its place.
     fn abandon(&mut self, now: Moment, index: usize) {
-        let home = self.homes.remove(index);
-        let share = 0.8 + 0.4 * self.dice.random::<f64>();
-        let until = now + part(self.tuning.failure_backoff, share);
-        self.avoided.insert(home.address, until);
-        self.retry = now;
+        let holder = self.holders.remove(index);
+        let share = 0.8 + 0.4 * self.rng.random::<f64>();
+        let until = now + scale(self.tuning.failure_backoff, share);
+        self.avoided.insert(holder.address, until);
+        self.retry_at = now;
     }
 
     fn learn(&mut self, others: Vec<SocketAddr>) {
         for address in others {
-            self.learnt.retain(|a| *a != address);
-            self.learnt.push_back(address);
+            self.learned.retain(|a| *a != address);
+            self.learned.push_back(address);
         }
-        while self.learnt.len() > MAX_LEARNT {
-            self.learnt.pop_front();
+        while self.learned.len() > MAX_LEARNED {
+            self.learned.pop_front();
         }
     }
 
-    /// Tells every entry at once, without waiting for the next renewal.
-    fn tell_news(&mut self, now: Moment) {
+    /// Announces a changed description to all entries at once, without waiting for the next
+    /// renewal.
+    fn announce_change(&mut self, now: Moment) {
         self.card.news += 1;
-        for home in &mut self.homes {
-            home.due = now;
-            home.waiting = false;
+        for holder in &mut self.holders {
+            holder.due = now;
+            holder.waiting = false;
         }
         self.tick(now);
     }
@@ -387,14 +400,15 @@
     fn leave(&mut self) {
         self.ended = true;
         let agent = self.card.agent.clone();
-        let homes: Vec<_> = self.homes().collect();
-        for home in homes {
+        let addresses: Vec<_> = self.lease_holders().collect();
+        for address in addresses {
             let agent = agent.clone();
-            self.send(home, AgentMessage::Leave { agent });
+            self.send(address, AgentMessage::Leave { agent });
         }
     }
 }
 
-fn part(span: Span, share: f64) -> Span {
+/// Returns a share of a span.
+fn scale(span: Span, share: f64) -> Span {
     Span::from_micros((span.as_micros() as f64 * share) as u64)
 }
--- a/crates/membership/src/card.rs
+++ b/crates/membership/src/card.rs
@@ -1,4 +1,4 @@
-//! What entries and agents say of themselves.
+//! The descriptions that entries and agents give of themselves.
 
 use std::net::SocketAddr;
 
@@ -10,13 +10,13 @@
     pub struct NodeCard {
         /// The entry.
         pub process: ProcessId,
-        /// Where the system's own processes reach it.
+        /// The address at which the system's own processes reach it.
         pub address: SocketAddr,
         /// Its availability zone.
         pub zone: ZoneId,
         /// Its region.
         pub region: RegionId,
-        /// Whether it is on its way out.
+        /// Whether it is draining.
         pub draining: bool,
     }
 
@@ -24,13 +24,13 @@
     pub struct AgentCard {
         /// The agent.
         pub agent: ProcessId,
-        /// Where it listens.
+        /// The address at which it listens.
         pub address: SocketAddr,
         /// Its availability zone.
         pub zone: ZoneId,
         /// Its region.
         pub region: RegionId,
-        /// A number that the agent raises whenever it says something new.
+        /// A number that the agent raises whenever its description changes.
         pub news: u64,
         /// Whether it refuses new dispatches.
         pub draining: bool,
@@ -40,15 +40,15 @@
 }
 
 impl AgentCard {
-    /// Whether this is later news of the host than the other card.
+    /// Whether this card is newer than another card of the same host.
     ///
-    /// Two entries may hold different news of one agent for a moment. Draining breaks a tie, so
-    /// that an agent that leaves is never brought back by an entry that did not hear of it yet.
-    pub fn is_after(&self, other: &Self) -> bool {
-        self.rank() > other.rank()
+    /// Two entries may hold different cards of one agent for a moment. Draining breaks a tie, so
+    /// that an entry that hasn't heard of it yet never brings back an agent that is leaving.
+    pub fn is_newer_than(&self, other: &Self) -> bool {
+        self.order_key() > other.order_key()
     }
 
-    fn rank(&self) -> (Incarnation, u64, bool) {
+    fn order_key(&self) -> (Incarnation, u64, bool) {
         (self.agent.incarnation, self.news, self.draining)
     }
 }
--- a/crates/membership/src/leases.rs
+++ b/crates/membership/src/leases.rs
@@ -6,21 +6,23 @@
 
 /// How many agents may enrol in one second.
 ///
-/// After a zone's return all agents look for entries at once; an entry takes them in at this
-/// rate and sends the rest elsewhere, where they come after a pause of their own.
+/// When a zone returns, all agents look for entries at once. An entry accepts them at this rate and
+/// sends the others elsewhere, where they arrive after a delay of their own.
 pub const ENROLS_PER_SECOND: u32 = 20;
 
-/// The leases, by the agent's host.
+/// The leases by the agent's host.
 #[derive(Debug)]
 pub struct Leases {
     length: Span,
     expires: BTreeMap<HostId, Moment>,
+    /// When the current second of enrolments began.
     window: Moment,
+    /// How many agents enrolled in that second.
     enrolled: u32,
 }
 
 impl Leases {
-    /// No leases yet; each will run this long.
+    /// Creates an empty set of leases, each of which will run this long.
     pub fn new(length: Span) -> Self {
         Self {
             length,
@@ -30,7 +32,7 @@
         }
     }
 
-    /// How long a lease runs.
+    /// Returns how long a lease runs.
     pub fn length(&self) -> Span {
         self.length
     }
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Takes one enrolment out of this second's; false where they are used up.
+    /// Counts one enrolment; returns whether it is within the rate of this second.
     pub fn admit(&mut self, now: Moment) -> bool {
         if now.since(self.window) >= Span::from_secs(1) {
             self.window = now;
@@ -61,23 +63,22 @@
         self.expires.remove(host);
     }
 
-    /// Ends the leases that ran out, and returns whose they were.
+    /// Ends the expired leases; returns the hosts that held them.
     pub fn expire(&mut self, now: Moment) -> Vec<HostId> {
-        let over: Vec<_> = self
+        let expired: Vec<_> = self
             .expires
             .iter()
             .filter(|(_, at)| **at <= now)
             .map(|(h, _)| h.clone())
             .collect();
         self.expires.retain(|_, at| *at > now);
-        over
+        expired
     }
 
-    /// Lengthens every lease by the time in which this process did not run.
+    /// Extends all leases by the time in which this process did not run.
     ///
-    /// Failure guarded against: an entry that stalls for seconds wakes up, finds every lease over
-    /// and drops living agents. No agent could renew while nobody read its renewal, so the time
-    /// of the stall does not count.
+    /// Failure guarded against: an entry that stalled for seconds finds all leases expired and
+    /// drops living agents. No renewal could be read during the stall, so its time doesn't count.
     pub fn extend(&mut self, stall: Span) {
         for expires in self.expires.values_mut() {
             *expires = *expires + stall;
--- a/crates/membership/src/loads.rs
+++ b/crates/membership/src/loads.rs
@@ -4,39 +4,45 @@
 
 use snipemast_core::prelude::*;
 
-use crate::message::{Load, LoadNote, PoolNote};
+use crate::message::{AgentLoad, Load, PoolSummary};
 use crate::table::Table;
 
-/// A load that did not change is told again after this time.
-const REFRESH: Span = Span::from_secs(30);
+/// How long after its last transmission a load or summary that didn't change is sent again.
+const REFRESH_INTERVAL: Span = Span::from_secs(30);
 
-/// What is known of loads.
+/// The known loads.
 #[derive(Debug, Default)]
 pub struct Loads {
-    agents: BTreeMap<HostId, Known>,
-    pools: BTreeMap<(ZoneId, String), (PoolNote, Moment)>,
-    told: BTreeMap<(ZoneId, String), (PoolNote, Moment)>,
+    agents: BTreeMap<HostId, KnownLoad>,
+    /// The summaries that other zones sent, by their zone and offer.
+    pools: BTreeMap<(ZoneId, String), (PoolSummary, Moment)>,
+    /// The summaries that were last sent, by the receiving zone and the offer.
+    sent_pools: BTreeMap<(ZoneId, String), (PoolSummary, Moment)>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct KnownLoad {
     load: Load,
+    /// When the load was reported.
     at: Moment,
-    told: Load,
-    told_at: Moment,
+    /// The load that is being sent to peers.
+    sent_load: Load,
+    /// When `sent_load` was adopted.
+    sent_at: Moment,
+    /// How often `sent_load` has been sent.
     sent: u32,
 }
 
 impl Loads {
-    /// Takes an agent's load, as old as it says.
-    pub fn take(&mut self, now: Moment, host: &HostId, load: Load) {
+    /// Records an agent's load, whose age is part of it.
+    pub fn record(&mut self, now: Moment, host: &HostId, load: Load) {
         let at = now - Span::from_millis(load.age.into());
         let Some(known) = self.agents.get_mut(host) else {
-            let known = Known {
+            let known = KnownLoad {
                 load,
                 at,
-                told: load,
-                told_at: now,
+                sent_load: load,
+                sent_at: now,
                 sent: 0,
             };
             self.agents.insert(host.clone(), known);
@@ -47,14 +53,14 @@
         }
         known.load = load;
         known.at = at;
-        if is_change(known.told, load) || now.since(known.told_at) > REFRESH {
-            known.told = load;
-            known.told_at = now;
+        if is_significant(known.sent_load, load) || now.since(known.sent_at) > REFRESH_INTERVAL {
+            known.sent_load = load;
+            known.sent_at = now;
             known.sent = 0;
         }
     }
 
-    /// An agent's load and its age now.
+    /// Returns an agent's load with its current age.
     pub fn load(&self, now: Moment, host: &HostId) -> Option<LoadReport> {
         let known = self.agents.get(host)?;
         let report = LoadReport::from(known.load);
@@ -69,12 +75,12 @@
         self.agents.remove(host);
     }
 
-    /// Picks loads that changed, freshest first, for a peer of the zone.
-    pub fn pick(&mut self, now: Moment, repeats: u32, budget: &mut usize) -> Vec<LoadNote> {
+    /// Picks changed loads for a peer of the zone, the latest first.
+    pub fn pick(&mut self, now: Moment, retransmits: u32, budget: &mut usize) -> Vec<AgentLoad> {
         let mut fresh: Vec<_> = self
             .agents
             .iter_mut()
-            .filter(|(_, k)| k.sent < repeats)
+            .filter(|(_, k)| k.sent < retransmits)
             .collect();
         fresh.sort_by_key(|(_, k)| std::cmp::Reverse(k.at));
         let mut picked = Vec::new();
@@ -86,7 +92,7 @@
             *budget -= size;
             known.sent += 1;
             let age = u32::try_from(now.since(known.at).as_millis()).unwrap_or(u32::MAX);
-            picked.push(LoadNote {
+            picked.push(AgentLoad {
                 host: host.clone(),
                 load: Load { age, ..known.load },
             });
@@ -94,53 +100,54 @@
         picked
     }
 
-    /// The pools of other zones, with the age of each summary.
-    pub fn pools(&self, now: Moment) -> impl Iterator<Item = (&PoolNote, Span)> {
+    /// Returns the summaries of other zones' pools, with their ages.
+    pub fn pools(&self, now: Moment) -> impl Iterator<Item = (&PoolSummary, Span)> {
         self.pools.values().map(move |(p, at)| (p, now.since(*at)))
     }
 
-    /// Takes a zone's summary of a pool.
-    pub fn take_pool(&mut self, now: Moment, pool: PoolNote) {
+    /// Records a zone's summary of a pool.
+    pub fn record_pool(&mut self, now: Moment, pool: PoolSummary) {
         let key = (pool.zone.clone(), pool.offer.clone());
         self.pools.insert(key, (pool, now));
     }
 
-    /// Forgets summaries older than a span.
+    /// Forgets summaries that are older than a span.
     pub fn expire(&mut self, now: Moment, keep: Span) {
         self.pools.retain(|_, (_, at)| now.since(*at) < keep);
     }
 
-    /// The pools of the own zone that changed since they were last told to another zone.
+    /// Picks the summaries of the own zone's pools that changed since they were last sent to
+    /// another zone.
     pub fn pick_pools(
         &mut self,
         now: Moment,
         table: &Table,
         zones: (&ZoneId, &ZoneId),
         budget: &mut usize,
-    ) -> Vec<PoolNote> {
+    ) -> Vec<PoolSummary> {
         let (own, other) = zones;
         let mut picked = Vec::new();
         for pool in self.summaries(table, own) {
             let key = (other.clone(), pool.offer.clone());
             let size = pool.offer.len() + own.as_str().len() + 12;
-            let told = self.told.get(&key);
-            let same = told.is_some_and(|(p, at)| {
+            let previous = self.sent_pools.get(&key);
+            let same = previous.is_some_and(|(p, at)| {
                 p.servers == pool.servers
                     && p.load.abs_diff(pool.load) * 8 <= p.load.max(8)
-                    && now.since(*at) < REFRESH
+                    && now.since(*at) < REFRESH_INTERVAL
             });
             if same || size > *budget {
                 continue;
             }
             *budget -= size;
-            self.told.insert(key, (pool.clone(), now));
+            self.sent_pools.insert(key, (pool.clone(), now));
             picked.push(pool);
         }
         picked
     }
 
-    fn summaries(&self, table: &Table, zone: &ZoneId) -> Vec<PoolNote> {
-        let mut pools: BTreeMap<String, PoolNote> = BTreeMap::new();
+    fn summaries(&self, table: &Table, zone: &ZoneId) -> Vec<PoolSummary> {
+        let mut pools: BTreeMap<String, PoolSummary> = BTreeMap::new();
         for host in table.agents() {
             let Some(card) = table.agent(host) else {
                 continue;
@@ -150,13 +157,15 @@
             }
             let load = self.agents.get(host).map_or(0, |k| k.load.total());
             for offer in &card.info.offers {
-                let pool = pools.entry(offer.to_string()).or_insert_with(|| PoolNote {
-                    zone: zone.clone(),
-                    offer: offer.to_string(),
-                    servers: 0,
-                    slots: 0,
-                    load: 0,
-                });
+                let pool = pools
+                    .entry(offer.to_string())
+                    .or_insert_with(|| PoolSummary {
+                        zone: zone.clone(),
+                        offer: offer.to_string(),
+                        servers: 0,
+                        slots: 0,
+                        load: 0,
+                    });
                 pool.servers += 1;
                 pool.slots += card.info.slots;
                 pool.load += load;
@@ -166,8 +175,8 @@
     }
 }
 
-/// Whether a load is worth telling: it went up or down by about a half, or the engine restarted.
-fn is_change(told: Load, load: Load) -> bool {
+/// Whether a load differs enough to be sent: it changed by about a half, or the engine restarted.
+fn is_significant(sent_load: Load, load: Load) -> bool {
     let scale = |l: Load| u32::BITS - l.total().leading_zeros();
-    scale(told) != scale(load) || told.restarts != load.restarts
+    scale(sent_load) != scale(load) || sent_load.restarts != load.restarts
 }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages of the protocol: entry to entry, and agent to entry.
+//! The messages of the protocol, between entries and from agents to entries.
 
 use std::net::SocketAddr;
 
@@ -7,118 +7,120 @@
 
 use crate::card::{AgentCard, NodeCard};
 use crate::owned::Delta;
-use crate::riders::Rider;
+use crate::piggyback::PiggybackValue;
 use crate::table::Verdict;
 
 data! {
-    /// What two entries tell each other: both the request and the answer of an exchange.
+    /// A message between two entries: both the request and the answer of an exchange.
     pub struct Packet {
         /// The sender.
         pub from: NodeCard,
         /// The version of the sender's own set.
         pub version: u64,
-        /// The sum over all of the sender's rows, where it has heard no news for a while.
+        /// The checksum over all of the sender's rows, if the sender has heard no news for a while.
         pub sum: Option<u32>,
         /// What the sender asks for.
         pub ask: Ask,
-        /// What the sender has: the receiver sends what is later, or asks for it.
+        /// The versions that the sender has. The receiver sends later rows, and asks for rows of
+        /// which it has an earlier version.
         pub marks: Vec<Mark>,
         /// The buckets of rows that the marks list in full.
         pub listed: Vec<u8>,
         /// Verdicts on entries.
         pub verdicts: Vec<Verdict>,
-        /// News of owned sets, to be passed on.
+        /// Changes of owned sets, to be passed on.
         pub deltas: Vec<Delta>,
-        /// Owned sets that the receiver was behind with, for itself alone.
+        /// Changes that the receiver has missed, not to be passed on.
         pub sync: Vec<Delta>,
         /// Small values of other packages.
-        pub riders: Vec<Rider>,
+        #[serde(rename = "riders")]
+        pub piggyback: Vec<PiggybackValue>,
         /// Loads of agents, within a zone.
-        pub loads: Vec<LoadNote>,
+        pub loads: Vec<AgentLoad>,
         /// Summaries of pools, across zones.
-        pub pools: Vec<PoolNote>,
+        pub pools: Vec<PoolSummary>,
     }
 
     /// What an exchange asks for besides the news.
     pub enum Ask {
         /// Nothing.
         Nothing,
-        /// To compare: a sum over each bucket of rows.
+        /// To compare the rows: the checksum of each bucket of rows.
         Compare(Vec<u32>),
-        /// Everything, by host, after this one.
+        /// All rows, by host, after this one.
         Join(Option<HostId>),
-        /// The answer to a join: whether more follows, after which host.
+        /// The answer to a join: the host after which the next page starts, if there is one.
         Joined(Option<HostId>),
     }
 
-    /// How far a process knows one owner.
+    /// The version that a process has of one owner's row.
     pub struct Mark {
         /// The owner's host.
         pub host: HostId,
-        /// Its incarnation, or 0 where it is not known.
+        /// The owner's incarnation, or 0 if it is not known.
         pub incarnation: Incarnation,
-        /// The version of its set.
+        /// The version of the owner's set.
         pub version: u64,
     }
 
-    /// One agent's load.
-    pub struct LoadNote {
+    /// The load of one agent.
+    pub struct AgentLoad {
         /// The agent's host.
         pub host: HostId,
-        /// The load; its age counts from the report to the sending.
+        /// The load; its age is the time from the report to the sending of this message.
         pub load: Load,
     }
 
-    /// A backend server's load, small.
+    /// A backend server's load in compact form.
     #[derive(Copy, Default)]
     pub struct Load {
-        /// Requests that run.
+        /// The number of running requests.
         pub running: u32,
-        /// Requests that wait.
+        /// The number of waiting requests.
         pub waiting: u32,
         /// The mean time of a step, in microseconds.
         pub step: u32,
-        /// Dead starts of the engine.
+        /// The number of starts of the engine that have died.
         pub restarts: u32,
-        /// How old it is, in milliseconds.
+        /// The age of the report, in milliseconds.
         pub age: u32,
     }
 
-    /// All backend servers of a zone that offer one thing.
-    pub struct PoolNote {
+    /// A summary of all backend servers of a zone that have one offer.
+    pub struct PoolSummary {
         /// The zone.
         pub zone: ZoneId,
-        /// What they offer.
+        /// The offer.
         pub offer: String,
-        /// How many there are that take new work.
+        /// The number of servers that accept new work.
         pub servers: u32,
-        /// Requests that they run at once.
+        /// The number of requests that they run at once.
         pub slots: u32,
-        /// Requests that run or wait.
+        /// The number of requests that run or wait.
         pub load: u32,
     }
 
-    /// What an agent tells an entry.
+    /// A message of an agent to an entry.
     pub enum AgentMessage {
-        /// Who it is; grants a lease.
+        /// The agent describes itself and asks for a lease.
         Enrol {
             /// The agent.
             card: Box<AgentCard>,
-            /// Its load.
+            /// The agent's load.
             load: Load,
         },
-        /// It is still there.
+        /// The agent renews its lease.
         Renew {
             /// The agent.
             agent: ProcessId,
-            /// The number of its latest news.
+            /// The number of its latest description.
             news: u64,
-            /// Its load.
+            /// The agent's load.
             load: Load,
             /// Whether the answer should name other entries.
             ask: bool,
         },
-        /// It has ended.
+        /// The agent ends.
         Leave {
             /// The agent.
             agent: ProcessId,
@@ -127,18 +129,18 @@
 
     /// An entry's answer to an agent.
     pub enum LeaseReply {
-        /// The lease runs.
+        /// The lease is granted or renewed.
         Granted {
-            /// For how long.
+            /// How long the lease runs.
             lease: Span,
-            /// Whether the entry is on its way out, and the agent should move.
+            /// Whether the entry is draining, so that the agent should move to another one.
             leaving: bool,
             /// Other entries of the zone; empty in most answers.
             others: Vec<SocketAddr>,
         },
-        /// The entry does not know the agent in its latest news: it should enrol.
+        /// The entry doesn't know the agent's latest description; the agent should enrol.
         Unknown,
-        /// The entry has its share: the agent should try another.
+        /// The entry has its share of agents; the agent should try another entry.
         Busy {
             /// Other entries of the zone.
             others: Vec<SocketAddr>,
@@ -147,14 +149,14 @@
         Superseded {
             /// The other process.
             by: ProcessId,
-            /// Where it listens.
+            /// The address at which it listens.
             address: SocketAddr,
         },
     }
 }
 
 impl Load {
-    /// Requests that run or wait.
+    /// Returns the number of requests that run or wait.
     pub const fn total(&self) -> u32 {
         self.running.saturating_add(self.waiting)
     }
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,4 +1,4 @@
-//! An entry's membership: one state machine, without sockets, clocks or threads.
+//! The membership of an entry: a state machine without sockets, clocks or threads.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,18 +12,18 @@
 use crate::leases::Leases;
 use crate::loads::Loads;
 use crate::message::{AgentMessage, LeaseReply, Packet};
-use crate::riders::{Riders, Topic};
-use crate::spread::{Rank, Spread};
+use crate::piggyback::{PiggybackStore, Topic};
+use crate::spread::{BroadcastQueue, Priority};
 use crate::table::{Row, Standing, Table, Verdict, VerdictKind};
 use crate::tuning::Tuning;
 use crate::view::{AgentView, Reach};
 use crate::zones::Zones;
 
-/// An exchange that is under way.
+/// The id of an exchange or call that awaits an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(pub u64);
 
-/// What an entry's membership is told.
+/// An input of an entry's membership.
 #[derive(Debug, Clone)]
 pub enum Input {
     /// Time has passed; see [`Node::next_tick`].
@@ -34,9 +34,9 @@
     Answered(Token, Box<Packet>),
     /// An exchange got no answer in time.
     TimedOut(Token),
-    /// An agent spoke.
+    /// An agent sent a message.
     Agent(AgentMessage),
-    /// This process is on its way out.
+    /// This process begins to drain.
     Drain,
     /// This process ends now.
     Leave,
@@ -44,16 +44,16 @@
     Publish(Topic, Vec<u8>, Span),
 }
 
-/// What an entry's membership wants done.
+/// An action that an entry's membership requests.
 #[derive(Debug, Clone)]
 pub enum Output {
-    /// Begin an exchange; answer with [`Input::Answered`] or [`Input::TimedOut`].
+    /// Begin an exchange, which ends with [`Input::Answered`] or [`Input::TimedOut`].
     Send {
         /// The exchange.
         token: Token,
-        /// Whom to ask.
+        /// The address of the other entry.
         to: SocketAddr,
-        /// What to say.
+        /// The packet to send.
         packet: Box<Packet>,
         /// How long the answer may take.
         timeout: Span,
@@ -66,41 +66,44 @@
     Event {
         /// The kind of event.
         event: Event,
-        /// Whom it is about.
+        /// The subject of the event.
         subject: String,
-        /// Further facts in words.
+        /// Further details as text.
         detail: String,
     },
     /// The view of the agents on these hosts may have changed.
     Changed(Vec<HostId>),
 }
 
-/// Why an exchange was begun.
+/// The purpose of an exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// To pass news on or look after a peer.
+    /// To pass on news and probe a peer.
     News,
-    /// To make sure of a peer that missed an answer.
+    /// To check a peer that failed to answer.
     Check,
-    /// To find a fleet.
+    /// To find the fleet at a seed.
     Seed,
 }
 
+/// An exchange that awaits its answer.
 #[derive(Debug, Clone)]
 pub(crate) struct Pending {
+    /// The peer, or `None` if only its address is known.
     pub(crate) peer: Option<NodeCard>,
     pub(crate) address: SocketAddr,
     pub(crate) purpose: Purpose,
-    pub(crate) begun: Moment,
+    pub(crate) started: Moment,
 }
 
+/// When each kind of periodic work is due.
 #[derive(Debug, Clone, Copy)]
 struct Due {
-    watch: Moment,
+    probe: Moment,
     gossip: Moment,
     cross: Moment,
-    doubt: Moment,
-    seeds: Moment,
+    recheck: Moment,
+    seed: Moment,
     sweep: Moment,
     burst: Moment,
 }
@@ -111,27 +114,35 @@
     pub(crate) me: NodeCard,
     pub(crate) tuning: Tuning,
     pub(crate) seeds: Vec<SocketAddr>,
-    pub(crate) dice: StdRng,
+    pub(crate) rng: StdRng,
     pub(crate) table: Table,
-    pub(crate) spread: Spread,
+    pub(crate) queue: BroadcastQueue,
     pub(crate) zones: Zones,
     pub(crate) leases: Leases,
     pub(crate) loads: Loads,
-    pub(crate) riders: Riders,
+    pub(crate) piggyback: PiggybackStore,
     pub(crate) pending: BTreeMap<Token, Pending>,
+    /// The peers that are being checked, with the number of exchanges that are still pending.
     pub(crate) checks: BTreeMap<HostId, u32>,
+    /// The identity clashes that were already logged.
     pub(crate) clashes: BTreeSet<(ProcessId, SocketAddr)>,
     pub(crate) joined: bool,
     pub(crate) superseded: bool,
-    pub(crate) resumed: Moment,
-    pub(crate) compared: Moment,
-    pub(crate) heard: Moment,
-    pub(crate) summed: (u64, Vec<u32>),
+    /// When this process last resumed after a stall.
+    pub(crate) resumed_at: Moment,
+    /// When rows were last compared.
+    pub(crate) compared_at: Moment,
+    /// When news last arrived or was made here.
+    pub(crate) last_news: Moment,
+    /// The checksums of the buckets, with the revision of the table that they were computed at.
+    pub(crate) sum_cache: (u64, Vec<u32>),
+    /// How many bursts remain.
     pub(crate) bursts: u32,
-    pub(crate) spent: u64,
-    pub(crate) refilled: Moment,
-    pub(crate) out: Vec<Output>,
-    counter: u64,
+    /// The bytes of news that were sent and not yet earned back at the rate of news.
+    pub(crate) spent_bytes: u64,
+    pub(crate) refilled_at: Moment,
+    pub(crate) outputs: Vec<Output>,
+    last_token: u64,
     due: Due,
 }
 
@@ -144,16 +155,16 @@
         tuning: Tuning,
         seed: u64,
     ) -> Self {
-        let mut dice = StdRng::seed_from_u64(seed);
+        let mut rng = StdRng::seed_from_u64(seed);
         let mut table = Table::default();
         table.insert(me.clone());
-        let mut first = |span: Span| now + part(span, dice.random::<f64>());
+        let mut first = |span: Span| now + scale(span, rng.random::<f64>());
         let due = Due {
-            watch: first(tuning.probe_interval),
+            probe: first(tuning.probe_interval),
             gossip: first(tuning.gossip_interval),
             cross: first(tuning.cross_interval),
-            doubt: now,
-            seeds: now,
+            recheck: now,
+            seed: now,
             sweep: first(tuning.sweep_interval),
             burst: Moment::NEVER,
         };
@@ -163,88 +174,88 @@
             me,
             tuning,
             seeds,
-            dice,
+            rng,
             table,
-            spread: Spread::default(),
+            queue: BroadcastQueue::default(),
             zones: Zones::default(),
             leases,
             loads: Loads::default(),
-            riders: Riders::default(),
+            piggyback: PiggybackStore::default(),
             pending: BTreeMap::new(),
             checks: BTreeMap::new(),
             clashes: BTreeSet::new(),
             superseded: false,
-            resumed: now,
-            compared: now,
-            heard: now,
-            summed: (0, Vec::new()),
+            resumed_at: now,
+            compared_at: now,
+            last_news: now,
+            sum_cache: (0, Vec::new()),
             bursts: 0,
-            spent: 0,
-            refilled: now,
-            out: Vec::new(),
-            counter: 0,
+            spent_bytes: 0,
+            refilled_at: now,
+            outputs: Vec::new(),
+            last_token: 0,
             due,
         }
     }
 
-    /// Takes an input at a moment and says what to do.
+    /// Handles an input at a moment; returns the actions to take.
     pub fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         match input {
             Input::Tick => self.tick(now),
-            Input::Asked(packet) => self.asked(now, &packet),
-            Input::Answered(token, packet) => self.answered(now, token, &packet),
-            Input::TimedOut(token) => self.missed(now, token),
-            Input::Agent(message) => self.agent(now, message),
+            Input::Asked(packet) => self.handle_request(now, &packet),
+            Input::Answered(token, packet) => self.handle_response(now, token, &packet),
+            Input::TimedOut(token) => self.handle_timeout(now, token),
+            Input::Agent(message) => self.handle_agent(now, message),
             Input::Drain => self.drain(now),
             Input::Leave => self.leave(now),
             Input::Publish(topic, value, life) => self.publish(now, topic, value, life),
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// When the next [`Input::Tick`] is due.
+    /// Returns when the next [`Input::Tick`] is due.
     pub fn next_tick(&self) -> Moment {
         let due = &self.due;
-        let rounds = due.watch.min(due.gossip).min(due.cross).min(due.doubt);
-        rounds.min(due.seeds).min(due.sweep).min(due.burst)
+        let rounds = due.probe.min(due.gossip).min(due.cross).min(due.recheck);
+        rounds.min(due.seed).min(due.sweep).min(due.burst)
     }
 
-    /// This entry's description of itself.
+    /// Returns this entry's description of itself.
     pub fn card(&self) -> &NodeCard {
         &self.me
     }
 
-    /// What is known of all entries.
+    /// Returns the table of all entries.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// The other zones, and whether each answers.
+    /// Returns the other zones, and whether each answers.
     pub fn zones(&self) -> &Zones {
         &self.zones
     }
 
-    /// The values that other packages published.
-    pub fn piggyback(&self) -> &Riders {
-        &self.riders
+    /// Returns the values that other packages published.
+    pub fn piggyback(&self) -> &PiggybackStore {
+        &self.piggyback
     }
 
-    /// What is known of loads.
+    /// Returns the known loads.
     pub fn loads(&self) -> &Loads {
         &self.loads
     }
 
-    /// Whether the process has learnt the fleet from a peer, or has no seeds.
+    /// Whether the process has learned the fleet from a peer, or has no seeds.
     pub fn is_joined(&self) -> bool {
         self.joined
     }
 
-    /// Whether a later process under this one's identity was met.
+    /// Whether another process with this one's identity was found that started later.
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// An agent as this entry sees it.
+    /// Returns an agent as this entry sees it.
     pub fn agent_view(&self, host: &HostId) -> Option<AgentView<'_>> {
         let card = self.table.agent(host)?;
         Some(AgentView {
@@ -253,7 +264,7 @@
         })
     }
 
-    /// Every agent as this entry sees it.
+    /// Returns all agents as this entry sees them.
     pub fn agents(&self) -> impl Iterator<Item = AgentView<'_>> {
         self.table.agents().filter_map(|h| self.agent_view(h))
     }
@@ -273,7 +284,7 @@
     }
 
     fn tick(&mut self, now: Moment) {
-        self.note_stall(now);
+        self.detect_stall(now);
         let due = self.due;
         let tuning = self.tuning.clone();
         if now >= due.sweep {
@@ -281,52 +292,52 @@
             self.due.sweep = now + tuning.sweep_interval;
         }
         if now >= due.burst {
-            self.burst(now);
+            self.send_burst(now);
         }
-        if now >= due.seeds {
-            self.seek(now);
+        if now >= due.seed {
+            self.contact_seed(now);
         }
         if self.superseded {
-            self.rest(now);
+            self.postpone_rounds(now);
             return;
         }
-        if now >= due.watch {
-            self.watch(now);
-            self.due.watch = now + self.jitter(tuning.probe_interval);
+        if now >= due.probe {
+            self.probe_successor(now);
+            self.due.probe = now + self.jitter(tuning.probe_interval);
         }
         if now >= due.gossip {
             self.gossip(now);
             self.due.gossip = now + self.jitter(tuning.gossip_interval);
         }
         if now >= due.cross {
-            self.cross(now);
+            self.gossip_across(now);
             self.due.cross = now + self.jitter(tuning.cross_interval);
         }
-        if now >= due.doubt {
-            self.doubt(now);
-            self.due.doubt = now + Span::from_millis(500);
+        if now >= due.recheck {
+            self.recheck_zones(now);
+            self.due.recheck = now + Span::from_millis(500);
         }
     }
 
-    /// A process that was superseded says nothing more under its identity.
-    fn rest(&mut self, now: Moment) {
+    /// Postpones all rounds, because a superseded process sends nothing more under its identity.
+    fn postpone_rounds(&mut self, now: Moment) {
         let later = now + Span::from_secs(1);
-        self.due.watch = later;
+        self.due.probe = later;
         self.due.gossip = later;
         self.due.cross = later;
-        self.due.doubt = later;
+        self.due.recheck = later;
     }
 
-    /// Finds out that this process did not run for a while.
+    /// Detects that this process did not run for a while.
     ///
-    /// Failure guarded against: a host that stalls for seconds and then finds everybody silent.
-    /// It shows as a burst of suspicions and dropped agents, all from one host. What was begun
-    /// before it ran again proves nothing, so those misses don't count and leases are lengthened.
-    fn note_stall(&mut self, now: Moment) {
+    /// Failure guarded against: a host stalls for seconds, then finds all others silent, and causes
+    /// a burst of suspicions and dropped agents. Exchanges that were begun before the process ran
+    /// again prove nothing, so their timeouts don't count and the leases are extended.
+    fn detect_stall(&mut self, now: Moment) {
         let stall = now.since(self.next_tick());
         if stall >= self.tuning.timeout {
             self.leases.extend(stall);
-            self.resumed = now;
+            self.resumed_at = now;
             self.checks.clear();
         }
     }
@@ -334,37 +345,37 @@
     fn sweep(&mut self, now: Moment) {
         let over = self.leases.expire(now);
         for host in &over {
-            self.disown(now, host, "its lease ran out");
+            self.remove_own(now, host, "its lease ran out");
         }
         self.judge_suspects(now);
-        self.riders.expire(now);
+        self.piggyback.expire(now);
         self.loads.expire(now, self.tuning.zone_retention);
         let lost = self.zones.forget(now, self.tuning.zone_retention);
         let touched = self
             .table
             .forget(now, self.tuning.tombstone_retention, &lost);
-        self.note_changed(touched);
+        self.report_changed(touched);
     }
 
-    /// Sends news out soon, a few times.
-    pub(crate) fn hurry(&mut self, now: Moment) {
+    /// Schedules a burst: news is sent soon, a few times.
+    pub(crate) fn schedule_burst(&mut self, now: Moment) {
         self.bursts = self.tuning.bursts;
-        let soon = now + Span::from_millis(20 + self.dice.random_range(0..40));
+        let soon = now + Span::from_millis(20 + self.rng.random_range(0..40));
         self.due.burst = self.due.burst.min(soon);
     }
 
-    fn burst(&mut self, now: Moment) {
+    fn send_burst(&mut self, now: Moment) {
         if self.bursts == 0 || self.superseded {
             self.due.burst = Moment::NEVER;
             return;
         }
-        if self.is_spent(now) {
-            // What is not pressing waits, so that a flood of news does not feed itself.
-            self.due.burst = now + Span::from_millis(400 + self.dice.random_range(0..200));
+        if self.is_throttled(now) {
+            // News that is not urgent waits, so that a flood of news doesn't feed itself.
+            self.due.burst = now + Span::from_millis(400 + self.rng.random_range(0..200));
             return;
         }
         self.bursts -= 1;
-        let pause = Span::from_millis(100 + self.dice.random_range(0..50));
+        let pause = Span::from_millis(100 + self.rng.random_range(0..50));
         self.due.burst = if self.bursts > 0 {
             now + pause
         } else {
@@ -375,76 +386,76 @@
         }
     }
 
-    /// Whether the rate of news is used up and nothing that waits is pressing.
-    fn is_spent(&mut self, now: Moment) -> bool {
-        self.allowance(now) < self.tuning.news_budget / 4 && !self.spread.is_pressing()
+    /// Whether the rate of news is used up and no urgent news is waiting.
+    fn is_throttled(&mut self, now: Moment) -> bool {
+        self.allowance(now) < self.tuning.news_budget / 4 && !self.queue.has_urgent()
     }
 
-    /// A few random entries of the zone, and at least one of another zone.
+    /// Returns a few random entries of the zone, and at least one of another zone.
     fn burst_peers(&mut self) -> Vec<NodeCard> {
         let fanout = self.tuning.fanout;
-        let mut peers = self.sample_near(fanout);
+        let mut peers = self.sample_trusted(fanout);
         let count = 1 + fanout - peers.len();
         let Self {
             me,
             table,
             zones,
-            dice,
+            rng,
             ..
         } = self;
         let rows = table.rows().values();
         let far = rows.filter(|r| r.card.zone != me.zone && zones.is_connected(&r.card.zone));
-        peers.extend(sample(dice, far, count).map(|r| r.card.clone()));
+        peers.extend(sample(rng, far, count).map(|r| r.card.clone()));
         peers
     }
 
-    /// Looks after the next entry of the zone in the ring; every entry has one that does.
-    fn watch(&mut self, now: Moment) {
-        let own = ring_place(&self.me.process.host);
+    /// Probes the next entry of the zone in the ring; every entry is probed by one other.
+    fn probe_successor(&mut self, now: Moment) {
+        let own = ring_position(&self.me.process.host);
         let next = self
-            .near()
-            .min_by_key(|r| ring_place(&r.card.process.host).wrapping_sub(own));
+            .trusted_peers()
+            .min_by_key(|r| ring_position(&r.card.process.host).wrapping_sub(own));
         if let Some(peer) = next.map(|r| r.card.clone()) {
             self.send_news(now, &peer);
         }
     }
 
     fn gossip(&mut self, now: Moment) {
-        if let Some(peer) = self.sample_near(1).pop() {
+        if let Some(peer) = self.sample_trusted(1).pop() {
             self.send_round(now, &peer);
         }
     }
 
-    fn cross(&mut self, now: Moment) {
-        if let Some(zone) = self.zones.take_turn() {
-            self.ask_zone(now, &zone, 1);
+    fn gossip_across(&mut self, now: Moment) {
+        if let Some(zone) = self.zones.next_zone() {
+            self.gossip_with_zone(now, &zone, 1);
         }
     }
 
-    /// Asks zones that miss answers again, several entries at once.
+    /// Contacts several entries at once of each zone that failed to answer.
     ///
-    /// Failure guarded against: one dead entry or one lossy exchange that makes a whole zone look
-    /// cut off. A zone is given up only after many different entries gave no answer.
-    fn doubt(&mut self, now: Moment) {
+    /// Failure guarded against: one dead entry or one lost exchange makes a whole zone look cut
+    /// off. A zone counts as cut off only after many different entries gave no answer.
+    fn recheck_zones(&mut self, now: Moment) {
         for zone in self.zones.doubtful() {
-            self.ask_zone(now, &zone, 3);
+            self.gossip_with_zone(now, &zone, 3);
         }
     }
 
-    fn ask_zone(&mut self, now: Moment, zone: &ZoneId, count: usize) {
-        let Self { table, dice, .. } = self;
+    fn gossip_with_zone(&mut self, now: Moment, zone: &ZoneId, count: usize) {
+        let Self { table, rng, .. } = self;
         let rows = table.rows().values().filter(|r| r.card.zone == *zone);
-        let peers: Vec<_> = sample(dice, rows, count).map(|r| r.card.clone()).collect();
+        let peers: Vec<_> = sample(rng, rows, count).map(|r| r.card.clone()).collect();
         for peer in peers {
             self.send_round(now, &peer);
         }
     }
 
-    /// Looks for the fleet at a seed: often until it is found, now and then afterwards.
+    /// Contacts a seed: often until the fleet is found, and from time to time afterwards.
     ///
-    /// Failure guarded against: two halves of a fleet that forgot each other while they were cut
-    /// off. It shows as two views that never meet again. The seeds stay in the settings for good.
-    fn seek(&mut self, now: Moment) {
+    /// Failure guarded against: two halves of a fleet forget each other while they are cut off, and
+    /// their views never merge again. The seeds therefore stay in the settings for good.
+    fn contact_seed(&mut self, now: Moment) {
         let alone = self.table.rows().len() == 1;
         let hurried = !self.joined || (alone && !self.seeds.is_empty());
         let pause = if hurried {
@@ -452,7 +463,7 @@
         } else {
             self.tuning.seed_interval
         };
-        self.due.seeds = now + self.jitter(pause);
+        self.due.seed = now + self.jitter(pause);
         let known: BTreeSet<_> = self.table.rows().values().map(|r| r.card.address).collect();
         let mut seeds = self.seeds.clone();
         seeds.retain(|s| *s != self.me.address && (hurried || !known.contains(s)));
@@ -467,7 +478,7 @@
         }
         self.me.draining = true;
         let card = self.me.clone();
-        self.raise(now, 0, |row| row.card = card);
+        self.raise_version(now, 0, |row| row.card = card);
     }
 
     fn leave(&mut self, now: Moment) {
@@ -477,7 +488,7 @@
             version: self.own_version(),
             kind: VerdictKind::Left,
         };
-        self.spread.push_verdict(verdict);
+        self.queue.push_verdict(verdict);
         for _ in 0..self.tuning.bursts {
             for peer in self.burst_peers() {
                 self.send_news(now, &peer);
@@ -487,24 +498,25 @@
 
     fn publish(&mut self, now: Moment, topic: Topic, value: Vec<u8>, life: Span) {
         let done = self
-            .riders
+            .piggyback
             .publish(now, &self.me.process, topic, value, life);
         if done.is_ok() && topic.is_urgent() {
-            self.hurry(now);
+            self.schedule_burst(now);
         }
     }
 
-    /// Raises the version of the own set past another, with a change of the row, and spreads it.
-    pub(crate) fn raise(&mut self, now: Moment, past: u64, change: impl FnOnce(&mut Row)) {
-        self.heard = now;
+    /// Raises the version of the own set above another one, changes the row, and spreads the
+    /// change.
+    pub(crate) fn raise_version(&mut self, now: Moment, past: u64, change: impl FnOnce(&mut Row)) {
+        self.last_news = now;
         let from = self.own_version();
         let host = self.me.process.host.clone();
         self.table.change(&host, |row| {
             row.set.raise(past);
             change(row);
         });
-        self.spread.push(&host, from, Rank::Leaving);
-        self.hurry(now);
+        self.queue.push(&host, from, Priority::Leaving);
+        self.schedule_burst(now);
     }
 
     pub(crate) fn own_version(&self) -> u64 {
@@ -513,57 +525,61 @@
             .map_or(0, |r| r.set.version())
     }
 
-    /// Every entry but this one.
+    /// Returns all entries except this one.
     pub(crate) fn others(&self) -> impl Iterator<Item = &Row> {
         let own = &self.me.process.host;
         let rows = self.table.rows().values();
         rows.filter(move |r| r.card.process.host != *own)
     }
 
-    /// The other entries of the zone that this one has no doubt of.
-    pub(crate) fn near(&self) -> impl Iterator<Item = &Row> {
-        near(&self.me, &self.table)
+    /// Returns the other entries of the zone that this one doesn't suspect.
+    pub(crate) fn trusted_peers(&self) -> impl Iterator<Item = &Row> {
+        trusted_peers(&self.me, &self.table)
     }
 
-    fn sample_near(&mut self, count: usize) -> Vec<NodeCard> {
-        let Self {
-            me, table, dice, ..
-        } = self;
-        let rows = sample(dice, near(me, table), count);
+    fn sample_trusted(&mut self, count: usize) -> Vec<NodeCard> {
+        let Self { me, table, rng, .. } = self;
+        let rows = sample(rng, trusted_peers(me, table), count);
         rows.map(|r| r.card.clone()).collect()
     }
 
-    /// Some of the items, at random.
+    /// Returns a random sample of the items.
     pub(crate) fn sample<T>(&mut self, items: Vec<T>, count: usize) -> Vec<T> {
-        sample(&mut self.dice, items.into_iter(), count).collect()
+        sample(&mut self.rng, items.into_iter(), count).collect()
     }
 
-    /// Nine to eleven tenths of a span, so that processes don't fall into step.
+    /// Returns 0.9 to 1.1 times a span, so that processes don't synchronize.
     pub(crate) fn jitter(&mut self, span: Span) -> Span {
-        part(span, 0.9 + 0.2 * self.dice.random::<f64>())
+        scale(span, 0.9 + 0.2 * self.rng.random::<f64>())
     }
 
     pub(crate) fn next_token(&mut self) -> Token {
-        self.counter += 1;
-        Token(self.counter)
+        self.last_token += 1;
+        Token(self.last_token)
     }
 
-    pub(crate) fn note(&mut self, event: Event, subject: impl ToString, detail: impl ToString) {
-        self.out.push(Output::Event {
+    pub(crate) fn record_event(
+        &mut self,
+        event: Event,
+        subject: impl ToString,
+        detail: impl ToString,
+    ) {
+        self.outputs.push(Output::Event {
             event,
             subject: subject.to_string(),
             detail: detail.to_string(),
         });
     }
 
-    pub(crate) fn note_changed(&mut self, touched: Vec<HostId>) {
+    pub(crate) fn report_changed(&mut self, touched: Vec<HostId>) {
         if !touched.is_empty() {
-            self.out.push(Output::Changed(touched));
+            self.outputs.push(Output::Changed(touched));
         }
     }
 }
 
-fn near<'a>(me: &'a NodeCard, table: &'a Table) -> impl Iterator<Item = &'a Row> {
+/// Returns the other entries of the zone of `me` that `me` doesn't suspect.
+fn trusted_peers<'a>(me: &'a NodeCard, table: &'a Table) -> impl Iterator<Item = &'a Row> {
     let own = &me.process.host;
     let trusted = move |r: &&Row| match &r.standing {
         Standing::Alive => true,
@@ -574,9 +590,9 @@
     others.filter(trusted)
 }
 
-/// Some of the items, at random, each with the same chance.
+/// Returns a random sample of the items, each with the same probability.
 fn sample<T>(
-    dice: &mut StdRng,
+    rng: &mut StdRng,
     items: impl Iterator<Item = T>,
     count: usize,
 ) -> impl Iterator<Item = T> {
@@ -586,19 +602,20 @@
             picked.push(item);
             continue;
         }
-        let place = dice.random_range(0..=index);
-        if place < count {
-            picked[place] = item;
+        let slot = rng.random_range(0..=index);
+        if slot < count {
+            picked[slot] = item;
         }
     }
     picked.into_iter()
 }
 
-fn part(span: Span, share: f64) -> Span {
+/// Returns a share of a span.
+fn scale(span: Span, share: f64) -> Span {
     Span::from_micros((span.as_micros() as f64 * share) as u64)
 }
 
-/// Where a host stands in the ring in which entries look after each other.
-pub(crate) fn ring_place(host: &HostId) -> u64 {
+/// Returns the position of a host in the ring in which entries probe each other.
+pub(crate) fn ring_position(host: &HostId) -> u64 {
     xxhash_rust::xxh3::xxh3_64(host.as_str().as_bytes())
 }
--- a/crates/membership/src/owned.rs
+++ b/crates/membership/src/owned.rs
@@ -1,8 +1,8 @@
-//! The agents that one entry owns, as that entry and every other keeps them.
+//! The agents that one entry owns, as that entry and all others store them.
 //!
-//! Only the owner changes its set, each change raises the set's version, and a receiver takes
-//! changes in that order. Sets of different owners stand under different keys. So nothing that
-//! two processes do to the table needs to commute beyond "different keys".
+//! Only the owner changes its set. Each change raises the set's version, and receivers apply the
+//! changes in that order. The sets of different owners are stored under different keys, so no
+//! operations of two processes on the table need to commute, except for those on different keys.
 
 use std::collections::BTreeMap;
 
@@ -11,17 +11,17 @@
 
 use crate::card::{AgentCard, NodeCard};
 
-/// How many removals a set remembers; a peer further behind gets the whole set.
-pub const MAX_GONE: usize = 64;
+/// How many removals a set remembers; a peer that is further behind gets the whole set.
+pub const MAX_REMOVALS: usize = 64;
 
 data! {
     /// One change of an owned set.
     pub struct Change {
-        /// The set's version that the change made.
+        /// The set's version after the change.
         pub version: u64,
         /// The agent's host.
         pub host: HostId,
-        /// The agent as it is now, or nothing where it was removed.
+        /// The agent's current description, or `None` if it was removed.
         pub card: Option<AgentCard>,
     }
 
@@ -29,17 +29,17 @@
     pub struct Delta {
         /// The owner.
         pub card: NodeCard,
-        /// The version that the receiver must have; 0 with the whole set.
+        /// The version that the receiver must have, or 0 if the delta holds the whole set.
         pub from: u64,
-        /// The version that the receiver then has.
+        /// The version that the receiver has afterwards.
         pub to: u64,
-        /// The changes, by version.
+        /// The changes, ordered by version.
         pub changes: Vec<Change>,
     }
 }
 
 impl Delta {
-    /// Roughly what the delta takes on the wire.
+    /// Returns the approximate size of the delta on the wire, in bytes.
     pub fn size(&self) -> usize {
         80 + self.changes.iter().map(Change::size).sum::<usize>()
     }
@@ -54,52 +54,56 @@
     }
 }
 
-/// A delta that starts after the version which the receiver has.
+/// The error for a delta that starts after the version that the receiver has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Gap;
 
-/// One owner's agents, with the version of each.
+/// One owner's agents, each with the version at which it was last written.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct OwnedSet {
     version: u64,
-    floor: u64,
+    /// The version below which removals may have been forgotten.
+    low_water: u64,
+    /// The agents, each with the version at which it was last put.
     cards: BTreeMap<HostId, (u64, AgentCard)>,
-    gone: BTreeMap<HostId, u64>,
+    /// The removed agents, each with the version of its removal.
+    removed: BTreeMap<HostId, u64>,
 }
 
 impl OwnedSet {
-    /// The version of the last change.
+    /// Returns the version of the last change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The agents.
+    /// Returns the agents.
     pub fn cards(&self) -> impl Iterator<Item = &AgentCard> {
         self.cards.values().map(|(_, card)| card)
     }
 
-    /// The agent on this host.
+    /// Returns the agent on this host.
     pub fn card(&self, host: &HostId) -> Option<&AgentCard> {
         self.cards.get(host).map(|(_, card)| card)
     }
 
-    /// The version at which an agent was last written, and whether it was put or removed then.
+    /// Returns the version at which an agent was last written, and whether it was put
+    /// (`true`) or removed (`false`) then.
     pub fn last_write(&self, host: &HostId) -> Option<(u64, bool)> {
         let put = self.cards.get(host).map(|(at, _)| (*at, true));
-        put.or_else(|| self.gone.get(host).map(|at| (*at, false)))
+        put.or_else(|| self.removed.get(host).map(|at| (*at, false)))
     }
 
-    /// How many agents there are.
+    /// Returns the number of agents.
     pub fn len(&self) -> usize {
         self.cards.len()
     }
 
-    /// Whether there is no agent.
+    /// Whether there are no agents.
     pub fn is_empty(&self) -> bool {
         self.cards.is_empty()
     }
 
-    /// Raises the version past this one, without changing an agent.
+    /// Raises the version above another one, without changing an agent.
     pub fn raise(&mut self, past: u64) {
         self.version = self.version.max(past) + 1;
     }
@@ -108,50 +112,51 @@
     pub fn put(&mut self, card: AgentCard) {
         self.version += 1;
         let host = card.agent.host.clone();
-        self.gone.remove(&host);
+        self.removed.remove(&host);
         self.cards.insert(host, (self.version, card));
     }
 
-    /// Removes an agent; true where it was there.
+    /// Removes an agent; returns whether it was present.
     pub fn remove(&mut self, host: &HostId) -> bool {
         if self.cards.remove(host).is_none() {
             return false;
         }
         self.version += 1;
-        self.gone.insert(host.clone(), self.version);
-        self.trim();
+        self.removed.insert(host.clone(), self.version);
+        self.trim_removals();
         true
     }
 
-    /// The changes since a version: the starting version and the changes by version.
+    /// Returns the changes since a version: the version that they start from, and the changes
+    /// ordered by version.
     ///
-    /// Where a removal since then may be forgotten, the whole set goes out instead.
+    /// If a removal since then may have been forgotten, this returns the whole set.
     pub fn since(&self, version: u64) -> (u64, Vec<Change>) {
-        let from = if version < self.floor { 0 } else { version };
+        let from = if version < self.low_water { 0 } else { version };
         let put = |(host, (at, card)): (&HostId, &(u64, AgentCard))| Change {
             version: *at,
             host: host.clone(),
             card: Some(card.clone()),
         };
-        let removed = |(host, at): (&HostId, &u64)| Change {
+        let removal = |(host, at): (&HostId, &u64)| Change {
             version: *at,
             host: host.clone(),
             card: None,
         };
         let mut changes: Vec<_> = self.cards.iter().map(put).collect();
         if from > 0 {
-            changes.extend(self.gone.iter().map(removed));
+            changes.extend(self.removed.iter().map(removal));
         }
         changes.retain(|c| c.version > from);
         changes.sort_by_key(|c| c.version);
         (from, changes)
     }
 
-    /// Takes an owner's changes; returns the hosts that they touch.
+    /// Applies an owner's changes; returns the hosts that they touch.
     ///
-    /// Failure guarded against: a late or repeated delta that brings a removed agent back. It
-    /// shows as an agent that comes and goes. A delta that ends at or below the version here is
-    /// passed over, and one that starts above it is a [`Gap`], so versions are never skipped.
+    /// Failure guarded against: a late or repeated delta brings back a removed agent, which then
+    /// seems to come and go. A delta that ends at or below the known version is ignored, and one
+    /// that starts above it is a [`Gap`], so that no version is ever skipped.
     pub fn apply(&mut self, delta: &Delta) -> Result<Vec<HostId>, Gap> {
         if delta.to <= self.version {
             return Ok(Vec::new());
@@ -165,12 +170,12 @@
         let mut touched = Vec::new();
         for change in &delta.changes {
             if change.version > self.version {
-                self.change(change);
+                self.apply_change(change);
                 touched.push(change.host.clone());
             }
         }
         self.version = delta.to;
-        self.trim();
+        self.trim_removals();
         Ok(touched)
     }
 
@@ -178,11 +183,11 @@
         let mut touched: Vec<_> = self.cards.keys().cloned().collect();
         *self = Self {
             version: delta.to,
-            floor: delta.to,
+            low_water: delta.to,
             ..Self::default()
         };
         for change in &delta.changes {
-            self.change(change);
+            self.apply_change(change);
             touched.push(change.host.clone());
         }
         touched.sort();
@@ -190,29 +195,30 @@
         touched
     }
 
-    fn change(&mut self, change: &Change) {
+    fn apply_change(&mut self, change: &Change) {
         let host = change.host.clone();
         match &change.card {
             Some(card) => {
-                self.gone.remove(&host);
+                self.removed.remove(&host);
                 self.cards.insert(host, (change.version, card.clone()));
             }
             None => {
                 self.cards.remove(&host);
-                self.gone.insert(host, change.version);
+                self.removed.insert(host, change.version);
             }
         }
     }
 
-    /// Forgets the oldest removals over the bound, and remembers up to where it has forgotten.
-    fn trim(&mut self) {
-        while self.gone.len() > MAX_GONE {
-            let oldest = self.gone.iter().min_by_key(|(_, at)| **at);
+    /// Forgets the oldest removals beyond the bound, and raises the low-water mark to the last
+    /// forgotten one.
+    fn trim_removals(&mut self) {
+        while self.removed.len() > MAX_REMOVALS {
+            let oldest = self.removed.iter().min_by_key(|(_, at)| **at);
             let Some((host, at)) = oldest.map(|(h, at)| (h.clone(), *at)) else {
                 return;
             };
-            self.gone.remove(&host);
-            self.floor = self.floor.max(at);
+            self.removed.remove(&host);
+            self.low_water = self.low_water.max(at);
         }
     }
 }
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/spread.rs
@@ -1,4 +1,4 @@
-//! What goes to the peers next: news by priority, each passed on a bounded number of times.
+//! The queue of news for the peers, by priority; each piece is sent a bounded number of times.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
 use crate::owned::Delta;
 use crate::table::{Standing, Table, Verdict, VerdictKind};
 
-/// What must arrive first stands first.
+/// The priority of news, the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rank {
+pub enum Priority {
     /// An entry died or left.
     Verdict,
-    /// An agent or entry drains, or an agent was removed.
+    /// An agent or entry is draining, or an agent was removed.
     Leaving,
     /// An entry is suspected.
     Suspicion,
@@ -21,88 +21,96 @@
     Other,
 }
 
-/// The most owners whose news waits; beyond it the least pressing waits for a comparison.
-pub const MAX_NEWS: usize = 96;
+/// How many owners may have queued news; beyond this the least urgent is dropped and left to
+/// comparisons.
+pub const MAX_QUEUED_OWNERS: usize = 96;
 
-/// The most owners whose news goes into one packet.
-const MAX_PICKED: usize = 24;
+/// How many owners' news one packet may carry.
+const MAX_PACKET_OWNERS: usize = 24;
 
-/// News that this process still passes on.
+/// The news that this process still passes on.
 #[derive(Debug, Default)]
-pub struct Spread {
-    news: BTreeMap<HostId, News>,
+pub struct BroadcastQueue {
+    /// The queued changes, by owner.
+    news: BTreeMap<HostId, QueuedDelta>,
+    /// The queued verdicts, each with the number of times it was sent.
     verdicts: BTreeMap<HostId, (Verdict, u32)>,
 }
 
 #[derive(Debug)]
-struct News {
-    rank: Rank,
+struct QueuedDelta {
+    priority: Priority,
+    /// The version that the changes start from.
     from: u64,
     sent: u32,
 }
 
-impl Spread {
-    /// Passes on an owner's changes after a version.
+impl BroadcastQueue {
+    /// Queues an owner's changes after a version, with the priority of the delta.
     pub fn push_delta(&mut self, delta: &Delta) {
-        self.push(&delta.card.process.host, delta.from, Rank::of(delta));
+        self.push(
+            &delta.card.process.host,
+            delta.from,
+            Priority::for_delta(delta),
+        );
     }
 
-    /// Passes on an owner's changes after a version, with this rank.
-    pub fn push(&mut self, owner: &HostId, from: u64, rank: Rank) {
-        let fresh = News {
-            rank,
+    /// Queues an owner's changes after a version, with this priority.
+    pub fn push(&mut self, owner: &HostId, from: u64, priority: Priority) {
+        let fresh = QueuedDelta {
+            priority,
             from,
             sent: 0,
         };
         let news = self.news.entry(owner.clone()).or_insert(fresh);
-        *news = News {
-            rank: news.rank.min(rank),
+        *news = QueuedDelta {
+            priority: news.priority.min(priority),
             from: news.from.min(from),
             sent: 0,
         };
-        if self.news.len() > MAX_NEWS {
-            let last = self.news.iter().max_by_key(|(_, n)| (n.rank, n.sent));
+        if self.news.len() > MAX_QUEUED_OWNERS {
+            let last = self.news.iter().max_by_key(|(_, n)| (n.priority, n.sent));
             if let Some(last) = last.map(|(h, _)| h.clone()) {
                 self.news.remove(&last);
             }
         }
     }
 
-    /// Passes on a verdict.
+    /// Queues a verdict.
     pub fn push_verdict(&mut self, verdict: Verdict) {
         let host = verdict.process.host.clone();
         self.verdicts.insert(host, (verdict, 0));
     }
 
-    /// Whether nothing is left to pass on.
+    /// Whether nothing is queued.
     pub fn is_empty(&self) -> bool {
         self.news.is_empty() && self.verdicts.is_empty()
     }
 
-    /// Whether anything waits that must arrive first.
-    pub fn is_pressing(&self) -> bool {
-        !self.verdicts.is_empty() || self.news.values().any(|n| n.rank <= Rank::Leaving)
+    /// Whether urgent news is queued.
+    pub fn has_urgent(&self) -> bool {
+        !self.verdicts.is_empty() || self.news.values().any(|n| n.priority <= Priority::Leaving)
     }
 
-    /// Picks news for a peer within a number of bytes, first what must arrive first.
+    /// Picks news for a peer within a budget of bytes, the most urgent first.
     ///
-    /// What is pressing goes out even where the budget is used up, one owner a packet.
+    /// Urgent news is sent even if the budget is used up, for one owner per packet.
     pub fn pick(
         &mut self,
         table: &Table,
-        peer: Hearer<'_>,
-        repeats: u32,
+        peer: Recipient<'_>,
+        retransmits: u32,
         budget: &mut usize,
     ) -> (Vec<Verdict>, Vec<Delta>) {
-        let verdicts = self.pick_verdicts(table, peer, repeats, budget);
-        let known = peer.known(table);
+        let verdicts = self.pick_verdicts(table, peer, retransmits, budget);
+        let known = peer.known_owners(table);
         let waiting = self.news.iter().filter(|(host, _)| !known.contains(host));
-        let mut order: Vec<_> = waiting.map(|(h, n)| (n.rank, n.sent, h)).collect();
+        let mut order: Vec<_> = waiting.map(|(h, n)| (n.priority, n.sent, h)).collect();
         order.sort_unstable();
-        let first = order.into_iter().take(MAX_PICKED);
+        let first = order.into_iter().take(MAX_PACKET_OWNERS);
         let order: Vec<_> = first.map(|(r, s, h)| (r, s, h.clone())).collect();
         let mut deltas = Vec::new();
-        for (rank, _, host) in order {
+        for (priority, _, host) in order {
             let Some(news) = self.news.get_mut(&host) else {
                 continue;
             };
@@ -111,13 +119,13 @@
                 continue;
             };
             let size = delta.size();
-            let pressing = rank <= Rank::Leaving && deltas.is_empty();
-            if size > *budget && !pressing {
+            let urgent = priority <= Priority::Leaving && deltas.is_empty();
+            if size > *budget && !urgent {
                 break;
             }
             *budget = budget.saturating_sub(size);
             news.sent += 1;
-            if news.sent >= rank.repeats(repeats) {
+            if news.sent >= priority.retransmits(retransmits) {
                 self.news.remove(&host);
             }
             deltas.push(delta);
@@ -128,8 +136,8 @@
     fn pick_verdicts(
         &mut self,
         table: &Table,
-        peer: Hearer<'_>,
-        repeats: u32,
+        peer: Recipient<'_>,
+        retransmits: u32,
         budget: &mut usize,
     ) -> Vec<Verdict> {
         let mut picked = Vec::new();
@@ -139,53 +147,55 @@
             if local && !is_suspect(table, host) {
                 return false;
             }
-            let told = peer.said.is_some_and(|p| p.verdicts.contains(verdict));
-            if size > *budget || told || (local && !peer.near) {
+            let known = peer.received.is_some_and(|p| p.verdicts.contains(verdict));
+            if size > *budget || known || (local && !peer.same_zone) {
                 return true;
             }
             *budget -= size;
             *sent += 1;
             picked.push(verdict.clone());
-            *sent < repeats
+            *sent < retransmits
         });
         picked
     }
 }
 
-/// Whom news is picked for.
+/// The peer that news is picked for.
 #[derive(Debug, Clone, Copy)]
-pub struct Hearer<'a> {
-    /// Whether it is of the same zone.
-    pub near: bool,
-    /// What it has just said, where the news goes into the answer.
-    pub said: Option<&'a Packet>,
+pub struct Recipient<'a> {
+    /// Whether the peer is in the same zone.
+    pub same_zone: bool,
+    /// The packet that the peer has just sent, if the news goes into the answer.
+    pub received: Option<&'a Packet>,
 }
 
-impl Hearer<'_> {
-    /// The owners of whom the peer has just told all that is known here.
+impl Recipient<'_> {
+    /// Returns the owners whose latest known version the peer has just sent itself.
     ///
-    /// Failure guarded against: answers that tell a peer its own news use up the repeats, and a
-    /// third process never hears of it. It shows as one entry that learns of a drain seconds late.
-    fn known(&self, table: &Table) -> Vec<&HostId> {
-        let said = self.said.into_iter().flat_map(|p| &p.deltas);
+    /// Failure guarded against: answers that send a peer its own news use up the retransmits, so
+    /// that a third process learns of a drain seconds late.
+    fn known_owners(&self, table: &Table) -> Vec<&HostId> {
+        let received = self.received.into_iter().flat_map(|p| &p.deltas);
         let version = |host| table.row(host).map_or(0, |r| r.set.version());
-        said.filter(|d| d.to >= version(&d.card.process.host))
+        received
+            .filter(|d| d.to >= version(&d.card.process.host))
             .map(|d| &d.card.process.host)
             .collect()
     }
 }
 
-impl Rank {
-    /// How often news of the rank is passed on: what is not pressing is left to comparisons.
-    fn repeats(self, most: u32) -> u32 {
+impl Priority {
+    /// Returns how often news of this priority is sent; news that is not urgent is left to
+    /// comparisons earlier.
+    fn retransmits(self, most: u32) -> u32 {
         match self {
             Self::Verdict | Self::Leaving | Self::Suspicion => most,
             Self::Other => most / 2,
         }
     }
 
-    /// The rank of an owner's changes.
-    pub fn of(delta: &Delta) -> Self {
+    /// Returns the priority of an owner's changes.
+    pub fn for_delta(delta: &Delta) -> Self {
         let leaving = |c: &crate::owned::Change| c.card.as_ref().is_none_or(|a| a.draining);
         if delta.card.draining || delta.changes.iter().any(leaving) {
             Self::Leaving
@@ -196,7 +206,7 @@
 }
 
 impl Verdict {
-    /// Roughly what the verdict takes on the wire.
+    /// Returns the approximate size of the verdict on the wire, in bytes.
     pub fn size(&self) -> usize {
         match &self.kind {
             VerdictKind::Suspect(by) => 50 + 14 * by.len(),
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,8 +1,8 @@
 //! What one entry knows of all entries and the agents that they own.
 //!
-//! The view of agents is the union over the owned sets of all owners that are not gone. Each row
-//! is ordered by (incarnation, version), and at one version a verdict goes over the owner's word;
-//! merging takes the larger, so order and repetition of arrivals make no difference.
+//! The view of agents is the union over the owned sets of all owners that are not gone. Rows are
+//! ordered by (incarnation, version), and at the same version a verdict outranks the owner's own
+//! news. Merging takes the larger one, so the order and repetition of messages make no difference.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,43 +12,43 @@
 use crate::card::{AgentCard, NodeCard};
 use crate::owned::{Delta, OwnedSet};
 
-/// How many tombs are kept; over the bound the oldest go first.
-pub const MAX_TOMBS: usize = 4_096;
+/// How many tombstones are kept; beyond this bound the oldest are dropped first.
+pub const MAX_TOMBSTONES: usize = 4_096;
 
 data! {
-    /// A word of others on an entry, or its last word on itself.
+    /// A statement of other entries about an entry, or its own statement that it leaves.
     pub struct Verdict {
-        /// The entry it is about.
+        /// The entry that the verdict is about.
         pub process: ProcessId,
-        /// Its zone: only entries of that zone judge it.
+        /// The entry's zone; only entries of the same zone judge it.
         pub zone: ZoneId,
         /// The version of the entry's set that was known when it was judged.
         pub version: u64,
-        /// What it says.
+        /// What the verdict says.
         pub kind: VerdictKind,
     }
 
     /// What a verdict says.
     pub enum VerdictKind {
-        /// These entries get no answer from it.
+        /// The entry is suspected: these entries get no answer from it.
         Suspect(BTreeSet<HostId>),
-        /// It gave no answer for too long.
+        /// The entry gave no answer for too long.
         Dead,
-        /// It left.
+        /// The entry left.
         Left,
     }
 }
 
-/// Whether an entry is thought to be there.
+/// Whether an entry is considered alive.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing speaks against it.
+    /// No other entry suspects it.
     Alive,
-    /// These entries get no answer from it, since a moment of ours.
+    /// Some entries get no answer from it.
     Suspect {
-        /// Who gets none.
+        /// The entries that get no answer.
         by: BTreeSet<HostId>,
-        /// When this process first heard of it.
+        /// When this process first heard of the suspicion.
         since: Moment,
     },
 }
@@ -56,95 +56,97 @@
 /// What is known of one entry.
 #[derive(Debug, Clone)]
 pub struct Row {
-    /// Its description of itself.
+    /// The entry's description of itself.
     pub card: NodeCard,
     /// The agents that it owns.
     pub set: OwnedSet,
-    /// Whether it is thought to be there.
+    /// Whether it is considered alive.
     pub standing: Standing,
-    /// How often it was suspected and proved alive, which earns it patience.
+    /// How often it was suspected and proved alive; each time lengthens its suspicion timeout.
     pub refuted: u32,
 }
 
-/// The trace of an entry that is gone, kept so that old news can't bring it back.
+/// The trace of an entry that is gone, kept so that old news can't bring the entry back.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Tomb {
-    /// The version at which it went; a later one of the same incarnation brings it back.
+pub struct Tombstone {
+    /// The version at which the entry was removed; a later version of the same incarnation brings
+    /// it back.
     ///
-    /// To leave is final for an incarnation, and stands here as the largest version.
+    /// Leaving is final for an incarnation, and is stored as the largest version.
     pub version: u64,
-    /// The incarnation that went.
+    /// The incarnation that was removed.
     pub incarnation: Incarnation,
-    /// Its zone.
+    /// The entry's zone.
     pub zone: ZoneId,
-    /// When this process heard of it.
+    /// When this process heard of the removal.
     pub since: Moment,
 }
 
-/// What taking a piece of news changed.
+/// What applying a delta or a verdict changed.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Taken {
+pub struct Applied {
     /// Whether it was news.
     pub news: bool,
-    /// Whether the piece started after what is known, so that the row must be asked for.
+    /// Whether the delta started after the known version, so that the row must be asked for.
     pub gap: bool,
-    /// The agents' hosts whose place in the view may have changed.
+    /// The hosts of the agents whose view may have changed.
     pub touched: Vec<HostId>,
-    /// Whether another process was found under the same id, and where.
+    /// Another process that was found under the same id.
     pub clash: Option<NodeCard>,
 }
 
-/// All rows, the tombs, and the union over the owned sets.
+/// All rows, the tombstones, and the union over the owned sets.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
     rows: BTreeMap<HostId, Row>,
-    tombs: BTreeMap<HostId, Tomb>,
+    tombstones: BTreeMap<HostId, Tombstone>,
+    /// The owners of each agent.
     holders: BTreeMap<HostId, BTreeSet<HostId>>,
     revision: u64,
 }
 
 impl Table {
-    /// Every entry that is not gone.
+    /// Returns all entries that are not gone.
     pub fn rows(&self) -> &BTreeMap<HostId, Row> {
         &self.rows
     }
 
-    /// A number that rises whenever a row changes.
+    /// Returns the table's revision, a number that rises whenever a row changes.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// What is known of an entry that is not gone.
+    /// Returns what is known of an entry that is not gone.
     pub fn row(&self, host: &HostId) -> Option<&Row> {
         self.rows.get(host)
     }
 
-    /// The entries that are gone.
-    pub fn tombstones(&self) -> &BTreeMap<HostId, Tomb> {
-        &self.tombs
+    /// Returns the tombstones of the entries that are gone.
+    pub fn tombstones(&self) -> &BTreeMap<HostId, Tombstone> {
+        &self.tombstones
     }
 
-    /// The hosts of all agents that at least one owner has.
+    /// Returns the hosts of all agents that have at least one owner.
     pub fn agents(&self) -> impl Iterator<Item = &HostId> {
         self.holders.keys()
     }
 
-    /// The owners that have this agent, by host.
+    /// Returns the owners of this agent, ordered by host.
     pub fn owners(&self, agent: &HostId) -> impl Iterator<Item = &Row> {
         let hosts = self.holders.get(agent).into_iter().flatten();
         hosts.filter_map(|h| self.rows.get(h))
     }
 
-    /// The latest card of an agent over all its owners.
+    /// Returns the latest card of an agent over all its owners.
     pub fn agent(&self, host: &HostId) -> Option<&AgentCard> {
         let cards = self.owners(host).filter_map(|row| row.set.card(host));
         cards.fold(None, |best: Option<&AgentCard>, card| match best {
-            Some(best) if !card.is_after(best) => Some(best),
+            Some(best) if !card.is_newer_than(best) => Some(best),
             _ => Some(card),
         })
     }
 
-    /// Adds the row of this process itself.
+    /// Adds the row of this process.
     pub fn insert(&mut self, card: NodeCard) {
         let mut set = OwnedSet::default();
         set.raise(0);
@@ -152,16 +154,16 @@
             .insert(card.process.host.clone(), Row::new(card, set));
     }
 
-    /// Changes the set of this process itself and keeps the union in step.
+    /// Changes the row of this process and updates the union.
     pub fn change<T>(&mut self, own: &HostId, change: impl FnOnce(&mut Row) -> T) -> Option<T> {
         self.revision += 1;
         let row = self.rows.get_mut(own)?;
         let result = change(row);
-        self.reindex(own);
+        self.rebuild_holders(own);
         Some(result)
     }
 
-    /// The news of an owner since a version.
+    /// Returns the changes of an owner since a version.
     pub fn since(&self, owner: &HostId, version: u64) -> Option<Delta> {
         let row = self.rows.get(owner)?;
         let (from, changes) = row.set.since(version);
@@ -173,32 +175,32 @@
         })
     }
 
-    /// Takes an owner's news.
-    pub fn take(&mut self, delta: &Delta) -> Taken {
+    /// Applies an owner's changes.
+    pub fn apply_delta(&mut self, delta: &Delta) -> Applied {
         let process = &delta.card.process;
-        if self.is_buried(process, delta.to) {
-            return Taken::default();
+        if self.is_tombstoned(process, delta.to) {
+            return Applied::default();
         }
         let host = &process.host;
         let known = self.rows.get(host).map(|r| r.card.process.incarnation);
         match known {
-            Some(known) if process.incarnation < known => return Taken::default(),
+            Some(known) if process.incarnation < known => return Applied::default(),
             Some(known) if process.incarnation == known => {}
-            _ if delta.from > 0 => return Taken::with_gap(),
+            _ if delta.from > 0 => return Applied::with_gap(),
             _ => return self.restart(delta),
         }
         let Some(row) = self.rows.get_mut(host) else {
-            return Taken::default();
+            return Applied::default();
         };
         let clash = (row.card.address != delta.card.address).then(|| delta.card.clone());
         let before = row.set.version();
         let Ok(touched) = row.set.apply(delta) else {
-            return Taken::with_gap();
+            return Applied::with_gap();
         };
         if row.set.version() == before {
-            return Taken {
+            return Applied {
                 clash,
-                ..Taken::default()
+                ..Applied::default()
             };
         }
         self.revision += 1;
@@ -207,8 +209,8 @@
             row.standing = Standing::Alive;
             row.refuted = row.refuted.saturating_add(1);
         }
-        self.index(host, &touched);
-        Taken {
+        self.update_holders(host, &touched);
+        Applied {
             news: true,
             gap: false,
             touched,
@@ -216,36 +218,37 @@
         }
     }
 
-    /// Takes a verdict on an entry.
-    pub fn judge(&mut self, now: Moment, verdict: &Verdict) -> Taken {
+    /// Applies a verdict on an entry.
+    pub fn apply_verdict(&mut self, now: Moment, verdict: &Verdict) -> Applied {
         let process = &verdict.process;
-        if self.is_buried(process, verdict.rank()) {
-            return Taken::default();
+        if self.is_tombstoned(process, verdict.last_version()) {
+            return Applied::default();
         }
         let row = self.rows.get_mut(&process.host);
         let known = row.as_ref().map(|r| r.card.process.incarnation);
         if known.is_some_and(|k| k > process.incarnation) {
-            return Taken::default();
+            return Applied::default();
         }
         match &verdict.kind {
             VerdictKind::Suspect(by) => match row {
-                Some(row) if row.is_judged_by(verdict) => row.suspect(now, by),
-                _ => Taken::default(),
+                Some(row) if row.is_subject_to(verdict) => row.add_suspicion(now, by),
+                _ => Applied::default(),
             },
             VerdictKind::Dead => match row {
-                Some(row) if !row.is_judged_by(verdict) => Taken::default(),
-                _ => self.bury(now, verdict),
+                Some(row) if !row.is_subject_to(verdict) => Applied::default(),
+                _ => self.set_tombstone(now, verdict),
             },
-            VerdictKind::Left => self.bury(now, verdict),
+            VerdictKind::Left => self.set_tombstone(now, verdict),
         }
     }
 
-    /// Forgets tombs that are older than a span, and rows of the given zones.
+    /// Forgets tombstones that are older than a span, and the rows of the given zones.
     ///
     /// Failure guarded against: processes forget a zone at different moments, and each gets the
-    /// rows back from one that has not forgotten yet, for good. A forgotten row leaves a tomb.
+    /// rows back from one that hasn't forgotten it yet, again and again. A forgotten row therefore
+    /// leaves a tombstone.
     pub fn forget(&mut self, now: Moment, keep: Span, zones: &[ZoneId]) -> Vec<HostId> {
-        self.tombs.retain(|_, t| now.since(t.since) < keep);
+        self.tombstones.retain(|_, t| now.since(t.since) < keep);
         if zones.is_empty() {
             return Vec::new();
         }
@@ -258,54 +261,54 @@
         lost.iter().flat_map(|h| self.forget_row(now, h)).collect()
     }
 
-    /// Whether old news of this process must not bring it back.
+    /// Whether a tombstone covers this version of a process, so that it must not come back.
     ///
-    /// Failure guarded against: after a heal, a zone that slept through a death tells of the dead
-    /// entry as alive. It shows as agents that are routed to for nothing. The tomb's (incarnation,
-    /// version) is not below the old news, so the news is passed over; the entry itself, should it
-    /// live, raises its version past the tomb.
-    fn is_buried(&self, process: &ProcessId, version: u64) -> bool {
-        self.tombs
+    /// Failure guarded against: after a partition heals, a zone that missed the death of an entry
+    /// reports it as alive, and requests are routed to its agents in vain. The tombstone's
+    /// (incarnation, version) is not below that of the old news, so the news is ignored. If the
+    /// entry is in fact alive, it raises its version above the tombstone's.
+    fn is_tombstoned(&self, process: &ProcessId, version: u64) -> bool {
+        self.tombstones
             .get(&process.host)
             .is_some_and(|t| (process.incarnation, version) <= (t.incarnation, t.version))
     }
 
-    fn restart(&mut self, delta: &Delta) -> Taken {
+    fn restart(&mut self, delta: &Delta) -> Applied {
         self.revision += 1;
         let host = &delta.card.process.host;
         let mut touched = self.drop_row(host);
-        self.tombs.remove(host);
+        self.tombstones.remove(host);
         let mut row = Row::new(delta.card.clone(), OwnedSet::default());
         touched.extend(row.set.apply(delta).unwrap_or_default());
         self.rows.insert(host.clone(), row);
-        self.reindex(host);
-        Taken {
+        self.rebuild_holders(host);
+        Applied {
             news: true,
             touched,
-            ..Taken::default()
+            ..Applied::default()
         }
     }
 
-    fn bury(&mut self, now: Moment, verdict: &Verdict) -> Taken {
+    fn set_tombstone(&mut self, now: Moment, verdict: &Verdict) -> Applied {
         let host = &verdict.process.host;
         let touched = self.drop_row(host);
-        let tomb = Tomb {
-            version: verdict.rank(),
+        let tombstone = Tombstone {
+            version: verdict.last_version(),
             incarnation: verdict.process.incarnation,
             zone: verdict.zone.clone(),
             since: now,
         };
-        self.tombs.insert(host.clone(), tomb);
-        if self.tombs.len() > MAX_TOMBS {
-            let oldest = self.tombs.iter().min_by_key(|(_, t)| t.since);
+        self.tombstones.insert(host.clone(), tombstone);
+        if self.tombstones.len() > MAX_TOMBSTONES {
+            let oldest = self.tombstones.iter().min_by_key(|(_, t)| t.since);
             if let Some(oldest) = oldest.map(|(h, _)| h.clone()) {
-                self.tombs.remove(&oldest);
+                self.tombstones.remove(&oldest);
             }
         }
-        Taken {
+        Applied {
             news: true,
             touched,
-            ..Taken::default()
+            ..Applied::default()
         }
     }
 
@@ -319,7 +322,7 @@
             version: row.set.version(),
             kind: VerdictKind::Dead,
         };
-        self.bury(now, &verdict).touched
+        self.set_tombstone(now, &verdict).touched
     }
 
     fn drop_row(&mut self, host: &HostId) -> Vec<HostId> {
@@ -328,12 +331,12 @@
             return Vec::new();
         };
         let touched: Vec<_> = row.set.cards().map(|c| c.agent.host.clone()).collect();
-        self.index(host, &touched);
+        self.update_holders(host, &touched);
         touched
     }
 
-    /// Brings the union in step with one owner's set, for these agents.
-    fn index(&mut self, owner: &HostId, agents: &[HostId]) {
+    /// Updates the holders of these agents from one owner's set.
+    fn update_holders(&mut self, owner: &HostId, agents: &[HostId]) {
         for agent in agents {
             let has = self
                 .rows
@@ -351,7 +354,7 @@
         }
     }
 
-    fn reindex(&mut self, owner: &HostId) {
+    fn rebuild_holders(&mut self, owner: &HostId) {
         let has = |(agent, holders): (&HostId, &BTreeSet<HostId>)| {
             holders.contains(owner).then(|| agent.clone())
         };
@@ -359,13 +362,13 @@
         if let Some(row) = self.rows.get(owner) {
             agents.extend(row.set.cards().map(|c| c.agent.host.clone()));
         }
-        self.index(owner, &agents);
+        self.update_holders(owner, &agents);
     }
 }
 
 impl Verdict {
-    /// The version up to which the verdict holds.
-    fn rank(&self) -> u64 {
+    /// Returns the last version of the entry that the verdict covers.
+    fn last_version(&self) -> u64 {
         match self.kind {
             VerdictKind::Suspect(_) | VerdictKind::Dead => self.version,
             VerdictKind::Left => u64::MAX,
@@ -383,13 +386,13 @@
         }
     }
 
-    /// Whether the verdict is on this incarnation and knew its latest word.
-    pub(crate) fn is_judged_by(&self, verdict: &Verdict) -> bool {
+    /// Whether the verdict covers the row's incarnation and version.
+    pub(crate) fn is_subject_to(&self, verdict: &Verdict) -> bool {
         verdict.process.incarnation > self.card.process.incarnation
             || verdict.version >= self.set.version()
     }
 
-    fn suspect(&mut self, now: Moment, more: &BTreeSet<HostId>) -> Taken {
+    fn add_suspicion(&mut self, now: Moment, more: &BTreeSet<HostId>) -> Applied {
         let news = match &mut self.standing {
             Standing::Alive => {
                 let by = more.clone();
@@ -402,14 +405,14 @@
                 by.len() > before
             }
         };
-        Taken {
+        Applied {
             news,
-            ..Taken::default()
+            ..Applied::default()
         }
     }
 }
 
-impl Taken {
+impl Applied {
     fn with_gap() -> Self {
         Self {
             gap: true,
--- a/crates/membership/src/timeline.rs
+++ b/crates/membership/src/timeline.rs
@@ -1,8 +1,8 @@
-//! The time line: the events of many processes in causal order, with bounded memory.
+//! The timeline: the events of many processes in causal order, with bounded memory.
 //!
-//! Each process gives its events by pages, oldest first. [`Merge`] holds one page of each and
-//! gives the earliest record; it asks for the next page of a process only when that is used up.
-//! So the memory is that of one page a process, however long the rings are.
+//! Each process returns its events in pages, the oldest first. [`Merge`] holds one page of each
+//! process and returns the earliest record. It needs the next page of a process only when the last
+//! one is used up, so it holds at most one page per process, however long the rings are.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -11,11 +11,11 @@
 use snipemast_core::prelude::*;
 
 data! {
-    /// Asks a process for a page of its events.
+    /// A request for a page of a process's events.
     pub struct PageRequest {
-        /// Only events after this one.
+        /// Only events after this stamp.
         pub after: Stamp,
-        /// At most this many.
+        /// At most this many events.
         pub limit: u32,
         /// Only events that name this request, patch, group or process.
         pub about: Option<String>,
@@ -27,21 +27,21 @@
         pub process: ProcessId,
         /// The events.
         pub records: Vec<Record>,
-        /// Whether later ones follow.
+        /// Whether later events follow.
         pub more: bool,
-        /// The oldest event that the process still has.
+        /// The stamp of the oldest event that the process still has.
         pub oldest: Stamp,
     }
 }
 
-/// The most records of one page.
+/// How many records one page may have.
 pub const MAX_PAGE_RECORDS: u32 = 512;
 
 impl Page {
-    /// The page of a ring that was asked for.
-    pub fn answer(ring: &Ring, ask: &PageRequest) -> Self {
-        let limit = ask.limit.clamp(1, MAX_PAGE_RECORDS) as usize;
-        let (records, more) = ring.page(ask.after, limit, ask.about.as_deref());
+    /// Returns the requested page of a ring.
+    pub fn answer(ring: &Ring, request: &PageRequest) -> Self {
+        let limit = request.limit.clamp(1, MAX_PAGE_RECORDS) as usize;
+        let (records, more) = ring.page(request.after, limit, request.about.as_deref());
         Self {
             process: ring.process().clone(),
             records,
@@ -51,14 +51,15 @@
     }
 }
 
-/// What a merge can do next.
+/// The next step of a merge.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Next {
-    /// This is the next event.
+    /// The next event.
     Record(Box<Record>),
-    /// Nothing is certain before a page of this source has come, or the source was given up.
+    /// The next event is unknown until a page of this source has arrived or the source was given
+    /// up.
     Need {
-        /// The source, by its place.
+        /// The index of the source.
         source: usize,
         /// The stamp that the page starts after.
         after: Stamp,
@@ -67,25 +68,27 @@
     End,
 }
 
-/// A process whose events are missing, wholly or from a point on.
+/// A process whose events are missing, all of them or from some point on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Missing {
     /// The process.
     pub process: String,
-    /// The last event that was had from it.
+    /// The stamp of the last event that was received from it.
     pub last: Stamp,
-    /// What its peers recorded about it, latest last.
+    /// What its peers recorded about it, the latest last.
     pub seen: Vec<Record>,
 }
 
-/// How many of its peers' records are kept for each missing process.
+/// How many records of its peers are kept for each missing process.
 const MAX_SEEN: usize = 8;
 
-/// A merge over many sources.
+/// A merge of the events of many sources.
 #[derive(Debug)]
 pub struct Merge {
     sources: Vec<Source>,
+    /// The first record of each source that has one.
     heads: BinaryHeap<Reverse<(Stamp, ProcessId, usize)>>,
+    /// The sources whose next page is needed.
     waiting: VecDeque<usize>,
     lost: BTreeMap<usize, Missing>,
 }
@@ -95,11 +98,12 @@
     name: String,
     records: VecDeque<Record>,
     more: bool,
+    /// The stamp of the last record that was returned.
     last: Stamp,
 }
 
 impl Merge {
-    /// A merge over processes that are named like this; no page has come yet.
+    /// Creates a merge of the processes with these names, without any pages yet.
     pub fn new(names: impl IntoIterator<Item = String>) -> Self {
         let source = |name| Source {
             name,
@@ -116,12 +120,12 @@
         }
     }
 
-    /// Takes a page of a source.
+    /// Adds a page of a source.
     pub fn feed(&mut self, source: usize, page: Page) {
         self.waiting.retain(|s| *s != source);
         let slot = &mut self.sources[source];
         let after = slot.last;
-        // A source that answers with what was had already would never end.
+        // A source that sends the same events again would never end.
         slot.records = page
             .records
             .into_iter()
@@ -131,7 +135,7 @@
         self.queue(source);
     }
 
-    /// Gives a source up: it can't be reached.
+    /// Gives up a source that can't be reached.
     pub fn give_up(&mut self, source: usize) {
         self.waiting.retain(|s| *s != source);
         let slot = &mut self.sources[source];
@@ -144,12 +148,12 @@
         self.lost.insert(source, missing);
     }
 
-    /// The sources whose next page is needed now; they can be asked at once.
+    /// Returns the sources whose next page is needed now; the pages can be requested at once.
     pub fn needed(&self) -> impl Iterator<Item = (usize, Stamp)> + '_ {
         self.waiting.iter().map(|s| (*s, self.sources[*s].last))
     }
 
-    /// The next event, or whose page is needed first.
+    /// Returns the next event, or the source whose page is needed first.
     pub fn step(&mut self) -> Next {
         if let Some(source) = self.waiting.front() {
             let after = self.sources[*source].last;
@@ -167,20 +171,20 @@
         };
         slot.last = record.stamp;
         self.queue(source);
-        self.witness(&record);
+        self.record_sighting(&record);
         Next::Record(Box::new(record))
     }
 
-    /// The processes that could not be reached, and what their peers saw of them.
+    /// Returns the processes that could not be reached, and what their peers recorded about them.
     ///
-    /// Failure guarded against: a process that died takes its ring along, and the time line reads
-    /// as if nothing had happened there. Its peers recorded when it stopped answering.
+    /// Failure guarded against: the ring of a dead process is lost, and the timeline looks as if
+    /// nothing had happened there. Its peers recorded when it stopped answering.
     pub fn missing(&self) -> impl Iterator<Item = &Missing> {
         self.lost.values()
     }
 
-    /// How many records are held; never more than one page a source.
-    pub fn held(&self) -> usize {
+    /// Returns how many records are held, at most one page per source.
+    pub fn buffered(&self) -> usize {
         self.sources.iter().map(|s| s.records.len()).sum()
     }
 
@@ -196,9 +200,9 @@
         }
     }
 
-    fn witness(&mut self, record: &Record) {
+    fn record_sighting(&mut self, record: &Record) {
         for missing in self.lost.values_mut() {
-            if names(&record.subject, &missing.process) {
+            if is_about(&record.subject, &missing.process) {
                 if missing.seen.len() == MAX_SEEN {
                     missing.seen.remove(0);
                 }
@@ -208,8 +212,8 @@
     }
 }
 
-/// Whether a subject is the process, or its host without the incarnation.
-fn names(subject: &str, process: &str) -> bool {
+/// Whether a subject names the process, or its host without the incarnation.
+fn is_about(subject: &str, process: &str) -> bool {
     let host = |text: &str| text.split(':').next().unwrap_or_default().to_string();
     !subject.is_empty() && (subject == process || host(subject) == host(process))
 }
--- a/crates/membership/src/story.rs
+++ b/crates/membership/src/transcript.rs
@@ -1,14 +1,14 @@
-//! One request, patch or map change from end to end, in words.
+//! The events of one request, patch or map change in causal order, as lines of text.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 use snipemast_core::prelude::*;
 
-/// Events of which the first is always before the second, on whatever process.
+/// Pairs of events of which the first always precedes the second, on whatever process.
 ///
-/// Where every clock is sane the stamps say the same. A clock that is further ahead than
-/// [`snipemast_core::hlc::MAX_AHEAD`] is not followed by its peers, and then only this order holds.
+/// If all clocks are correct, the stamps have the same order. Peers don't follow a clock that is
+/// further ahead than [`snipemast_core::hlc::MAX_AHEAD`]; then only this order holds.
 const CAUSES: &[(Event, Event)] = &[
     (Event::RequestReceived, Event::RequestRouted),
     (Event::RequestRouted, Event::RequestDispatched),
@@ -23,11 +23,11 @@
     (Event::MapProposed, Event::MapAborted),
 ];
 
-/// Puts the records of one request, patch or map change into causal order.
+/// Sorts the records of one request, patch or map change into causal order.
 ///
-/// Each process's own records stay in their order. Among processes a known cause goes first, and
-/// where none is known the stamps decide.
-pub fn order(records: Vec<Record>) -> Vec<Record> {
+/// The records of each process stay in their order. Between processes, a known cause precedes its
+/// effect, and otherwise the stamps decide.
+pub fn sort_causally(records: Vec<Record>) -> Vec<Record> {
     let mut queues: BTreeMap<ProcessId, Vec<Record>> = BTreeMap::new();
     for record in records {
         queues
@@ -47,28 +47,30 @@
     ordered
 }
 
-/// The process whose earliest record waits for no cause, else the one with the earliest record.
+/// Returns the process with the earliest record that has no pending cause, or else the process with
+/// the earliest record.
 fn next_queue(queues: &BTreeMap<ProcessId, Vec<Record>>) -> Option<ProcessId> {
     let heads = || queues.values().filter_map(|q| q.last());
-    let free = heads().filter(|head| !waits(queues, head));
+    let free = heads().filter(|head| !has_pending_cause(queues, head));
     let next = free.min_by_key(|r| r.stamp);
     let next = next.or_else(|| heads().min_by_key(|r| r.stamp));
     next.map(|r| r.process.clone())
 }
 
-fn waits(queues: &BTreeMap<ProcessId, Vec<Record>>, effect: &Record) -> bool {
+fn has_pending_cause(queues: &BTreeMap<ProcessId, Vec<Record>>, effect: &Record) -> bool {
     let others = queues.iter().filter(|(p, _)| **p != effect.process);
     let mut records = others.flat_map(|(_, q)| q);
     records.any(|cause| CAUSES.contains(&(cause.event, effect.event)))
 }
 
-/// Tells ordered records line by line: when, since the first one, where, and what happened.
-pub fn tell(records: &[Record]) -> Vec<String> {
+/// Describes ordered records, one per line: the time since the first record, the host, and what
+/// happened.
+pub fn describe(records: &[Record]) -> Vec<String> {
     let first = records.first().map_or(0, |r| r.stamp.micros);
-    records.iter().map(|r| line(r, first)).collect()
+    records.iter().map(|r| describe_record(r, first)).collect()
 }
 
-fn line(record: &Record, first: u64) -> String {
+fn describe_record(record: &Record, first: u64) -> String {
     let Record {
         stamp,
         process,
--- a/crates/membership/src/tuning.rs
+++ b/crates/membership/src/tuning.rs
@@ -1,11 +1,11 @@
-//! How often, how long and how much, in one place.
+//! The intervals and bounds of the membership protocol.
 
 use snipemast_core::prelude::*;
 
 /// The bounds and intervals of an entry's membership protocol.
 #[derive(Debug, Clone)]
 pub struct Tuning {
-    /// How often it looks after the next entry of its zone in the ring.
+    /// How often the entry probes the next entry of its zone in the ring.
     pub probe_interval: Span,
     /// How often it exchanges news with a random entry of its zone.
     pub gossip_interval: Span,
@@ -13,32 +13,32 @@
     pub cross_interval: Span,
     /// How often it compares all rows with a random entry.
     pub compare_interval: Span,
-    /// How often it tries a seed that is no member, to find a fleet that it lost.
+    /// How often it contacts a seed that is not a member, to find a fleet that it lost.
     pub seed_interval: Span,
-    /// How often leases, suspicions and expiries are looked through.
+    /// How often leases, suspicions and other expiries are checked.
     pub sweep_interval: Span,
     /// How long an exchange may take.
     pub timeout: Span,
     /// How long an agent's lease runs.
     pub lease: Span,
-    /// How long a suspected entry has to prove that it lives.
+    /// How long a suspected entry has to prove that it is alive.
     pub suspicion_timeout: Span,
-    /// How many entries must get no answer until one counts as dead.
+    /// How many entries must get no answer from another before it counts as dead.
     pub witnesses: usize,
-    /// How many entries of the zone news goes to at once, and one more of another zone.
+    /// How many entries of the zone a burst sends news to, besides one of another zone.
     pub fanout: usize,
-    /// How often news goes out at once before it waits for the rounds.
+    /// How many bursts send a piece of news before it waits for the rounds.
     pub bursts: u32,
-    /// How often one process passes one piece of news on.
+    /// How often one process sends one piece of news.
     pub retransmits: u32,
     /// How many bytes of news one exchange carries.
     pub news_budget: usize,
-    /// How many bytes of news it sends a second, over several seconds.
+    /// How many bytes of news the entry sends per second, on average over several seconds.
     pub news_rate: u64,
     /// How long a zone that is cut off is remembered.
     pub zone_retention: Span,
-    /// How long an entry that is gone is remembered; longer than a zone, so that a zone which
-    /// returns finds the traces of what went while it was away.
+    /// How long an entry that is gone is remembered: longer than a zone, so that a zone which
+    /// returns finds the tombstones of the entries that were removed in the meantime.
     pub tombstone_retention: Span,
 }
 
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -14,11 +14,11 @@
 /// Whether an entry is connected to an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reach {
-    /// An owner in a connected zone vouches for it.
+    /// Its zone is connected, and at least one of its owners is alive.
     Connected,
-    /// Its owners are all suspected; it may well live.
+    /// All its owners are suspected; the agent itself may well be alive.
     Doubtful,
-    /// Its zone is cut off; it is remembered and gets nothing.
+    /// Its zone is cut off; the agent is remembered but gets no work.
     CutOff,
 }
 
--- a/crates/membership/src/zones.rs
+++ b/crates/membership/src/zones.rs
@@ -1,17 +1,17 @@
-//! Which other zones this process gets answers from.
+//! The other zones, and whether this process gets answers from them.
 //!
-//! An answer to a question of one's own is the only proof that a zone is connected. To hear from
-//! a zone is none: over a link that passes one direction only, every request sent there would be
-//! lost.
+//! Only an answer to a packet of this process proves that a zone is connected. A packet from the
+//! zone proves nothing: over a link that works in one direction only, every request to the zone
+//! would be lost.
 
 use std::collections::BTreeMap;
 
 use snipemast_core::prelude::*;
 
-/// Unanswered exchanges in a row until a zone counts as cut off.
+/// How many exchanges in a row must go unanswered before a zone counts as cut off.
 pub const MAX_MISSES: u32 = 8;
 
-/// How long a zone must have been silent besides.
+/// How long a zone must also have been silent before it counts as cut off.
 pub const MIN_SILENCE: Span = Span::from_millis(2_500);
 
 /// The other zones, and whether each answers.
@@ -24,34 +24,34 @@
 /// The state of the link to one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Link {
-    /// Exchanges in a row that got no answer.
+    /// The number of exchanges in a row that got no answer.
     pub misses: u32,
-    /// The last answer, or when the zone was first heard of.
+    /// When the zone last answered, or was first heard of.
     pub answered: Moment,
-    /// Since when it is cut off.
+    /// When it was cut off, if it is.
     pub lost: Option<Moment>,
 }
 
 impl Zones {
-    /// Every other zone that is known.
+    /// Returns all other known zones.
     pub fn links(&self) -> &BTreeMap<ZoneId, Link> {
         &self.links
     }
 
-    /// Whether the zone answers; one that was never asked does.
+    /// Whether the zone is connected; a zone that was never asked counts as connected.
     pub fn is_connected(&self, zone: &ZoneId) -> bool {
         self.links.get(zone).is_none_or(|l| l.lost.is_none())
     }
 
     /// Whether any other zone has answered within a span.
-    pub fn any_answers(&self, now: Moment, within: Span) -> bool {
+    pub fn has_recent_answer(&self, now: Moment, within: Span) -> bool {
         self.links
             .values()
             .any(|l| l.misses == 0 && now.since(l.answered) <= within)
     }
 
-    /// Learns of a zone.
-    pub fn meet(&mut self, now: Moment, zone: &ZoneId) {
+    /// Adds a zone, if it is not known yet.
+    pub fn add(&mut self, now: Moment, zone: &ZoneId) {
         if !self.links.contains_key(zone) {
             let link = Link {
                 misses: 0,
@@ -62,10 +62,10 @@
         }
     }
 
-    /// Takes an answer from the zone; true where it had been cut off.
-    pub fn answer(&mut self, now: Moment, zone: &ZoneId) -> bool {
-        self.meet(now, zone);
-        let link = self.links.get_mut(zone).expect("the zone was just met");
+    /// Records an answer from a zone; returns whether the zone was cut off before.
+    pub fn record_answer(&mut self, now: Moment, zone: &ZoneId) -> bool {
+        self.add(now, zone);
+        let link = self.links.get_mut(zone).expect("the zone was just added");
         let back = link.lost.is_some();
         *link = Link {
             misses: 0,
@@ -75,8 +75,8 @@
         back
     }
 
-    /// Takes a missing answer; true where the zone counts as cut off from now on.
-    pub fn miss(&mut self, now: Moment, zone: &ZoneId) -> bool {
+    /// Records an unanswered exchange; returns whether the zone counts as cut off from now on.
+    pub fn record_miss(&mut self, now: Moment, zone: &ZoneId) -> bool {
         let Some(link) = self.links.get_mut(zone) else {
             return false;
         };
@@ -89,15 +89,15 @@
         lost
     }
 
-    /// The zones that miss answers but are not given up: they are asked again soon.
+    /// Returns the zones that failed to answer but are not cut off, which are asked again soon.
     pub fn doubtful(&self) -> Vec<ZoneId> {
         let doubtful = |(_, l): &(&ZoneId, &Link)| l.misses > 0 && l.lost.is_none();
         let zones = self.links.iter().filter(doubtful);
         zones.map(|(z, _)| z.clone()).collect()
     }
 
-    /// The zone whose turn it is.
-    pub fn take_turn(&mut self) -> Option<ZoneId> {
+    /// Returns the zone whose turn it is, and advances the turn.
+    pub fn next_zone(&mut self) -> Option<ZoneId> {
         if self.links.is_empty() {
             return None;
         }
@@ -105,7 +105,7 @@
         self.links.keys().nth(self.turn).cloned()
     }
 
-    /// The zones that have been cut off for longer than a span; they are forgotten.
+    /// Forgets the zones that have been cut off for longer than a span; returns them.
     pub fn forget(&mut self, now: Moment, keep: Span) -> Vec<ZoneId> {
         let old = |l: &Link| l.lost.is_some_and(|at| now.since(at) > keep);
         let gone: Vec<_> = self
--- a/crates/membership/tests/announcer.rs
+++ b/crates/membership/tests/announcer.rs
@@ -1,4 +1,4 @@
-//! An agent's leases, and an entry that many agents come to at once.
+//! The leases of an agent, and an entry at which many agents enrol at once.
 
 mod common;
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// What an agent sends over some seconds, where each call meets the same fate.
+/// Returns what an agent sends over some seconds, if all calls get the same reply or none.
 fn calls(secs: u64, reply: Option<LeaseReply>) -> Vec<AgentMessage> {
     let seeds = vec![address(1)];
     let tuning = AnnounceTuning::default();
@@ -51,15 +51,15 @@
 }
 
 #[test]
-fn last_lease_kept() {
-    // The link to the only entry that an agent knows loses messages. Were it to turn away after
-    // two misses it would be gone for seconds, and its lease would run out.
+fn last_holder_kept() {
+    // Guards against an agent that gives up the only entry it knows after two lost messages: it
+    // would be gone for seconds, and its lease would expire.
     assert!(calls(3, None).len() >= 6);
 }
 
 #[test]
-fn others_asked() {
-    // Both entries of an agent's settings die later. By then it must have learnt of others.
+fn others_requested() {
+    // Guards against an agent that knows no other entry when both entries of its settings die.
     let granted = LeaseReply::Granted {
         lease: Span::from_secs(3),
         leaving: false,
@@ -72,7 +72,8 @@
 
 #[test]
 fn enrolments_bounded() {
-    // Power returns to a zone and a hundred agents come to the one entry that is up.
+    // Guards against a hundred agents that all enrol at the one entry that is up first when power
+    // returns to a zone.
     let me = NodeCard {
         process: ProcessId::new(id("entry-0"), Incarnation::new(1)),
         address: address(1),
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Small fleets for the tests of membership.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Small fleets for the tests of this crate.
+#![allow(dead_code, reason = "each test file uses only a part")]
 
 use std::net::SocketAddr;
 
@@ -7,15 +7,15 @@
 use snipemast_fakes::fleet::Index;
 use snipemast_fakes::{Fleet, Place};
 
-/// The zones of the small fleets, of one region.
+/// The zones of the small fleets, which are in one region.
 pub(crate) const ZONES: [&str; 3] = ["pichincha", "cumbaya", "machachi"];
 
-/// A valid id.
+/// Parses a valid id.
 pub(crate) fn id<T: std::str::FromStr<Err = snipemast_core::ids::IdError>>(text: &str) -> T {
     text.parse().expect("a valid name")
 }
 
-/// A place in a zone.
+/// Returns a host's place in a zone.
 pub(crate) fn place(host: &str, zone: &str) -> Place {
     Place {
         host: id(host),
@@ -24,7 +24,7 @@
     }
 }
 
-/// A backend server that offers one model.
+/// Returns a backend server that offers one model.
 pub(crate) fn info(name: &str) -> ServerInfo {
     ServerInfo {
         server: id(name),
@@ -40,18 +40,19 @@
 }
 
 /// A fleet over the three zones, and the indexes of its entries and agents.
-pub(crate) struct Small {
+pub(crate) struct SmallFleet {
     pub(crate) fleet: Fleet,
     pub(crate) entries: Vec<Index>,
     pub(crate) agents: Vec<Index>,
 }
 
-impl Small {
-    /// Starts entries and agents, spread over the zones in turn, and lets them meet.
+impl SmallFleet {
+    /// Starts entries and agents, spread over the zones in turn, and lets them join.
     pub(crate) fn start(entries: usize, agents: usize, seed: u64) -> Self {
         Self::start_with(entries, agents, seed, |_| {})
     }
 
+    /// Starts a fleet as [`Self::start`] does, after adjusting its settings.
     pub(crate) fn start_with(
         entries: usize,
         agents: usize,
@@ -93,13 +94,13 @@
         index
     }
 
-    /// The first three entries' addresses.
+    /// Returns the addresses of the first three entries.
     pub(crate) fn seeds(&self) -> Vec<SocketAddr> {
         let first = self.entries.iter().take(3);
         first.map(|i| self.fleet.processes[*i].address).collect()
     }
 
-    /// The addresses of two entries of a zone.
+    /// Returns the addresses of two entries of a zone.
     pub(crate) fn zone_seeds(&self, zone: &str) -> Vec<SocketAddr> {
         let processes = self.entries.iter().map(|i| &self.fleet.processes[*i]);
         processes
@@ -117,7 +118,7 @@
         self.fleet.run(Span::from_secs(secs));
     }
 
-    /// The agents that an entry would route to, by host.
+    /// Returns the hosts of the agents that an entry would route to.
     pub(crate) fn routable(&self, entry: Index) -> Vec<HostId> {
         let Some(node) = self.fleet.node(entry) else {
             return Vec::new();
@@ -126,14 +127,14 @@
         agents.map(|a| a.card.agent.host.clone()).collect()
     }
 
-    /// The agents that run, by host.
+    /// Returns the hosts of the running agents.
     pub(crate) fn living(&self) -> Vec<HostId> {
         let mut hosts: Vec<_> = self.fleet.agents().map(|(i, _)| self.host(i)).collect();
         hosts.sort();
         hosts
     }
 
-    /// The entries that run and were taken out of some table, as the events name them.
+    /// Returns the entries that were removed from some table, as the events name them.
     pub(crate) fn removed_entries(&self) -> Vec<String> {
         let removed = self
             .fleet
@@ -149,13 +150,13 @@
         }
     }
 
-    /// Every running entry sees exactly the running agents.
-    pub(crate) fn assert_agree(&self, story: &str) {
+    /// Asserts that each running entry sees exactly the running agents.
+    pub(crate) fn assert_agree(&self, context: &str) {
         for (index, node) in self.fleet.entries() {
             assert_eq!(
                 self.routable(index),
                 self.living(),
-                "{story}: {}",
+                "{context}: {}",
                 node.card().process
             );
         }
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -2,25 +2,25 @@
 
 mod common;
 
-use common::{id, info, place, Small};
+use common::{id, info, place, SmallFleet};
 use snipemast_core::prelude::*;
 use snipemast_fakes::Side;
 use snipemast_membership::{Input, Topic};
 
 #[test]
-fn all_meet() {
-    let small = Small::start(9, 19, 1);
+fn all_join() {
+    let small = SmallFleet::start(9, 19, 1);
     small.assert_agree("after the start");
     for (_, agent) in small.fleet.agents() {
-        assert_eq!(agent.homes().count(), 2);
+        assert_eq!(agent.lease_holders().count(), 2);
     }
 }
 
-/// An entry's host fails. Its agents' other owner still vouches for them; within seconds they
-/// have moved and the entry is gone from every table.
+/// Guards against agents that are dropped when the host of an entry fails, although their other
+/// owner is alive, and against tables that keep the entry. The agents move within seconds.
 #[test]
 fn entry_crashes() {
-    let mut small = Small::start(9, 19, 2);
+    let mut small = SmallFleet::start(9, 19, 2);
     let gone = small.entries[4];
     small.fleet.crash(gone);
     for _ in 0..60 {
@@ -33,21 +33,22 @@
     }
 }
 
-/// A backend server's host fails: requests must go elsewhere once its leases have run out.
+/// Guards against requests that are sent to a backend server whose host failed, after its leases
+/// have expired.
 #[test]
 fn agent_crashes() {
-    let mut small = Small::start(9, 19, 3);
+    let mut small = SmallFleet::start(9, 19, 3);
     small.fleet.crash(small.agents[5]);
     small.run_secs(5);
     small.assert_agree("an agent's crash");
 }
 
-/// A server is taken out for maintenance. Its agent says so to two entries, and every entry
-/// stops routing to it although its leases still run.
+/// Guards against requests to a server that is taken out for maintenance: its agent tells two
+/// entries that it drains, and all entries must stop routing to it although its leases still run.
 #[test]
 fn drain_spreads() {
     use snipemast_membership::AnnounceInput;
-    let mut small = Small::start(9, 19, 4);
+    let mut small = SmallFleet::start(9, 19, 4);
     let leaving = small.agents[7];
     small.fleet.tell_agent(leaving, AnnounceInput::Drain);
     small.run_secs(2);
@@ -57,10 +58,11 @@
     }
 }
 
-/// An entry leaves for good: no entry keeps it, and its agents lose nothing.
+/// Guards against agents that are dropped when an entry leaves for good, and against tables that
+/// keep the entry.
 #[test]
 fn entry_leaves() {
-    let mut small = Small::start(9, 19, 5);
+    let mut small = SmallFleet::start(9, 19, 5);
     let gone = small.entries[0];
     small.fleet.tell(gone, Input::Drain);
     small.run_secs(4);
@@ -77,46 +79,46 @@
     }
 }
 
-/// An entry's process stalls for two seconds, as under a noisy neighbour. It wakes up to silence
-/// on all sides, which proves nothing: it drops no agent and nobody drops it.
+/// Guards against an entry that stalls for two seconds, for example due to a noisy neighbour, and
+/// then drops agents or is dropped, because it finds all others silent when it resumes.
 #[test]
 fn entry_stalls() {
-    let mut small = Small::start(9, 19, 6);
-    let slow = small.entries[2];
+    let mut small = SmallFleet::start(9, 19, 6);
+    let stalled = small.entries[2];
     small.fleet.drops.clear();
     for _ in 0..5 {
-        small.fleet.stall(slow, Span::from_millis(2_000));
+        small.fleet.stall(stalled, Span::from_millis(2_000));
         small.run_secs(10);
         small.assert_agree("after a stall");
     }
     assert!(small.fleet.drops.is_empty(), "{:?}", small.fleet.drops);
 }
 
-/// An entry sleeps for longer than any lease. When it wakes up it finds every lease over, but no
-/// agent could renew while it slept, so it must not tell the others that they are gone.
+/// Guards against an entry that stalls for longer than a lease and then reports its agents as gone.
+/// When it resumes, all leases seem to have expired, but no agent could renew its lease meanwhile.
 #[test]
 fn long_stall() {
-    let mut small = Small::start(3, 3, 7);
-    let slow = small.entries[0];
+    let mut small = SmallFleet::start(3, 3, 7);
+    let stalled = small.entries[0];
     small.fleet.noted.clear();
-    small.fleet.stall(slow, Span::from_secs(8));
+    small.fleet.stall(stalled, Span::from_secs(8));
     small.run_secs(8);
-    // The only entry of its zone: its agents have no other. The other zones rightly hold a zone
-    // that answers nothing for cut off; what counts is what the entry itself says on waking up.
+    // The entry is the only one of its zone, so its agents have no other. The other zones rightly
+    // consider a zone that doesn't answer as cut off. Only what the entry itself reports counts.
     small.fleet.run(Span::from_millis(2_500));
-    let told = small.fleet.noted.iter().any(|n| {
-        n.process == slow && n.event == Event::MemberRemoved && n.subject.starts_with("agent")
+    let reported = small.fleet.noted.iter().any(|n| {
+        n.process == stalled && n.event == Event::MemberRemoved && n.subject.starts_with("agent")
     });
-    assert!(!told, "the entry dropped its agents on waking up");
+    assert!(!reported, "the entry dropped its agents after the stall");
     small.run_secs(20);
     small.assert_agree("after a long stall");
 }
 
-/// The cable between two entries of one zone is broken in one direction. Each is well seen by
-/// the rest, so neither is declared dead, however long it lasts.
+/// Guards against an entry that is declared dead because the link to one other entry of its zone is
+/// broken in one direction, although all others reach it.
 #[test]
 fn broken_link() {
-    let mut small = Small::start(12, 6, 8);
+    let mut small = SmallFleet::start(12, 6, 8);
     let (one, other) = (small.host(small.entries[0]), small.host(small.entries[3]));
     small
         .fleet
@@ -129,28 +131,28 @@
     small.assert_agree("with a broken link");
 }
 
-/// One entry's network card fails. It reaches nobody any more, and must not forget the agents
-/// that it knows: were the fault in its view of the others, it would serve nobody.
+/// Guards against an entry that reaches no other process, because its network card failed, and
+/// forgets all agents and entries.
 #[test]
 fn isolated_entry() {
-    let mut small = Small::start(9, 9, 9);
-    let lone = small.entries[4];
-    let host = small.host(lone);
+    let mut small = SmallFleet::start(9, 9, 9);
+    let isolated = small.entries[4];
+    let host = small.host(isolated);
     small.fleet.links.cut(Side::Host(host), Side::All);
     small.run_secs(30);
-    let node = small.fleet.node(lone).expect("the entry runs");
+    let node = small.fleet.node(isolated).expect("the entry runs");
     assert_eq!(node.table().rows().len(), 9);
     assert_eq!(node.agents().count(), 9);
     small.fleet.links.heal();
     small.run_secs(30);
-    small.assert_agree("after it is back");
+    small.assert_agree("after the entry is back");
 }
 
-/// A zone is cut off. Both sides remember the other and route nothing there; things change on
-/// both sides; after the heal all agree, and nobody who went meanwhile comes back.
+/// Guards against a cut-off zone that is forgotten or still gets requests, and against views that
+/// differ after the partition heals, or bring back an entry that died meanwhile.
 #[test]
 fn zone_cut() {
-    let mut small = Small::start(9, 9, 10);
+    let mut small = SmallFleet::start(9, 9, 10);
     let zone: ZoneId = id("cumbaya");
     for other in ["pichincha", "machachi"] {
         let other = Side::Zone(id(other));
@@ -180,11 +182,11 @@
     assert!(!back, "an entry that died during the cut came back");
 }
 
-/// Messages to a zone get lost, those from it arrive. It is heard all the time, but no request
-/// sent there would arrive, so it counts as cut off.
+/// Guards against requests to a zone that can send but not receive: its messages arrive all the
+/// time, but no request would reach it, so it must count as cut off.
 #[test]
 fn one_way_cut() {
-    let mut small = Small::start(9, 9, 11);
+    let mut small = SmallFleet::start(9, 9, 11);
     let zone: ZoneId = id("machachi");
     for other in ["pichincha", "cumbaya"] {
         let other = Side::Zone(id(other));
@@ -202,11 +204,11 @@
     small.assert_agree("after the heal");
 }
 
-/// A host is cloned with its name. Two processes speak under one identity; both are named, and
-/// the earlier start falls silent so that the name has one owner.
+/// Guards against two processes with one identity after a host was cloned with its name: the log
+/// must name both, and the one that started earlier must fall silent.
 #[test]
-fn double_entry() {
-    let mut small = Small::start(6, 3, 12);
+fn duplicate_entry() {
+    let mut small = SmallFleet::start(6, 3, 12);
     let seeds = small.seeds();
     let twin = small
         .fleet
@@ -218,16 +220,17 @@
         .noted
         .iter()
         .find(|n| n.event == Event::IdentityClash);
-    let clash = clash.expect("the clash is named");
+    let clash = clash.expect("the clash is logged");
     assert!(clash.detail.contains("entry-1:1") && clash.detail.contains("entry-1:2"));
-    let first = small.fleet.node(small.entries[1]).expect("it runs");
+    let first = small.fleet.node(small.entries[1]).expect("the entry runs");
     assert!(first.is_superseded());
 }
 
-/// The same with an agent: the later start keeps the name, and the earlier one is told whom it met.
+/// Guards against two agents with one identity: the one that started later keeps the name, and the
+/// earlier one is told of the other.
 #[test]
-fn double_agent() {
-    let mut small = Small::start(3, 3, 13);
+fn duplicate_agent() {
+    let mut small = SmallFleet::start(3, 3, 13);
     let seeds = small.zone_seeds("pichincha");
     let twin = small.fleet.add_agent(
         place("agent-0", "pichincha"),
@@ -238,43 +241,44 @@
         .fleet
         .start_agent(twin, info("agent-0"), seeds, Incarnation::new(2));
     small.run_secs(10);
-    let told = small
+    let reported = small
         .fleet
         .noted
         .iter()
         .any(|n| n.event == Event::IdentityClash && n.process == small.agents[0]);
-    assert!(told, "the earlier agent is told");
+    assert!(reported, "the earlier agent was not told");
 }
 
-/// Every seed of the settings is gone for good. A new entry whose seeds are all dead waits; once
-/// one is back it joins. An agent that once knew them has learnt of others.
+/// Guards against agents that are lost when all seeds of their settings are gone for good, and
+/// against a new entry that doesn't join once one of its seeds is back.
 #[test]
 fn seeds_gone() {
-    let mut small = Small::start(9, 6, 14);
+    let mut small = SmallFleet::start(9, 6, 14);
     let fresh = small.add_entry(9);
     small.run_secs(3);
     for seed in 0..3 {
         small.fleet.crash(small.entries[seed]);
     }
     small.run_secs(40);
-    small.assert_agree("agents moved on from dead seeds");
+    small.assert_agree("after the seeds died");
     let late = small.add_entry(10);
     small.run_secs(20);
-    assert!(!small.fleet.node(late).expect("it runs").is_joined());
+    assert!(!small.fleet.node(late).expect("the entry runs").is_joined());
     small
         .fleet
         .start_entry(small.entries[0], Vec::new(), Incarnation::new(2));
     small.run_secs(60);
-    small.assert_agree("a seed is back");
-    assert!(small.fleet.node(fresh).expect("it runs").is_joined());
+    small.assert_agree("after a seed is back");
+    assert!(small.fleet.node(fresh).expect("the entry runs").is_joined());
 }
 
-/// A zone loses power and comes back: all its agents look for the one entry that is up first. It
-/// takes them in at a bounded rate, and in the end no entry holds more than its share.
+/// Guards against an entry that is flooded when its zone comes back after a power loss: all agents
+/// look for the one entry that is up first. It must accept them at a bounded rate, and no entry may
+/// end with more than its share.
 #[test]
 fn zone_returns() {
-    let mut small = Small::start(9, 90, 15);
-    let zone = |small: &Small, index: usize| small.fleet.processes[index].place.zone.clone();
+    let mut small = SmallFleet::start(9, 90, 15);
+    let zone = |small: &SmallFleet, index: usize| small.fleet.processes[index].place.zone.clone();
     let dark: ZoneId = id("pichincha");
     for index in small.entries.clone() {
         if zone(&small, index) == dark {
@@ -300,18 +304,21 @@
     small.run_secs(60);
     small.assert_agree("after the zone's return");
     for index in [0, 3, 6] {
-        let node = small.fleet.node(small.entries[index]).expect("it runs");
+        let node = small
+            .fleet
+            .node(small.entries[index])
+            .expect("the entry runs");
         let own = node.table().row(&node.card().process.host);
         let held = own.map_or(0, |r| r.set.len());
         assert!(held <= 50, "an entry holds {held} of 60 leases");
     }
 }
 
-/// Two halves of the fleet were apart for so long that they forgot each other. The seeds of the
-/// settings bring them together again.
+/// Guards against two halves of a fleet that were cut off for so long that they forgot each other,
+/// and never merge again. The seeds of the settings bring them together.
 #[test]
-fn halves_meet() {
-    let mut small = Small::start_with(6, 6, 16, |fleet| {
+fn halves_merge() {
+    let mut small = SmallFleet::start_with(6, 6, 16, |fleet| {
         fleet.tuning.zone_retention = Span::from_secs(20);
         fleet.tuning.tombstone_retention = Span::from_secs(30);
     });
@@ -320,17 +327,18 @@
         small.fleet.links.cut(away.clone(), Side::Zone(id(other)));
     }
     small.run_secs(60);
-    let apart = small.fleet.node(small.entries[0]).expect("it runs");
+    let apart = small.fleet.node(small.entries[0]).expect("the entry runs");
     assert_eq!(apart.table().rows().len(), 4, "the other half is forgotten");
     small.fleet.links.heal();
     small.run_secs(90);
     small.assert_agree("after the halves met");
 }
 
-/// Messages get lost one in twenty. Over ten minutes nobody alive is dropped.
+/// Guards against a living process that is dropped on lossy links: one message in twenty is lost,
+/// for ten minutes.
 #[test]
 fn lossy_links() {
-    let mut small = Small::start(9, 19, 17);
+    let mut small = SmallFleet::start(9, 19, 17);
     small.fleet.drops.clear();
     small.fleet.noted.clear();
     small.fleet.links.loss = 0.05;
@@ -339,11 +347,11 @@
     assert!(small.removed_entries().is_empty());
 }
 
-/// A value that another package publishes reaches every entry, and a late copy of an earlier one
-/// changes nothing.
+/// Guards against a published value that doesn't reach all entries, is undone by a late copy of an
+/// earlier value, or never expires.
 #[test]
-fn riders_reach_all() {
-    let mut small = Small::start(9, 0, 18);
+fn values_reach_all() {
+    let mut small = SmallFleet::start(9, 0, 18);
     for value in [1_u8, 2] {
         let life = Span::from_secs(60);
         let input = Input::Publish(Topic::Suspicion, vec![value], life);
--- a/crates/membership/tests/matrix.rs
+++ b/crates/membership/tests/matrix.rs
@@ -1,24 +1,24 @@
-//! Every fault at every step of a fleet's life, and every pair of faults.
+//! All combinations of a fault with a step in a fleet's life, and all pairs of faults.
 //!
-//! A cell runs the production state machines: a fault, and a step or second fault some time
-//! later; then all is mended. While it lasts no entry may lose sight for long of an agent that
-//! lives and is connected to it; some quiet time after it all entries agree.
+//! Each case runs the production state machines: a fault, then a step or a second fault some time
+//! later, then the repair. Until the repair no entry may lose a living agent that is connected to
+//! it for long; some quiet time after it all entries must agree.
 
 mod common;
 
 use std::collections::BTreeMap;
 
-use common::{id, info, Small, ZONES};
+use common::{id, info, SmallFleet, ZONES};
 use snipemast_core::prelude::*;
 use snipemast_fakes::fleet::Index;
 use snipemast_fakes::Side;
 use snipemast_membership::{AnnounceInput, Input};
 
-/// How long a connected entry may not route to a living agent.
-const LONG: Span = Span::from_secs(6);
+/// The longest time for which a connected entry may not route to a living agent.
+const MAX_BLIND_SPAN: Span = Span::from_secs(6);
 
-/// How long a process that has just started is given to be known.
-const YOUNG: Span = Span::from_secs(8);
+/// How long after its start a process may be unknown.
+const START_GRACE: Span = Span::from_secs(8);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
@@ -68,26 +68,26 @@
     Step::EntryJoins,
 ];
 
-struct Cell {
-    small: Small,
-    story: String,
+struct Case {
+    small: SmallFleet,
+    scenario: String,
     missed: BTreeMap<(Index, Index), Moment>,
-    born: BTreeMap<Index, Moment>,
+    started: BTreeMap<Index, Moment>,
     starts: u64,
 }
 
-impl Cell {
-    fn new(story: String, seed: u64) -> Self {
+impl Case {
+    fn new(scenario: String, seed: u64) -> Self {
         Self {
-            small: Small::start(9, 6, seed),
-            story,
+            small: SmallFleet::start(9, 6, seed),
+            scenario,
             missed: BTreeMap::new(),
-            born: BTreeMap::new(),
+            started: BTreeMap::new(),
             starts: 1,
         }
     }
 
-    /// Lets a fault happen to the second or, as `twin`, the third of everything.
+    /// Injects a fault into the second process or zone or, if `twin` is 1, into the third.
     fn fault(&mut self, fault: Fault, twin: usize) {
         let (agent, entry) = (self.small.agents[1 + twin], self.small.entries[1 + twin]);
         let zone = Side::Zone(id(ZONES[1 + twin]));
@@ -125,7 +125,7 @@
         match step {
             Step::AgentJoins => {
                 let index = self.small.add_agent(6);
-                self.born.insert(index, self.small.fleet.now());
+                self.started.insert(index, self.small.fleet.now());
             }
             Step::AgentDrains => self.small.fleet.tell_agent(agent, AnnounceInput::Drain),
             Step::AgentLeaves => {
@@ -145,7 +145,7 @@
             }
             Step::EntryJoins => {
                 let index = self.small.add_entry(9);
-                self.born.insert(index, self.small.fleet.now());
+                self.started.insert(index, self.small.fleet.now());
             }
         }
     }
@@ -159,7 +159,7 @@
         self.small
             .fleet
             .start_agent(agent, info(&name), seeds, start);
-        self.born.insert(agent, self.small.fleet.now());
+        self.started.insert(agent, self.small.fleet.now());
     }
 
     fn restart_entry(&mut self, entry: Index) {
@@ -167,25 +167,29 @@
         let seeds = self.small.seeds();
         let start = Incarnation::new(self.starts);
         self.small.fleet.start_entry(entry, seeds, start);
-        self.born.insert(entry, self.small.fleet.now());
+        self.started.insert(entry, self.small.fleet.now());
     }
 
     fn run(&mut self, millis: u64) {
         for _ in 0..millis.div_ceil(500) {
             self.small.fleet.run(Span::from_millis(millis.min(500)));
-            self.watch();
+            self.check_views();
         }
     }
 
-    /// Nobody who lives and is connected may be out of an entry's choices for long.
-    fn watch(&mut self) {
+    /// Asserts that no living agent is unroutable for long at an entry that is connected to it.
+    fn check_views(&mut self) {
         let now = self.small.fleet.now();
         for entry in self.small.entries.clone() {
             for agent in self.small.agents.clone() {
                 if self.is_missed(entry, agent) {
                     let since = *self.missed.entry((entry, agent)).or_insert(now);
                     let lasted = now.since(since);
-                    assert!(lasted <= LONG, "{}: {agent} at {entry}", self.story);
+                    assert!(
+                        lasted <= MAX_BLIND_SPAN,
+                        "{}: {agent} at {entry}",
+                        self.scenario
+                    );
                 } else {
                     self.missed.remove(&(entry, agent));
                 }
@@ -199,14 +203,19 @@
             return false;
         };
         let now = fleet.now();
-        let young = |i| self.born.get(&i).is_some_and(|at| now.since(*at) < YOUNG);
+        let young = |i| {
+            self.started
+                .get(&i)
+                .is_some_and(|at| now.since(*at) < START_GRACE)
+        };
         let host = &announcer.card().agent.host;
         let seen = node.agent_view(host).is_some_and(|a| a.is_routable());
         let excused = young(entry) || young(agent) || announcer.card().draining;
         !seen && !excused && self.is_connected(entry, agent)
     }
 
-    /// Whether the entry's zone and the agent's reach each other, and the agent an entry.
+    /// Whether the entry and the agent reach each other, and the agent also reaches an entry of its
+    /// zone that reaches the other entry.
     fn is_connected(&self, entry: Index, agent: Index) -> bool {
         let fleet = &self.small.fleet;
         let place = |i: Index| &fleet.processes[i].place;
@@ -221,11 +230,11 @@
         both(place(entry), place(agent)) && told && fleet.links.loss < 0.1
     }
 
-    /// Mends all links and waits for agreement.
+    /// Repairs all links and asserts that all entries agree after some time.
     fn finish(mut self) {
         self.small.fleet.links.heal();
         self.small.fleet.links.loss = 0.0;
-        // A zone that comes back is asked within seconds.
+        // A zone that comes back is contacted within seconds.
         self.missed.clear();
         self.small.run_secs(25);
         let drained: Vec<_> = self
@@ -241,83 +250,83 @@
                 assert!(
                     !self.small.routable(entry).contains(&host),
                     "{}",
-                    self.story
+                    self.scenario
                 );
             }
             self.small.fleet.crash(agent);
         }
         self.small.run_secs(6);
-        self.small.assert_agree(&self.story);
+        self.small.assert_agree(&self.scenario);
     }
 }
 
 #[test]
 fn faults_at_steps() {
-    let mut cells = 0;
+    let mut cases = 0;
     for fault in FAULTS {
         for step in STEPS {
             for millis in [0, 700, 3_000] {
-                let story = format!("{fault:?}, after {millis} ms {step:?}");
-                let mut cell = Cell::new(story, cells + 1);
-                cell.fault(fault, 0);
-                cell.run(millis);
-                cell.step(step);
-                cell.run(9_000);
-                cell.finish();
-                cells += 1;
+                let scenario = format!("{fault:?}, after {millis} ms {step:?}");
+                let mut case = Case::new(scenario, cases + 1);
+                case.fault(fault, 0);
+                case.run(millis);
+                case.step(step);
+                case.run(9_000);
+                case.finish();
+                cases += 1;
             }
         }
     }
-    println!("cells: {cells}");
+    println!("cases: {cases}");
 }
 
 #[test]
 fn pairs_of_faults() {
-    let mut cells = 0;
+    let mut cases = 0;
     for first in FAULTS {
         for second in FAULTS {
             for millis in [0, 1_500] {
-                let story = format!("{first:?}, after {millis} ms {second:?}");
-                let mut cell = Cell::new(story, cells + 1_000);
-                cell.fault(first, 0);
-                cell.run(millis);
-                cell.fault(second, 1);
-                cell.run(9_000);
-                cell.finish();
-                cells += 1;
+                let scenario = format!("{first:?}, after {millis} ms {second:?}");
+                let mut case = Case::new(scenario, cases + 1_000);
+                case.fault(first, 0);
+                case.run(millis);
+                case.fault(second, 1);
+                case.run(9_000);
+                case.finish();
+                cases += 1;
             }
         }
     }
-    println!("cells: {cells}");
+    println!("cases: {cases}");
 }
 
 #[test]
 fn drain_under_faults() {
-    // A server is taken out while something else fails. Within three seconds no connected entry
-    // chooses it any more.
-    let mut cells = 0;
+    // Guards against requests to a server that is taken out while something else fails: after three
+    // seconds no connected entry may choose it.
+    let mut cases = 0;
     for fault in FAULTS {
         for millis in [0, 300, 1_500] {
-            let story = format!("{fault:?}, after {millis} ms a drain");
-            let mut cell = Cell::new(story, cells + 5_000);
-            cell.fault(fault, 0);
-            cell.run(millis);
-            let agent = cell.small.agents[3];
-            cell.small.fleet.tell_agent(agent, AnnounceInput::Drain);
-            cell.small.run_secs(3);
-            let host = cell.small.host(agent);
-            for entry in cell.small.entries.clone() {
-                let chosen = cell.small.routable(entry).contains(&host);
-                let connected = cell.is_connected(entry, agent);
-                let stalled = fault == Fault::EntryStalls && entry == cell.small.entries[1];
+            let scenario = format!("{fault:?}, after {millis} ms a drain");
+            let mut case = Case::new(scenario, cases + 5_000);
+            case.fault(fault, 0);
+            case.run(millis);
+            let agent = case.small.agents[3];
+            case.small.fleet.tell_agent(agent, AnnounceInput::Drain);
+            case.small.run_secs(3);
+            let host = case.small.host(agent);
+            for entry in case.small.entries.clone() {
+                let chosen = case.small.routable(entry).contains(&host);
+                let connected = case.is_connected(entry, agent);
+                let stalled = fault == Fault::EntryStalls && entry == case.small.entries[1];
                 assert!(
                     !chosen || !connected || stalled,
                     "{} at {entry}",
-                    cell.story
+                    case.scenario
                 );
             }
-            cells += 1;
+            cases += 1;
         }
     }
-    println!("cells: {cells}");
+    println!("cases: {cases}");
 }
--- a/crates/membership/tests/merging.rs
+++ b/crates/membership/tests/merging.rs
@@ -1,4 +1,4 @@
-//! The table of owners, whatever the order in which news arrives.
+//! The table of owners, for any order in which news arrives.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 use snipemast_core::prelude::*;
 use snipemast_membership::{AgentCard, Delta, NodeCard, OwnedSet, Table, Verdict, VerdictKind};
 
-/// One step of a history: an owner, what it does, and with what.
+/// One step of a history: an owner, its action, and the action's argument.
 type Step = (u8, u8, u8);
 
-/// A property of every history and order of arrival.
+/// A property that holds for every history and order of arrival.
 type Property = fn(Vec<Step>, u64) -> bool;
 
 /// A piece of news.
@@ -20,8 +20,8 @@
     Verdict(Verdict),
 }
 
-/// A table as it reads: incarnation, version and agents of each owner.
-type Reading = BTreeMap<HostId, (Incarnation, u64, Vec<HostId>)>;
+/// The contents of a table: incarnation, version and agents of each owner.
+type Contents = BTreeMap<HostId, (Incarnation, u64, Vec<HostId>)>;
 
 fn host(kind: &str, number: u8) -> HostId {
     format!("{kind}-{number}").parse().expect("a valid name")
@@ -55,14 +55,15 @@
     }
 }
 
-/// What three owners say over time, whole sets and single changes, and what is said of them.
+/// Returns the news of three owners over time, as whole sets and single changes, and the verdicts
+/// on them.
 fn history(steps: &[Step]) -> Vec<Piece> {
     let mut owners: Vec<_> = (0..3).map(|n| (node(n, 1), OwnedSet::default())).collect();
     let mut pieces = Vec::new();
     for (number, kind, which) in steps {
         let (card, set) = &mut owners[usize::from(number % 3)];
         let before = set.version();
-        let kind_of = match kind % 8 {
+        let verdict_kind = match kind % 8 {
             0..=2 => {
                 set.put(agent(which % 5));
                 None
@@ -84,7 +85,7 @@
                 None
             }
         };
-        if let Some(kind) = kind_of {
+        if let Some(kind) = verdict_kind {
             pieces.push(Piece::Verdict(Verdict {
                 process: card.process.clone(),
                 zone: card.zone.clone(),
@@ -102,7 +103,7 @@
             changes,
         }));
     }
-    // In the end every owner tells its whole set once.
+    // In the end each owner sends its whole set once.
     for (card, set) in &owners {
         let (from, changes) = set.since(0);
         pieces.push(Piece::Delta(Delta {
@@ -118,30 +119,30 @@
 fn deliver(table: &mut Table, pieces: &[Piece]) {
     for piece in pieces {
         match piece {
-            Piece::Delta(delta) => drop(table.take(delta)),
-            Piece::Verdict(verdict) => drop(table.judge(Moment::ZERO, verdict)),
+            Piece::Delta(delta) => drop(table.apply_delta(delta)),
+            Piece::Verdict(verdict) => drop(table.apply_verdict(Moment::ZERO, verdict)),
         }
     }
 }
 
-fn read(table: &Table) -> Reading {
+fn contents_of(table: &Table) -> Contents {
     let rows = table.rows().iter().map(|(host, row)| {
         let agents = row.set.cards().map(|c| c.agent.host.clone()).collect();
-        let reading = (row.card.process.incarnation, row.set.version(), agents);
-        (host.clone(), reading)
+        let contents = (row.card.process.incarnation, row.set.version(), agents);
+        (host.clone(), contents)
     });
     rows.collect()
 }
 
-/// Everything that a table knows, as pieces.
+/// Returns everything that a table knows, as pieces of news.
 fn pieces_of(table: &Table) -> Vec<Piece> {
     let rows = table.rows().keys().filter_map(|h| table.since(h, 0));
-    let tombs = table.tombstones().iter().map(|(host, tomb)| {
+    let tombs = table.tombstones().iter().map(|(host, tombstone)| {
         Piece::Verdict(Verdict {
-            process: ProcessId::new(host.clone(), tomb.incarnation),
-            zone: tomb.zone.clone(),
-            version: tomb.version,
-            kind: if tomb.version == u64::MAX {
+            process: ProcessId::new(host.clone(), tombstone.incarnation),
+            zone: tombstone.zone.clone(),
+            version: tombstone.version,
+            kind: if tombstone.version == u64::MAX {
                 VerdictKind::Left
             } else {
                 VerdictKind::Dead
@@ -187,16 +188,17 @@
 
 #[test]
 fn any_order() {
-    // Entries hear the same news in different orders, some of it twice and some too late.
+    // Guards against entries that end with different tables because they hear the same news in
+    // different orders, some of it twice and some too late.
     fn holds(steps: Vec<Step>, seed: u64) -> bool {
         let pieces = history(&steps);
         let mut once = shuffled(&pieces, seed);
         let mut twice = shuffled(&pieces, seed ^ 0xabcd);
         twice.extend(shuffled(&pieces, seed ^ 0x1234));
-        // What was missed for a gap is asked for again.
+        // News that was refused due to a gap is requested again.
         once.extend(pieces.clone());
         twice.extend(pieces);
-        read(&table_of(&once)) == read(&table_of(&twice))
+        contents_of(&table_of(&once)) == contents_of(&table_of(&twice))
     }
     check(holds);
 }
@@ -209,21 +211,24 @@
         let a = table_of(&pieces[..third]);
         let b = table_of(&pieces[third..2 * third]);
         let c = table_of(&pieces[2 * third..]);
-        let commutative = read(&merged(&a, &b)) == read(&merged(&b, &a));
+        let commutative = contents_of(&merged(&a, &b)) == contents_of(&merged(&b, &a));
         let left = merged(&merged(&a, &b), &c);
         let right = merged(&a, &merged(&b, &c));
-        let idempotent = read(&merged(&a, &a)) == read(&a);
-        commutative && read(&left) == read(&right) && idempotent
+        let idempotent = contents_of(&merged(&a, &a)) == contents_of(&a);
+        commutative && contents_of(&left) == contents_of(&right) && idempotent
     }
     check(holds);
 }
 
 #[test]
 fn union_holds() {
-    // The union names exactly the agents that some owner has, whatever came before.
+    // Guards against a union that doesn't hold exactly the agents of all owners.
     fn holds(steps: Vec<Step>, seed: u64) -> bool {
         let table = table_of(&shuffled(&history(&steps), seed));
-        let mut owned: Vec<_> = read(&table).into_values().flat_map(|(_, _, a)| a).collect();
+        let mut owned: Vec<_> = contents_of(&table)
+            .into_values()
+            .flat_map(|(_, _, a)| a)
+            .collect();
         owned.sort();
         owned.dedup();
         owned == table.agents().cloned().collect::<Vec<_>>()
@@ -233,8 +238,8 @@
 
 #[test]
 fn old_news_ignored() {
-    // A zone that was cut off tells of an entry as it was before it died. It stays dead; its own
-    // later word brings it back.
+    // Guards against a dead entry that comes back because a zone that was cut off sends its old
+    // row. Only a later version from the entry itself may bring it back.
     let mut set = OwnedSet::default();
     set.put(agent(1));
     let delta = |set: &OwnedSet| Delta {
@@ -262,8 +267,8 @@
 
 #[test]
 fn removals_bounded() {
-    // An entry's agents come and go for months. What it remembers of them stays bounded, and a
-    // peer that missed all of it still gets the right set.
+    // Guards against a set that grows without bound while agents come and go for months, and
+    // against a peer that missed all of this and gets a wrong set.
     let mut set = OwnedSet::default();
     let mut behind = OwnedSet::default();
     set.put(agent(0));
--- a/crates/membership/tests/timeline.rs
+++ b/crates/membership/tests/timeline.rs
@@ -1,13 +1,13 @@
-//! The time line over many processes.
+//! The timeline over many processes.
 
 use quickcheck::{QuickCheck, TestResult};
 
 use snipemast_core::hlc::MAX_AHEAD;
 use snipemast_core::prelude::*;
-use snipemast_membership::story;
 use snipemast_membership::timeline::{Merge, Next, Page};
+use snipemast_membership::transcript;
 
-/// How many records a page has.
+/// The number of records of a page.
 const PAGE: usize = 16;
 
 fn process(name: &str) -> ProcessId {
@@ -34,24 +34,24 @@
     }
 }
 
-/// Merges rings, and returns the records and the most that was held at once.
+/// Merges rings; returns the records, and the maximum number that was held at once.
 fn merge(rings: &[Ring]) -> (Vec<Record>, usize) {
     let mut merge = Merge::new(rings.iter().map(|r| r.process().to_string()));
-    let (mut records, mut held) = (Vec::new(), 0);
+    let (mut records, mut buffered) = (Vec::new(), 0);
     loop {
-        held = held.max(merge.held());
+        buffered = buffered.max(merge.buffered());
         match merge.step() {
             Next::Record(record) => records.push(*record),
             Next::Need { source, after } => merge.feed(source, page(&rings[source], after)),
-            Next::End => return (records, held),
+            Next::End => return (records, buffered),
         }
     }
 }
 
 #[test]
 fn thousand_rings() {
-    // An operator asks for the time line of the whole fleet on a laptop. A thousand rings of
-    // hundreds of events each must not be held at once.
+    // Guards against a merge that holds all events at once: the timeline of a whole fleet has a
+    // thousand rings of hundreds of events each, and the operator may use a laptop.
     let rings: Vec<_> = (0..1_000)
         .map(|n| Ring::new(process(&format!("host-{n}")), 300))
         .collect();
@@ -60,16 +60,16 @@
             ring.record(Event::RequestReceived, number, "");
         }
     }
-    let (records, held) = merge(&rings);
+    let (records, buffered) = merge(&rings);
     assert_eq!(records.len(), 200_000);
     assert!(records.windows(2).all(|w| w[0].stamp <= w[1].stamp));
-    assert!(held <= 1_000 * PAGE, "{held} records were held");
+    assert!(buffered <= 1_000 * PAGE, "{buffered} records were buffered");
 }
 
 #[test]
 fn effect_follows() {
-    // Clocks of two hosts differ by seconds, and one is set back between two messages. However
-    // they stand, what a message causes must come after the message in the time line.
+    // Guards against an effect that precedes its cause in the timeline, when the clocks of two
+    // hosts differ by seconds or one is set back between two messages.
     fn holds(steps: Vec<(bool, u16)>) -> TestResult {
         let clocks = [HybridClock::new(), HybridClock::new()];
         let (mut last, mut wall) = (Stamp::default(), [MAX_AHEAD, MAX_AHEAD / 2]);
@@ -91,9 +91,9 @@
 }
 
 #[test]
-fn insane_clock() {
-    // A host's clock runs ahead a little more each time it speaks. Its peers must not be dragged
-    // along step by step, or every stamp of the fleet ends up years ahead.
+fn runaway_clock() {
+    // Guards against stamps of the whole fleet that end up years ahead, because peers follow a
+    // clock that runs ahead a little more with each message.
     let clock = HybridClock::new();
     for step in 1..100 {
         let micros = MAX_AHEAD * step;
@@ -103,9 +103,9 @@
 }
 
 #[test]
-fn insane_clock_story() {
-    // The agent's clock is an hour behind and its entry's stamps are ignored there. The story of
-    // a request still reads from its arrival to its answer.
+fn causal_order_kept() {
+    // Guards against events of a request in the wrong order: the agent's clock is an hour behind,
+    // and ignores the stamps of the entry.
     let hour = 3_600_000_000;
     let records = vec![
         record("agent", 10, Event::DispatchAccepted),
@@ -114,9 +114,12 @@
         record("entry", hour + 5, Event::RequestRouted),
         record("entry", hour + 90, Event::AnswerDelivered),
     ];
-    let told: Vec<_> = story::order(records).iter().map(|r| r.event).collect();
+    let order: Vec<_> = transcript::sort_causally(records)
+        .iter()
+        .map(|r| r.event)
+        .collect();
     assert_eq!(
-        told,
+        order,
         [
             Event::RequestReceived,
             Event::RequestRouted,
@@ -129,7 +132,8 @@
 
 #[test]
 fn dead_process_seen() {
-    // A host dies and its ring with it. The time line names it, and shows what its peers saw.
+    // Guards against a timeline that doesn't show the death of a host whose ring died with it. It
+    // must name the process and show what its peers recorded.
     let peer = Ring::new(process("entry-0"), 64);
     peer.record(Event::MemberRemoved, "entry-1:1", "it gave no answer");
     let mut merge = Merge::new(["entry-0:1".to_string(), "entry-1:1".to_string()]);
@@ -143,7 +147,7 @@
 }
 
 #[test]
-fn told_in_words() {
-    let lines = story::tell(&[record("entry", 1_000, Event::RequestReceived)]);
+fn described_in_words() {
+    let lines = transcript::describe(&[record("entry", 1_000, Event::RequestReceived)]);
     assert!(lines[0].contains("A request arrived from a caller: r-1"));
 }
