--- a/crates/membership/src/exchange.rs
+++ b/crates/membership/src/exchange.rs
@@ -290,7 +290,8 @@
         follow_up
     }
 
-    /// Whether the sender's name differs from that of this process.
+    /// Whether the sender has another name than this process. Handles a duplicate of this process
+    /// that has the same name.
     fn is_other_process(&mut self, from: &NodeCard) -> bool {
         if from.process.host != self.me.process.host {
             return true;
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -147,7 +147,7 @@
 }
 
 impl Node {
-    /// The membership of an entry that starts now.
+    /// Creates the membership of an entry that starts now.
     pub fn new(
         now: Moment,
         me: NodeCard,
@@ -357,7 +357,7 @@
         self.report_changed(touched);
     }
 
-    /// Schedules a burst: news is sent soon, a few times.
+    /// Schedules bursts, which send news soon and a few times.
     pub(crate) fn schedule_burst(&mut self, now: Moment) {
         self.bursts = self.tuning.bursts;
         let soon = now + Span::from_millis(20 + self.rng.random_range(0..40));
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/spread.rs
@@ -185,8 +185,8 @@
 }
 
 impl Priority {
-    /// Returns how often news of this priority is sent; news that is not urgent is left to
-    /// comparisons earlier.
+    /// Returns how often news of this priority is sent. News of low priority is sent less often and
+    /// left to comparisons.
     fn retransmits(self, most: u32) -> u32 {
         match self {
             Self::Verdict | Self::Leaving | Self::Suspicion => most,
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -245,7 +245,7 @@
     /// Forgets tombstones that are older than a span, and the rows of the given zones.
     ///
     /// Failure guarded against: processes forget a zone at different moments, and each gets the
-    /// rows back from one that hasn't forgotten it yet, again and again. A forgotten row therefore
+    /// rows back from one that hasn't forgotten it yet, for good. A forgotten row therefore
     /// leaves a tombstone.
     pub fn forget(&mut self, now: Moment, keep: Span, zones: &[ZoneId]) -> Vec<HostId> {
         self.tombstones.retain(|_, t| now.since(t.since) < keep);
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -7,7 +7,7 @@
 pub struct AgentView<'a> {
     /// The agent's latest description of itself.
     pub card: &'a AgentCard,
-    /// Whether this entry is connected to it.
+    /// Whether this entry is connected to the agent.
     pub reach: Reach,
 }
 
