--- a/crates/control/src/change.rs
+++ b/crates/control/src/change.rs
@@ -10,7 +10,7 @@
 
 impl<M: StateMachine> Node<M> {
     pub(crate) fn change(&mut self, ticket: Ticket, change: VoterChange) {
-        let next = self.may_append().and_then(|()| {
+        let next = self.check_can_append().and_then(|()| {
             let checked = self.check_change(&change);
             checked.map_err(Refusal::Change)
         });
@@ -25,10 +25,10 @@
     /// promotion that makes the majority wait for a disk that still lacks the log, or that
     /// loses it when a second host goes right after a repair.
     fn check_change(&self, change: &VoterChange) -> Result<Voters, ChangeError> {
-        let Role::Leader(office) = &self.role else {
+        let Role::Leader(state) = &self.role else {
             return Err(ChangeError::Early);
         };
-        if !office.ready {
+        if !state.ready {
             return Err(ChangeError::Early);
         }
         if self.log.voters_index() > self.commit {
@@ -36,13 +36,13 @@
         }
         let next = self.log.voters().with_change(change)?;
         if let VoterChange::Promote { id } = change {
-            self.check_learner(office.peers.get(id))?;
+            self.check_learner(state.peers.get(id))?;
         }
         Ok(next)
     }
 
     fn check_learner(&self, progress: Option<&Progress>) -> Result<(), ChangeError> {
-        let (held, acked) = progress.map_or((Index(0), None), |p| (p.matched, p.acked));
+        let (held, acked) = progress.map_or((Index(0), None), |p| (p.matched, p.last_acked));
         let alive = acked.is_some_and(|a| self.now < a + self.timing.election_timeout);
         let needed = self.commit;
         if held >= needed && alive {
@@ -55,48 +55,48 @@
     fn append_change(&mut self, ticket: Ticket, voters: Voters) {
         let (last, now) = (self.log.last_index(), self.now);
         let id = self.id;
-        if let Some(office) = self.office() {
+        if let Some(state) = self.leader_state() {
             for peer in voters.others(id) {
-                let peers = &mut office.peers;
+                let peers = &mut state.peers;
                 peers
                     .entry(peer)
                     .or_insert_with(|| Progress::new(last, now));
             }
         }
         let index = self.append_own(Payload::Voters(voters));
-        if let Some(office) = self.office() {
-            office.waiting.insert(index, ticket);
+        if let Some(state) = self.leader_state() {
+            state.waiting.insert(index, ticket);
         }
         // A change to fewer voters may be held by enough disks already.
         self.advance_commit();
     }
 
     /// A committed set of voters: whoever left it is sent nothing more.
-    pub(crate) fn settle_voters(&mut self, voters: Voters) {
+    pub(crate) fn apply_voters(&mut self, voters: Voters) {
         let current: Vec<VoterId> = self.log.voters().others(self.id);
-        if let Some(office) = self.office() {
-            office.peers.retain(|peer, _| current.contains(peer));
+        if let Some(state) = self.leader_state() {
+            state.peers.retain(|peer, _| current.contains(peer));
         }
-        self.note(NodeEvent::VotersChanged(voters));
+        self.emit(NodeEvent::VotersChanged(voters));
     }
 
     /// The first entry of an office is committed: the leader may give orders.
-    pub(crate) fn settle_office(&mut self, term: Term) {
+    pub(crate) fn mark_ready(&mut self, term: Term) {
         if term != self.hard.term {
             return;
         }
-        let Some(office) = self.office() else {
+        let Some(state) = self.leader_state() else {
             return;
         };
-        office.ready = true;
-        self.note(NodeEvent::LeaderReady(Fence(term.get())));
+        state.ready = true;
+        self.emit(NodeEvent::LeaderReady(Fence(term.get())));
     }
 
     /// A leader that a committed change has removed ends its office.
-    pub(crate) fn leave_if_removed(&mut self) {
+    pub(crate) fn step_down_if_removed(&mut self) {
         let settled = self.log.voters_index() <= self.applied;
         if settled && self.is_leader() && !self.log.voters().is_voter(self.id) {
-            self.end_office();
+            self.step_down();
         }
     }
 }
--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -15,17 +15,17 @@
 use snipemast_core::data;
 use snipemast_core::prelude::*;
 
-use crate::entry::{Hard, LogEntry, Snapshot, StoredState, Write};
-use crate::files::{damaged, encode, load, replace, replace_bytes};
+use crate::entry::{HardState, LogEntry, Snapshot, StoredState, Write};
+use crate::files::{damage_error, encode, load_record, replace_file, replace_record};
 use crate::force;
-use crate::identity::{inode, Identity};
+use crate::identity::{read_inode, Identity};
 use crate::record;
-use crate::storage::{broken, Result, Storage, StorageError};
+use crate::storage::{io_error, Result, Storage, StorageError};
 use crate::voters::{ClusterId, Location, VoterId, Voters};
 
-const LOCK: &str = "lock";
-const LOG: &str = "log";
-const SNAPSHOT: &str = "snapshot";
+const LOCK_FILE: &str = "lock";
+const LOG_FILE: &str = "log";
+const SNAPSHOT_FILE: &str = "snapshot";
 
 data! {
     /// What a record of the log file says; one record a sync.
@@ -36,7 +36,7 @@
     /// One write of a batch.
     enum Item {
         /// The term and the vote.
-        Hard(Hard),
+        Hard(HardState),
         /// Entries; whatever stood at the first one's place and after it is gone.
         Entries(Vec<LogEntry>),
     }
@@ -67,23 +67,23 @@
 impl DiskStorage {
     /// Opens the data folder of the voter with this seat, or makes one under the id `fresh`.
     pub fn open(folder: &Path, location: &Location, fresh: VoterId) -> Result<(Self, Recovery)> {
-        fs::create_dir_all(folder).map_err(broken(folder))?;
-        let lock = take_lock(folder)?;
-        let inode = inode(&lock, folder)?;
-        let mut identity = identify(folder, &location.host, fresh, inode)?;
-        let (mut stored, torn) = read(folder, &identity)?;
-        let forced = force::apply(folder, &mut identity, &mut stored, location, fresh)?;
+        fs::create_dir_all(folder).map_err(io_error(folder))?;
+        let lock = lock_folder(folder)?;
+        let inode = read_inode(&lock, folder)?;
+        let mut identity = load_identity(folder, &location.host, fresh, inode)?;
+        let (mut stored, torn) = read_state(folder, &identity)?;
+        let forced = force::replace_majority(folder, &mut identity, &mut stored, location, fresh)?;
         if forced {
             identity.host = location.host.clone();
             identity.inode = inode;
-            identity.keep(folder)?;
+            identity.save(folder)?;
         }
         if torn > 0 || forced || identity.starts == 0 {
             write_log(folder, &stored)?;
         }
         identity.starts += 1;
-        identity.keep(folder)?;
-        force::finish(folder)?;
+        identity.save(folder)?;
+        force::remove_request(folder)?;
         let log = open_log(folder)?;
         let storage = Self {
             folder: folder.into(),
@@ -111,7 +111,7 @@
     pub fn join(&mut self, cluster: ClusterId, first_voters: Voters) -> Result<()> {
         self.identity.cluster = Some(cluster);
         self.identity.first_voters = first_voters;
-        self.identity.keep(&self.folder)
+        self.identity.save(&self.folder)
     }
 
     fn write_all(&mut self, writes: &[Write]) -> Result<()> {
@@ -122,7 +122,7 @@
                 Write::Append(entries) => items.push(Item::Entries(entries.clone())),
                 Write::Replace(stored) => {
                     items.clear();
-                    self.replace(stored)?;
+                    self.replace_state(stored)?;
                 }
             }
         }
@@ -130,15 +130,15 @@
             return Ok(());
         }
         let mut bytes = Vec::new();
-        record::push(&mut bytes, &encode(&Batch { items }));
-        let path = self.folder.join(LOG);
-        self.log.write_all(&bytes).map_err(broken(&path))?;
-        self.log.sync_data().map_err(broken(&path))
+        record::append_record(&mut bytes, &encode(&Batch { items }));
+        let path = self.folder.join(LOG_FILE);
+        self.log.write_all(&bytes).map_err(io_error(&path))?;
+        self.log.sync_data().map_err(io_error(&path))
     }
 
-    fn replace(&mut self, stored: &StoredState) -> Result<()> {
+    fn replace_state(&mut self, stored: &StoredState) -> Result<()> {
         if let Some(snapshot) = &stored.snapshot {
-            replace(&self.folder, SNAPSHOT, snapshot.as_ref())?;
+            replace_record(&self.folder, SNAPSHOT_FILE, snapshot.as_ref())?;
         }
         write_log(&self.folder, stored)?;
         self.log = open_log(&self.folder)?;
@@ -159,11 +159,11 @@
     }
 }
 
-fn take_lock(folder: &Path) -> Result<File> {
-    let path = folder.join(LOCK);
+fn lock_folder(folder: &Path) -> Result<File> {
+    let path = folder.join(LOCK_FILE);
     let mut options = OpenOptions::new();
     let options = options.create(true).truncate(false).write(true);
-    let file = options.open(&path).map_err(broken(&path))?;
+    let file = options.open(&path).map_err(io_error(&path))?;
     match FileExt::try_lock(&file) {
         Ok(()) => Ok(file),
         Err(_) => Err(Report::new(StorageError::Locked(folder.into()))),
@@ -171,20 +171,20 @@
 }
 
 /// Who the folder is; a new one is kept before anything else is.
-fn identify(folder: &Path, host: &HostId, fresh: VoterId, inode: u64) -> Result<Identity> {
+fn load_identity(folder: &Path, host: &HostId, fresh: VoterId, inode: u64) -> Result<Identity> {
     match Identity::load(folder)? {
         Some(identity) => {
-            if !force::is_asked(folder) {
+            if !force::is_requested(folder) {
                 identity.check(folder, host, inode)?;
             }
             Ok(identity)
         }
-        None if folder.join(LOG).exists() || folder.join(SNAPSHOT).exists() => {
+        None if folder.join(LOG_FILE).exists() || folder.join(SNAPSHOT_FILE).exists() => {
             Err(Report::new(StorageError::Incomplete(folder.into())))
         }
         None => {
             let identity = Identity::new(fresh, host.clone(), inode);
-            identity.keep(folder)?;
+            identity.save(folder)?;
             Ok(identity)
         }
     }
@@ -194,13 +194,13 @@
 ///
 /// Failure guarded against: the log is lost and its voter goes on as if it had never voted. A
 /// folder on which a process has started before must have its log.
-fn read(folder: &Path, identity: &Identity) -> Result<(StoredState, usize)> {
-    let snapshot: Option<Snapshot> = load(&folder.join(SNAPSHOT))?;
+fn read_state(folder: &Path, identity: &Identity) -> Result<(StoredState, usize)> {
+    let snapshot: Option<Snapshot> = load_record(&folder.join(SNAPSHOT_FILE))?;
     let mut stored = StoredState {
         snapshot: snapshot.map(Arc::new),
         ..StoredState::default()
     };
-    let path = folder.join(LOG);
+    let path = folder.join(LOG_FILE);
     if !path.exists() {
         return if identity.starts > 0 {
             Err(Report::new(StorageError::Incomplete(folder.into())))
@@ -208,23 +208,23 @@
             Ok((stored, 0))
         };
     }
-    let bytes = fs::read(&path).map_err(broken(&path))?;
-    let scanned = record::scan(&bytes).map_err(|d| damaged(&path, d.offset))?;
+    let bytes = fs::read(&path).map_err(io_error(&path))?;
+    let scan = record::scan(&bytes).map_err(|d| damage_error(&path, d.offset))?;
     // The first record came with the file's name, so no crash can have torn it.
-    if scanned.bodies.is_empty() {
-        return Err(damaged(&path, 0));
+    if scan.bodies.is_empty() {
+        return Err(damage_error(&path, 0));
     }
-    for body in scanned.bodies {
-        let batch: Batch = rmp_serde::from_slice(body).map_err(|_| damaged(&path, 0))?;
+    for body in scan.bodies {
+        let batch: Batch = rmp_serde::from_slice(body).map_err(|_| damage_error(&path, 0))?;
         for item in batch.items {
-            take(&mut stored, item).ok_or_else(|| damaged(&path, 0))?;
+            apply_item(&mut stored, item).ok_or_else(|| damage_error(&path, 0))?;
         }
     }
-    Ok((stored, bytes.len() - scanned.end))
+    Ok((stored, bytes.len() - scan.end))
 }
 
 /// Takes an item into what is stored; nothing where entries leave a gap.
-fn take(stored: &mut StoredState, item: Item) -> Option<()> {
+fn apply_item(stored: &mut StoredState, item: Item) -> Option<()> {
     match item {
         Item::Hard(hard) => stored.hard = hard,
         Item::Entries(entries) => {
@@ -246,12 +246,12 @@
         items.push(Item::Entries(stored.entries.clone()));
     }
     let mut bytes = Vec::new();
-    record::push(&mut bytes, &encode(&Batch { items }));
-    replace_bytes(folder, LOG, &bytes)
+    record::append_record(&mut bytes, &encode(&Batch { items }));
+    replace_file(folder, LOG_FILE, &bytes)
 }
 
 fn open_log(folder: &Path) -> Result<File> {
-    let path = folder.join(LOG);
+    let path = folder.join(LOG_FILE);
     let mut options = OpenOptions::new();
-    options.append(true).open(&path).map_err(broken(&path))
+    options.append(true).open(&path).map_err(io_error(&path))
 }
--- a/crates/control/src/documents.rs
+++ b/crates/control/src/documents.rs
@@ -53,13 +53,13 @@
 
     /// The configuration in force as it was submitted, if there is one.
     pub fn submission(&self) -> Option<Submission> {
-        (self.version > Version(0)).then(|| self.kept())
+        (self.version > Version(0)).then(|| self.to_submission())
     }
 
     /// What would become of a submission, if that is settled without the log.
     ///
     /// Numbers only rise, so what is overtaken stays overtaken.
-    pub fn settled(&self, submission: &Submission) -> Option<Verdict> {
+    pub fn known_verdict(&self, submission: &Submission) -> Option<Verdict> {
         if submission.version > self.version {
             return None;
         }
@@ -71,7 +71,7 @@
         })
     }
 
-    fn kept(&self) -> Submission {
+    fn to_submission(&self) -> Submission {
         Submission {
             version: self.version,
             text: self.text.clone(),
@@ -85,7 +85,7 @@
             // Every voter decides alike; only a voter of a later release could have written it.
             return encode(&Verdict::Conflict);
         };
-        let verdict = self.settled(&submission);
+        let verdict = self.known_verdict(&submission);
         if verdict.is_none() {
             self.version = submission.version;
             self.text = submission.text;
@@ -94,7 +94,7 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        encode(&self.kept())
+        encode(&self.to_submission())
     }
 
     fn restore(&mut self, bytes: &[u8]) -> Result<()> {
--- a/crates/control/src/entry.rs
+++ b/crates/control/src/entry.rs
@@ -37,7 +37,7 @@
 
     /// The term a voter is in, and whom it voted for.
     #[derive(Copy, Default, Hash)]
-    pub struct Hard {
+    pub struct HardState {
         /// The term.
         pub term: Term,
         /// Whom it voted for in that term.
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct StoredState {
     /// The term and the vote.
-    pub hard: Hard,
+    pub hard: HardState,
     /// The last snapshot.
     pub snapshot: Option<Arc<Snapshot>>,
     /// The entries after it, and some before it for those who are a little behind.
@@ -76,7 +76,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Write {
     /// Keep the term and the vote.
-    Hard(Hard),
+    Hard(HardState),
     /// Keep these entries; whatever stood at the first one's place and after it is gone.
     Append(Vec<LogEntry>),
     /// Keep a snapshot and these entries in place of everything before.
@@ -93,14 +93,14 @@
     }
 
     /// About how many bytes it takes in a message.
-    pub fn weight(&self) -> usize {
+    pub fn approx_size(&self) -> usize {
         /// What index, term and the names of the fields take.
-        const FRAME: usize = 64;
+        const ENTRY_OVERHEAD: usize = 64;
         match &self.payload {
-            Payload::Command(bytes) => bytes.len() + FRAME,
-            Payload::Office { .. } => FRAME,
+            Payload::Command(bytes) => bytes.len() + ENTRY_OVERHEAD,
+            Payload::Office { .. } => ENTRY_OVERHEAD,
             Payload::Voters(v) | Payload::Replaced(v) => {
-                FRAME * (1 + 2 * v.voters.len() + 2 * v.learners.len())
+                ENTRY_OVERHEAD * (1 + 2 * v.voters.len() + 2 * v.learners.len())
             }
         }
     }
--- a/crates/control/src/files.rs
+++ b/crates/control/src/files.rs
@@ -9,46 +9,46 @@
 use serde::Serialize;
 
 use crate::record;
-use crate::storage::{broken, Result, StorageError};
+use crate::storage::{io_error, Result, StorageError};
 
 /// Reads a file of one record, or nothing where it is not there.
-pub(crate) fn load<T: DeserializeOwned>(path: &Path) -> Result<Option<T>> {
+pub(crate) fn load_record<T: DeserializeOwned>(path: &Path) -> Result<Option<T>> {
     let bytes = match fs::read(path) {
         Ok(bytes) => bytes,
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(e) => return Err(broken(path)(e)),
+        Err(e) => return Err(io_error(path)(e)),
     };
     // It was synced before it got its name, so a torn record is damage as well.
     let whole = record::scan(&bytes).ok().filter(|s| s.end == bytes.len());
     let body = whole.and_then(|s| s.bodies.first().copied());
     let value = body.and_then(|b| rmp_serde::from_slice(b).ok());
-    value.map(Some).ok_or_else(|| damaged(path, 0))
+    value.map(Some).ok_or_else(|| damage_error(path, 0))
 }
 
 /// Puts a file of one record in the place of an earlier one.
-pub(crate) fn replace<T: Serialize>(folder: &Path, name: &str, value: &T) -> Result<()> {
+pub(crate) fn replace_record<T: Serialize>(folder: &Path, name: &str, value: &T) -> Result<()> {
     let mut bytes = Vec::new();
-    record::push(&mut bytes, &encode(value));
-    replace_bytes(folder, name, &bytes)
+    record::append_record(&mut bytes, &encode(value));
+    replace_file(folder, name, &bytes)
 }
 
 /// Puts a file in the place of an earlier one.
 ///
 /// Failure guarded against: a crash in the middle leaves half a file, or a name that points
 /// to nothing. The new file is synced before it takes the name, and the folder after.
-pub(crate) fn replace_bytes(folder: &Path, name: &str, bytes: &[u8]) -> Result<()> {
+pub(crate) fn replace_file(folder: &Path, name: &str, bytes: &[u8]) -> Result<()> {
     let fresh = folder.join(format!("{name}.new"));
-    let mut file = File::create(&fresh).map_err(broken(&fresh))?;
-    file.write_all(bytes).map_err(broken(&fresh))?;
-    file.sync_all().map_err(broken(&fresh))?;
-    fs::rename(&fresh, folder.join(name)).map_err(broken(&fresh))?;
+    let mut file = File::create(&fresh).map_err(io_error(&fresh))?;
+    file.write_all(bytes).map_err(io_error(&fresh))?;
+    file.sync_all().map_err(io_error(&fresh))?;
+    fs::rename(&fresh, folder.join(name)).map_err(io_error(&fresh))?;
     sync_folder(folder)
 }
 
 /// Makes the names in a folder last.
 pub(crate) fn sync_folder(folder: &Path) -> Result<()> {
-    let file = File::open(folder).map_err(broken(folder))?;
-    file.sync_all().map_err(broken(folder))
+    let file = File::open(folder).map_err(io_error(folder))?;
+    file.sync_all().map_err(io_error(folder))
 }
 
 /// A value in bytes, fields by name.
@@ -56,7 +56,7 @@
     rmp_serde::to_vec_named(value).expect("the log holds nothing that MessagePack can't")
 }
 
-pub(crate) fn damaged(path: &Path, offset: usize) -> Report<StorageError> {
+pub(crate) fn damage_error(path: &Path, offset: usize) -> Report<StorageError> {
     Report::new(StorageError::Damaged {
         file: path.into(),
         offset,
--- a/crates/control/src/force.rs
+++ b/crates/control/src/force.rs
@@ -2,7 +2,7 @@
 //!
 //! The operator writes a file `force` into the data folder of the one voter that is left, with
 //! one line: the last place of its log, as status or the refusal tells it, and the words of
-//! [`PHRASE`]. The next start makes this voter a cluster of its own. What the lost voters had
+//! [`CONFIRMATION`]. The next start makes this voter a cluster of its own. What the lost voters had
 //! committed beyond its log is gone; operators must read the history and submit it again.
 
 use std::fs;
@@ -16,16 +16,16 @@
 use crate::entry::{LogEntry, Payload, StoredState};
 use crate::files::sync_folder;
 use crate::identity::Identity;
-use crate::storage::{broken, Result, StorageError};
+use crate::storage::{io_error, Result, StorageError};
 use crate::voters::{ClusterId, Location, VoterId, Voters};
 
 /// What the operator must write after the last place of the log.
-pub const PHRASE: &str = "changes after this may be lost";
+pub const CONFIRMATION: &str = "changes after this may be lost";
 
 /// How far the term rises, so that no fencing number of a lost leader is as high.
 pub const TERM_STEP: u64 = 1_000_000;
 
-const FILE: &str = "force";
+const REQUEST_FILE: &str = "force";
 
 /// The last place of a stored log.
 pub fn last_index(stored: &StoredState) -> Index {
@@ -37,8 +37,8 @@
 }
 
 /// Whether an operator asks for it.
-pub(crate) fn is_asked(folder: &Path) -> bool {
-    folder.join(FILE).exists()
+pub(crate) fn is_requested(folder: &Path) -> bool {
+    folder.join(REQUEST_FILE).exists()
 }
 
 /// Makes the voter a cluster of its own, if an operator asks for it; whether one did.
@@ -48,21 +48,21 @@
 /// is counted (the cluster's id changes, so its messages are dropped); a folder put back from a
 /// copy votes as its original (it gets a new voter id); orders of the new leader are refused
 /// as old (the term rises by more than the lost voters can have used).
-pub(crate) fn apply(
+pub(crate) fn replace_majority(
     folder: &Path,
     identity: &mut Identity,
     stored: &mut StoredState,
     location: &Location,
     fresh: VoterId,
 ) -> Result<bool> {
-    let path = folder.join(FILE);
+    let path = folder.join(REQUEST_FILE);
     let text = match fs::read_to_string(&path) {
         Ok(text) => text,
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(false),
-        Err(e) => return Err(broken(&path)(e)),
+        Err(e) => return Err(io_error(&path)(e)),
     };
     let last = last_index(stored);
-    if text.trim() != format!("{last} {PHRASE}") {
+    if text.trim() != format!("{last} {CONFIRMATION}") {
         return Err(Report::new(StorageError::Unforced(path)));
     }
     identity.voter = fresh;
@@ -79,11 +79,11 @@
 }
 
 /// Takes the request away once it is carried out.
-pub(crate) fn finish(folder: &Path) -> Result<()> {
-    let path = folder.join(FILE);
+pub(crate) fn remove_request(folder: &Path) -> Result<()> {
+    let path = folder.join(REQUEST_FILE);
     match fs::remove_file(&path) {
         Ok(()) => sync_folder(folder),
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(()),
-        Err(e) => Err(broken(&path)(e)),
+        Err(e) => Err(io_error(&path)(e)),
     }
 }
--- a/crates/control/src/identity.rs
+++ b/crates/control/src/identity.rs
@@ -9,15 +9,15 @@
 use snipemast_core::data;
 use snipemast_core::prelude::*;
 
-use crate::files::{load, replace};
-use crate::storage::{broken, Result, StorageError};
+use crate::files::{load_record, replace_record};
+use crate::storage::{io_error, Result, StorageError};
 use crate::voters::{ClusterId, VoterId, Voters};
 
 /// The format of a data folder that this release writes.
-pub const FORMAT: u32 = 1;
+pub const FOLDER_FORMAT: u32 = 1;
 
 /// The identity's file in the folder.
-const FILE: &str = "identity";
+const IDENTITY_FILE: &str = "identity";
 
 data! {
     /// Who a data folder is.
@@ -44,7 +44,7 @@
     /// The identity of a folder that is made now.
     pub fn new(voter: VoterId, host: HostId, inode: u64) -> Self {
         Self {
-            format: FORMAT,
+            format: FOLDER_FORMAT,
             voter,
             host,
             inode,
@@ -56,19 +56,19 @@
 
     /// Reads a folder's identity, or nothing where it has none.
     pub(crate) fn load(folder: &Path) -> Result<Option<Self>> {
-        load(&folder.join(FILE))
+        load_record(&folder.join(IDENTITY_FILE))
     }
 
     /// Keeps the identity in its folder.
-    pub(crate) fn keep(&self, folder: &Path) -> Result<()> {
-        replace(folder, FILE, self)
+    pub(crate) fn save(&self, folder: &Path) -> Result<()> {
+        replace_record(folder, IDENTITY_FILE, self)
     }
 
     /// Failure guarded against: a folder is copied to a second host, or put back from a copy,
     /// and votes again in terms in which its original has voted. The host's name and the lock
     /// file's inode, which no copy keeps, must be those that the folder was made with.
     pub(crate) fn check(&self, folder: &Path, host: &HostId, inode: u64) -> Result<()> {
-        if self.format != FORMAT {
+        if self.format != FOLDER_FORMAT {
             return Err(Report::new(StorageError::Format(self.format)));
         }
         if self.host != *host {
@@ -82,6 +82,6 @@
 }
 
 /// The inode of an open file.
-pub(crate) fn inode(file: &File, path: &Path) -> Result<u64> {
-    file.metadata().map(|m| m.ino()).map_err(broken(path))
+pub(crate) fn read_inode(file: &File, path: &Path) -> Result<u64> {
+    file.metadata().map(|m| m.ino()).map_err(io_error(path))
 }
--- a/crates/control/src/install.rs
+++ b/crates/control/src/install.rs
@@ -12,7 +12,7 @@
 
 /// A snapshot that is arriving.
 #[derive(Debug, Clone, Hash)]
-pub(crate) struct Incoming {
+pub(crate) struct IncomingSnapshot {
     head: SnapshotHead,
     bytes: Vec<u8>,
 }
@@ -23,9 +23,9 @@
         let Some(snapshot) = self.log.snapshot().cloned() else {
             return;
         };
-        if let Some(progress) = self.office().and_then(|o| o.peers.get_mut(&to)) {
+        if let Some(progress) = self.leader_state().and_then(|s| s.peers.get_mut(&to)) {
             progress.snapshot = Some((snapshot, 0));
-            progress.batch = None;
+            progress.in_flight = None;
         }
         self.send_piece(to);
     }
@@ -34,7 +34,7 @@
     pub(crate) fn send_piece(&mut self, to: VoterId) {
         let chunk = self.timing.chunk_size.as_bytes() as usize;
         let sent = self.now;
-        let Some(progress) = self.office().and_then(|o| o.peers.get_mut(&to)) else {
+        let Some(progress) = self.leader_state().and_then(|s| s.peers.get_mut(&to)) else {
             return;
         };
         let Some((snapshot, received)) = &progress.snapshot else {
@@ -43,7 +43,7 @@
         let from = (*received as usize).min(snapshot.state.len());
         let end = (from + chunk).min(snapshot.state.len());
         let message = Message::Install {
-            head: Box::new(head_of(snapshot)),
+            head: Box::new(snapshot_head(snapshot)),
             offset: *received,
             bytes: snapshot.state[from..end].to_vec(),
             sent,
@@ -60,15 +60,15 @@
         bytes: &[u8],
         sent: Moment,
     ) {
-        if !self.hear_leader(from, term) {
-            return self.refuse(from, self.log.last_index(), sent);
+        if !self.accept_leader(from, term) {
+            return self.send_mismatched(from, self.log.last_index(), sent);
         }
         let index = head.last.index;
         if index <= self.commit {
             return self.acknowledge(from, index, sent);
         }
         let total = head.total;
-        let received = self.take_piece(head, offset, bytes);
+        let received = self.add_piece(head, offset, bytes);
         if received < total {
             let message = Message::Installed {
                 index,
@@ -86,10 +86,10 @@
     ///
     /// Failure guarded against: pieces come twice, late or of two snapshots and make up a state
     /// that never was. A piece counts at its offset in its own snapshot only.
-    fn take_piece(&mut self, head: SnapshotHead, offset: u64, bytes: &[u8]) -> u64 {
+    fn add_piece(&mut self, head: SnapshotHead, offset: u64, bytes: &[u8]) -> u64 {
         let same = self.incoming.as_ref().is_some_and(|i| i.head == head);
         if !same {
-            self.incoming = Some(Incoming {
+            self.incoming = Some(IncomingSnapshot {
                 head,
                 bytes: Vec::new(),
             });
@@ -105,13 +105,13 @@
 
     /// Brings a whole snapshot into force; false where it is damaged.
     fn install(&mut self) -> bool {
-        let Some(Incoming { head, bytes }) = self.incoming.take() else {
+        let Some(IncomingSnapshot { head, bytes }) = self.incoming.take() else {
             return false;
         };
         let last = head.last;
         let sound = crc32fast::hash(&bytes) == head.checksum;
         if !sound || self.machine.restore(&bytes).is_err() {
-            self.note(NodeEvent::SnapshotUnreadable(last.index));
+            self.emit(NodeEvent::SnapshotUnreadable(last.index));
             return false;
         }
         self.fence = self.fence.max(head.fence);
@@ -123,14 +123,14 @@
             state: bytes,
         };
         if self.log.term_at(last.index) != Some(last.term) {
-            self.forget_from(last.index.next());
+            self.mark_unsynced_from(last.index.next());
         }
         self.log.install(Arc::new(snapshot));
         self.commit = last.index;
         self.applied = last.index;
         let stored = Box::new(self.to_stored());
         self.write(Write::Replace(stored));
-        self.note(NodeEvent::SnapshotSaved(last.index));
+        self.emit(NodeEvent::SnapshotSaved(last.index));
         true
     }
 
@@ -156,7 +156,7 @@
     }
 }
 
-fn head_of(snapshot: &Snapshot) -> SnapshotHead {
+fn snapshot_head(snapshot: &Snapshot) -> SnapshotHead {
     SnapshotHead {
         last: Position::new(snapshot.term, snapshot.index),
         voters: snapshot.voters.clone(),
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -42,7 +42,7 @@
 
 pub use apply::{RestoreError, StateMachine};
 pub use disk::{DiskStorage, Recovery};
-pub use entry::{Hard, LogEntry, Payload, Snapshot, StoredState, Write};
+pub use entry::{HardState, LogEntry, Payload, Snapshot, StoredState, Write};
 pub use machine::ConfigMachine;
 pub use message::{Envelope, Message};
 pub use node::{Input, Node, NodeEvent, NodeParams, Output, Refusal, Ticket};
--- a/crates/control/src/log.rs
+++ b/crates/control/src/log.rs
@@ -18,7 +18,7 @@
     /// The index and term before the first entry kept.
     base: (Index, Term),
     /// The voters at the base, and each later set with its place.
-    history: Vec<(Index, Voters)>,
+    voter_sets: Vec<(Index, Voters)>,
 }
 
 impl Log {
@@ -35,9 +35,9 @@
             snapshot,
             entries: Vec::new(),
             base: at,
-            history: vec![(at.0, voters)],
+            voter_sets: vec![(at.0, voters)],
         };
-        log.adopt(entries);
+        log.load_entries(entries);
         log
     }
 
@@ -46,7 +46,7 @@
     /// Failure guarded against: a crash after an installed snapshot was kept, before the older
     /// log was replaced. The old log's later entries may differ from what was committed; they
     /// count only where the log has the snapshot's last entry itself.
-    fn adopt(&mut self, entries: Vec<LogEntry>) {
+    fn load_entries(&mut self, entries: Vec<LogEntry>) {
         let (index, term) = self.base;
         let joins = match entries.first() {
             None => return,
@@ -65,7 +65,7 @@
     }
 
     /// The last place that the snapshot covers.
-    pub fn covered(&self) -> Index {
+    pub fn snapshot_index(&self) -> Index {
         self.snapshot.as_ref().map_or(Index(0), |s| s.index)
     }
 
@@ -99,13 +99,13 @@
     }
 
     /// The entries after a place, as many as fit the bound, at least one.
-    pub fn after(&self, index: Index, bound: usize) -> Vec<LogEntry> {
+    pub fn entries_after(&self, index: Index, bound: usize) -> Vec<LogEntry> {
         let skip = index.get().saturating_sub(self.base.0.get()) as usize;
-        let mut weight = 0;
+        let mut size = 0;
         let mut found = Vec::new();
         for entry in self.entries.iter().skip(skip) {
-            weight += entry.weight();
-            if weight > bound && !found.is_empty() {
+            size += entry.approx_size();
+            if size > bound && !found.is_empty() {
                 break;
             }
             found.push(entry.clone());
@@ -115,18 +115,18 @@
 
     /// The voters in force: the last set in the log, committed or not.
     pub fn voters(&self) -> &Voters {
-        &self.history.last().expect("the base has its voters").1
+        &self.voter_sets.last().expect("the base has its voters").1
     }
 
     /// Where the last set of voters stands.
     pub fn voters_index(&self) -> Index {
-        self.history.last().expect("the base has its voters").0
+        self.voter_sets.last().expect("the base has its voters").0
     }
 
     /// The voters as of a place.
     pub fn voters_at(&self, index: Index) -> &Voters {
-        let found = self.history.iter().rev().find(|(i, _)| *i <= index);
-        &found.unwrap_or(&self.history[0]).1
+        let found = self.voter_sets.iter().rev().find(|(i, _)| *i <= index);
+        &found.unwrap_or(&self.voter_sets[0]).1
     }
 
     /// Adds entries at their places; whatever stood there and after is gone.
@@ -137,7 +137,7 @@
         self.truncate(first.index);
         for entry in entries {
             if let Some(voters) = entry.voters() {
-                self.history.push((entry.index, voters.clone()));
+                self.voter_sets.push((entry.index, voters.clone()));
             }
             self.entries.push(entry);
         }
@@ -147,11 +147,11 @@
         let keep = from.get().saturating_sub(self.base.0.get() + 1) as usize;
         self.entries.truncate(keep);
         let base = self.base.0;
-        self.history.retain(|(i, _)| *i < from || *i == base);
+        self.voter_sets.retain(|(i, _)| *i < from || *i == base);
     }
 
     /// Whether a log that ends so holds all that this one may have committed.
-    pub fn is_covered_by(&self, term: Term, index: Index) -> bool {
+    pub fn is_up_to_date(&self, term: Term, index: Index) -> bool {
         (term, index) >= (self.last_term(), self.last_index())
     }
 
@@ -163,8 +163,8 @@
             let voters = self.voters_at(base).clone();
             let drop = (base.get() - self.base.0.get()) as usize;
             self.entries.drain(..drop);
-            self.history.retain(|(i, _)| *i > base);
-            self.history.insert(0, (base, voters));
+            self.voter_sets.retain(|(i, _)| *i > base);
+            self.voter_sets.insert(0, (base, voters));
             self.base = (base, term);
         }
         self.snapshot = Some(snapshot);
@@ -174,19 +174,19 @@
     pub fn install(&mut self, snapshot: Arc<Snapshot>) {
         let joins = self.term_at(snapshot.index) == Some(snapshot.term);
         let later = if joins {
-            self.after(snapshot.index, usize::MAX)
+            self.entries_after(snapshot.index, usize::MAX)
         } else {
             Vec::new()
         };
         self.base = (snapshot.index, snapshot.term);
-        self.history = vec![(snapshot.index, snapshot.voters.clone())];
+        self.voter_sets = vec![(snapshot.index, snapshot.voters.clone())];
         self.entries.clear();
         self.snapshot = Some(snapshot);
         self.append(later);
     }
 
     /// All that a disk must hold to bring this log back.
-    pub fn to_stored(&self, hard: crate::entry::Hard) -> StoredState {
+    pub fn to_stored(&self, hard: crate::entry::HardState) -> StoredState {
         StoredState {
             hard,
             snapshot: self.snapshot.clone(),
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -25,7 +25,7 @@
 
 /// How many versions are passed over when a lost majority is replaced: more than could have
 /// been accepted and lost unseen.
-const LOST_VERSIONS: u64 = 1_000;
+const SKIPPED_VERSIONS: u64 = 1_000;
 
 /// The configuration in force and what led to it.
 #[derive(Debug, Default)]
@@ -57,7 +57,7 @@
     }
 
     /// Carries a command out.
-    pub fn run(&mut self, command: &Command) -> Reply {
+    pub fn execute(&mut self, command: &Command) -> Reply {
         match command {
             Command::Submit(submission) => Reply::Verdict(self.submit(submission)),
         }
@@ -75,7 +75,7 @@
             author,
             time,
         } = submission;
-        let digest = PatchDigest::of(patch, author.as_ref());
+        let digest = PatchDigest::compute(patch, author.as_ref());
         if let Some(first) = self.verdicts.find(&patch.id, &digest) {
             return first;
         }
@@ -90,7 +90,7 @@
             Err(refusal) => Verdict::Refused { refusal },
         };
         self.verdicts
-            .keep(patch.id.clone(), digest, verdict.clone());
+            .remember(patch.id.clone(), digest, verdict.clone());
         verdict
     }
 
@@ -182,7 +182,7 @@
 impl StateMachine for ConfigMachine {
     fn apply(&mut self, _: Index, command: &[u8]) -> Vec<u8> {
         let reply = match Command::from_bytes(command) {
-            Ok(command) => self.run(&command),
+            Ok(command) => self.execute(&command),
             Err(_) => Reply::Unknown,
         };
         reply.to_bytes()
@@ -204,7 +204,7 @@
     /// two contents under one number. The numbers go on well above the lost ones.
     fn majority_replaced(&mut self, _: Index) {
         let from = self.config.version;
-        let delta = Delta::new(from, Version::new(from.get() + LOST_VERSIONS));
+        let delta = Delta::new(from, Version::new(from.get() + SKIPPED_VERSIONS));
         let next = delta.apply(&self.config).expect("the delta starts here");
         self.config = Arc::new(next);
         self.history
--- a/crates/control/src/machine/history.rs
+++ b/crates/control/src/machine/history.rs
@@ -99,7 +99,7 @@
     /// The number of versions.
     pub versions: usize,
     /// The number of versions between two that are kept whole.
-    pub stride: usize,
+    pub checkpoint_interval: usize,
 }
 
 impl Default for Bounds {
@@ -107,7 +107,7 @@
     fn default() -> Self {
         Self {
             versions: 1_024,
-            stride: 64,
+            checkpoint_interval: 64,
         }
     }
 }
@@ -115,11 +115,11 @@
 /// The last versions.
 ///
 /// Deltas lead from version to version. Some versions are kept whole besides, so that no
-/// version is more than [`Bounds::stride`] deltas away.
+/// version is more than [`Bounds::checkpoint_interval`] deltas away.
 #[derive(Debug)]
 pub struct History {
     bounds: Bounds,
-    whole: VecDeque<Arc<Config>>,
+    checkpoints: VecDeque<Arc<Config>>,
     entries: VecDeque<HistoryEntry>,
     newest: Arc<Config>,
 }
@@ -135,7 +135,7 @@
     pub fn new(base: Arc<Config>, bounds: Bounds) -> Self {
         Self {
             bounds,
-            whole: VecDeque::from([Arc::clone(&base)]),
+            checkpoints: VecDeque::from([Arc::clone(&base)]),
             entries: VecDeque::new(),
             newest: base,
         }
@@ -145,18 +145,20 @@
     pub fn push(&mut self, entry: HistoryEntry, config: &Arc<Config>) {
         self.entries.push_back(entry);
         self.newest = Arc::clone(config);
-        let last = self.whole.back().map_or(0, |c| c.version.get());
-        if config.version.get() - last >= self.bounds.stride as u64 {
-            self.whole.push_back(Arc::clone(config));
+        let last = self.checkpoints.back().map_or(0, |c| c.version.get());
+        if config.version.get() - last >= self.bounds.checkpoint_interval as u64 {
+            self.checkpoints.push_back(Arc::clone(config));
         }
-        if self.entries.len() > self.bounds.versions + self.bounds.stride && self.whole.len() > 1 {
-            self.forget();
+        if self.entries.len() > self.bounds.versions + self.bounds.checkpoint_interval
+            && self.checkpoints.len() > 1
+        {
+            self.drop_oldest();
         }
     }
 
     /// Forgets the oldest versions, up to the next one that is kept whole.
-    fn forget(&mut self) {
-        self.whole.pop_front();
+    fn drop_oldest(&mut self) {
+        self.checkpoints.pop_front();
         let oldest = self.base().version;
         while self.entries.front().is_some_and(|e| e.version <= oldest) {
             self.entries.pop_front();
@@ -165,7 +167,7 @@
 
     /// The oldest version, whole.
     pub fn base(&self) -> &Arc<Config> {
-        self.whole.front().unwrap_or(&self.newest)
+        self.checkpoints.front().unwrap_or(&self.newest)
     }
 
     /// The newest version, whole.
@@ -189,7 +191,7 @@
             oldest,
             newest,
         };
-        let start = self.whole.iter().rev().find(|c| c.version <= version);
+        let start = self.checkpoints.iter().rev().find(|c| c.version <= version);
         let start = start.filter(|_| version < newest).ok_or(unknown)?;
         let mut config = start.as_ref().clone();
         for entry in &self.entries {
@@ -212,7 +214,7 @@
     }
 
     /// What leads from a version to the newest, or nothing where it fell out.
-    pub fn since(&self, version: Version) -> Option<Delta> {
+    pub fn delta_since(&self, version: Version) -> Option<Delta> {
         Delta::joined(self.entries.iter().map(|e| &e.delta), version)
     }
 }
--- a/crates/control/src/machine/verdicts.rs
+++ b/crates/control/src/machine/verdicts.rs
@@ -6,7 +6,7 @@
 use snipemast_core::prelude::*;
 
 /// How many verdicts are remembered: some days of patches.
-const BOUND: usize = 4_096;
+const MAX_VERDICTS: usize = 4_096;
 
 data! {
     /// What a patch says, in short: two patches with one digest are the same.
@@ -16,12 +16,12 @@
     /// The first verdict of each patch id; the oldest are forgotten.
     #[derive(Default)]
     pub struct Verdicts {
-        known: BTreeMap<PatchId, Known>,
+        known: BTreeMap<PatchId, KnownVerdict>,
         order: VecDeque<PatchId>,
     }
 
     /// A verdict, and of which patch.
-    struct Known {
+    struct KnownVerdict {
         digest: PatchDigest,
         verdict: Verdict,
     }
@@ -29,7 +29,7 @@
 
 impl PatchDigest {
     /// The digest of a patch of this author.
-    pub fn of(patch: &Patch, author: Option<&OperatorId>) -> Self {
+    pub fn compute(patch: &Patch, author: Option<&OperatorId>) -> Self {
         let author = author.map_or("", OperatorId::as_str);
         let Patch {
             id,
@@ -58,10 +58,10 @@
     }
 
     /// Remembers the verdict on an id that had none.
-    pub fn keep(&mut self, id: PatchId, digest: PatchDigest, verdict: Verdict) {
+    pub fn remember(&mut self, id: PatchId, digest: PatchDigest, verdict: Verdict) {
         self.order.push_back(id.clone());
-        self.known.insert(id, Known { digest, verdict });
-        if self.order.len() > BOUND {
+        self.known.insert(id, KnownVerdict { digest, verdict });
+        if self.order.len() > MAX_VERDICTS {
             if let Some(oldest) = self.order.pop_front() {
                 self.known.remove(&oldest);
             }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -13,10 +13,10 @@
 use snipemast_core::prelude::*;
 
 use crate::apply::{self, StateMachine};
-use crate::entry::{Hard, LogEntry, Payload, Snapshot, StoredState, Write};
+use crate::entry::{HardState, LogEntry, Payload, Snapshot, StoredState, Write};
 use crate::log::Log;
 use crate::message::{Envelope, Message};
-use crate::role::{Office, Role};
+use crate::role::{LeaderState, Role};
 use crate::roster::Health;
 use crate::timing::{SplitMix64, Timing};
 use crate::voters::{ChangeError, ClusterId, VoterChange, VoterId, Voters};
@@ -163,9 +163,9 @@
     pub(crate) start: u64,
     pub(crate) cluster: ClusterId,
     pub(crate) timing: Timing,
-    pub(crate) chance: SplitMix64,
+    pub(crate) rng: SplitMix64,
     pub(crate) now: Moment,
-    pub(crate) hard: Hard,
+    pub(crate) hard: HardState,
     pub(crate) log: Log,
     pub(crate) machine: M,
     pub(crate) commit: Index,
@@ -174,19 +174,19 @@
     pub(crate) role: Role,
     pub(crate) leader: Option<VoterId>,
     /// When a leader was last heard, or when this process started.
-    pub(crate) heard: Moment,
+    pub(crate) last_heard: Moment,
     /// When it stands for election.
-    pub(crate) alarm: Moment,
+    pub(crate) election_due: Moment,
     /// A snapshot that is arriving.
-    pub(crate) incoming: Option<crate::install::Incoming>,
-    pub(crate) starts: BTreeMap<VoterId, u64>,
-    writes: u64,
-    synced: u64,
+    pub(crate) incoming: Option<crate::install::IncomingSnapshot>,
+    pub(crate) peer_starts: BTreeMap<VoterId, u64>,
+    last_write: u64,
+    last_synced: u64,
     /// The last write of a term or vote.
-    sworn: u64,
+    vote_write: u64,
     durable: Index,
-    pending: VecDeque<(u64, Index)>,
-    held: VecDeque<(u64, Envelope)>,
+    unsynced: VecDeque<(u64, Index)>,
+    held_back: VecDeque<(u64, Envelope)>,
     outputs: Outbox,
 }
 
@@ -204,43 +204,43 @@
     /// Failure guarded against: a follower granted a leader its lease, crashed, and votes for
     /// another right after its restart, so that two leaders speak at once. A start counts as
     /// having heard a leader, so no vote is given for one election timeout.
-    pub fn new(boot: NodeParams, mut machine: M, now: Moment) -> apply::Result<Self> {
-        let hard = boot.stored.hard;
-        let log = Log::new(boot.stored, boot.first_voters);
+    pub fn new(params: NodeParams, mut machine: M, now: Moment) -> apply::Result<Self> {
+        let hard = params.stored.hard;
+        let log = Log::new(params.stored, params.first_voters);
         let mut fence = Fence(0);
         if let Some(snapshot) = log.snapshot() {
             machine.restore(&snapshot.state)?;
             fence = snapshot.fence;
         }
         let mut node = Self {
-            id: boot.id,
-            start: boot.start,
-            cluster: boot.cluster,
-            timing: boot.timing,
-            chance: SplitMix64::new(boot.seed),
+            id: params.id,
+            start: params.start,
+            cluster: params.cluster,
+            timing: params.timing,
+            rng: SplitMix64::new(params.seed),
             now,
             hard,
-            commit: log.covered(),
-            applied: log.covered(),
+            commit: log.snapshot_index(),
+            applied: log.snapshot_index(),
             durable: log.last_index(),
             log,
             machine,
             fence,
             role: Role::Follower,
             leader: None,
-            heard: now,
-            alarm: now,
+            last_heard: now,
+            election_due: now,
             incoming: None,
-            starts: BTreeMap::new(),
-            writes: 0,
-            synced: 0,
-            sworn: 0,
-            pending: VecDeque::new(),
-            held: VecDeque::new(),
+            peer_starts: BTreeMap::new(),
+            last_write: 0,
+            last_synced: 0,
+            vote_write: 0,
+            unsynced: VecDeque::new(),
+            held_back: VecDeque::new(),
             outputs: Outbox::default(),
         };
-        if !node.is_alone() {
-            node.rest();
+        if !node.is_only_voter() {
+            node.reset_election_timer();
         }
         Ok(node)
     }
@@ -248,13 +248,13 @@
     /// Takes one input at a moment and returns what is to be done, in order.
     pub fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
-        self.pass_time();
+        self.check_timers();
         match input {
             Input::Tick => {}
             Input::Receive(envelope) => self.receive(envelope),
             Input::Propose { ticket, command } => self.propose(ticket, command),
             Input::Change { ticket, change } => self.change(ticket, change),
-            Input::Synced { write } => self.synced(write),
+            Input::Synced { write } => self.on_synced(write),
         }
         self.apply_committed();
         self.take_snapshot();
@@ -264,8 +264,8 @@
     /// When [`Input::Tick`] is due.
     pub fn next_tick(&self) -> Moment {
         match &self.role {
-            Role::Leader(office) => office.beat,
-            _ if self.log.voters().is_voter(self.id) => self.alarm,
+            Role::Leader(state) => state.next_heartbeat,
+            _ if self.log.voters().is_voter(self.id) => self.election_due,
             _ => Moment::NEVER,
         }
     }
@@ -299,8 +299,8 @@
     /// Until when it may speak for the cluster, if it leads.
     pub fn lease_end(&self) -> Option<Moment> {
         match &self.role {
-            Role::Leader(office) if office.ready => {
-                self.contact(office).map(|c| c + self.timing.lease)
+            Role::Leader(state) if state.ready => {
+                self.quorum_contact(state).map(|c| c + self.timing.lease)
             }
             _ => None,
         }
@@ -337,21 +337,21 @@
     }
 
     /// Whether it leads and its first entry is committed, so that it may change the voters.
-    pub fn is_settled(&self) -> bool {
-        matches!(&self.role, Role::Leader(office) if office.ready)
+    pub fn is_ready_leader(&self) -> bool {
+        matches!(&self.role, Role::Leader(state) if state.ready)
     }
 
     /// How the other voters and learners are, if it leads.
     pub fn health(&self, now: Moment) -> BTreeMap<VoterId, Health> {
-        let Role::Leader(office) = &self.role else {
+        let Role::Leader(state) = &self.role else {
             return BTreeMap::new();
         };
-        let peers = office.peers.iter();
+        let peers = state.peers.iter();
         peers
             .map(|(id, p)| {
-                let silent = now.since(p.acked.unwrap_or(p.since));
-                let current = p.matched >= self.commit && !p.regressed;
-                (*id, Health { silent, current })
+                let silence = now.since(p.last_acked.unwrap_or(p.tracked_since));
+                let caught_up = p.matched >= self.commit && !p.regressed;
+                (*id, Health { silence, caught_up })
             })
             .collect()
     }
@@ -368,19 +368,19 @@
 
     /// Failure guarded against: a leader that was cut off or stopped for long wakes up and goes
     /// on as if it led. Time is looked at before each input, so it steps down first.
-    fn pass_time(&mut self) {
+    fn check_timers(&mut self) {
         if self.is_leader() {
             self.check_quorum();
         }
         if self.is_leader() {
-            self.beat();
-        } else if self.now >= self.alarm && self.log.voters().is_voter(self.id) {
-            self.stand();
+            self.send_heartbeats();
+        } else if self.now >= self.election_due && self.log.voters().is_voter(self.id) {
+            self.start_pre_vote();
         }
     }
 
     /// Whether it is the only voter.
-    pub(crate) fn is_alone(&self) -> bool {
+    pub(crate) fn is_only_voter(&self) -> bool {
         let voters = self.log.voters();
         voters.voters.len() == 1 && voters.is_voter(self.id)
     }
@@ -393,10 +393,10 @@
             return;
         }
         if self.is_outdated(from, envelope.start) {
-            self.note(NodeEvent::Outdated(from));
+            self.emit(NodeEvent::Outdated(from));
             return;
         }
-        if !self.meet_term(&envelope) {
+        if !self.adopt_term(&envelope) {
             return;
         }
         let Envelope { term, message, .. } = envelope;
@@ -432,20 +432,20 @@
     /// Failure guarded against: a data folder was put back from an older copy and its process
     /// speaks with what it forgot. Its count of starts is lower than one already heard.
     fn is_outdated(&mut self, from: VoterId, start: u64) -> bool {
-        let seen = self.starts.entry(from).or_insert(start);
+        let seen = self.peer_starts.entry(from).or_insert(start);
         let outdated = start < *seen;
         *seen = (*seen).max(start);
         outdated
     }
 
     /// Adopts a later term where the message proves one; false where it is to be dropped.
-    fn meet_term(&mut self, envelope: &Envelope) -> bool {
+    fn adopt_term(&mut self, envelope: &Envelope) -> bool {
         if envelope.term <= self.hard.term {
             return true;
         }
         match envelope.message {
             Message::PreVote { .. } | Message::PreVoted { granted: true, .. } => true,
-            Message::Vote { .. } if self.is_sheltered() => false,
+            Message::Vote { .. } if self.hears_leader() => false,
             _ => {
                 self.follow(envelope.term, None);
                 true
@@ -454,48 +454,50 @@
     }
 
     pub(crate) fn write(&mut self, write: Write) {
-        self.writes += 1;
+        self.last_write += 1;
         match &write {
-            Write::Hard(_) => self.sworn = self.writes,
+            Write::Hard(_) => self.vote_write = self.last_write,
             Write::Append(entries) => {
                 if let Some(first) = entries.first() {
-                    self.forget_from(first.index);
+                    self.mark_unsynced_from(first.index);
                 }
-                self.pending.push_back((self.writes, self.log.last_index()));
+                self.unsynced
+                    .push_back((self.last_write, self.log.last_index()));
             }
             Write::Replace(_) => {
-                self.sworn = self.writes;
-                self.pending.push_back((self.writes, self.log.last_index()));
+                self.vote_write = self.last_write;
+                self.unsynced
+                    .push_back((self.last_write, self.log.last_index()));
             }
         }
-        let number = self.writes;
+        let number = self.last_write;
         self.outputs.0.push(Output::Write { number, write });
     }
 
     /// Failure guarded against: entries that were overwritten count as synced because an
     /// earlier write of their places was. What is overwritten leaves the count at once.
-    pub(crate) fn forget_from(&mut self, from: Index) {
+    pub(crate) fn mark_unsynced_from(&mut self, from: Index) {
         let last = Index(from.get().saturating_sub(1));
         self.durable = self.durable.min(last);
-        for (_, index) in &mut self.pending {
+        for (_, index) in &mut self.unsynced {
             *index = (*index).min(last);
         }
     }
 
-    fn synced(&mut self, write: u64) {
-        self.synced = self.synced.max(write);
-        while let Some((number, index)) = self.pending.front().copied() {
-            if number > self.synced {
+    fn on_synced(&mut self, write: u64) {
+        self.last_synced = self.last_synced.max(write);
+        while let Some((number, index)) = self.unsynced.front().copied() {
+            if number > self.last_synced {
                 break;
             }
-            self.pending.pop_front();
+            self.unsynced.pop_front();
             self.durable = self.durable.max(index);
         }
-        while let Some((number, _)) = self.held.front() {
-            if *number > self.synced {
+        while let Some((number, _)) = self.held_back.front() {
+            if *number > self.last_synced {
                 break;
             }
-            if let Some((_, envelope)) = self.held.pop_front() {
+            if let Some((_, envelope)) = self.held_back.pop_front() {
                 self.outputs.0.push(Output::Send(envelope));
             }
         }
@@ -505,13 +507,13 @@
     }
 
     /// Whether the term and vote are on the disk.
-    pub(crate) fn is_sworn(&self) -> bool {
-        self.synced >= self.sworn
+    pub(crate) fn is_vote_synced(&self) -> bool {
+        self.last_synced >= self.vote_write
     }
 
     /// Whether everything is on the disk.
     pub(crate) fn is_synced(&self) -> bool {
-        self.synced >= self.writes
+        self.last_synced >= self.last_write
     }
 
     pub(crate) fn send(&mut self, to: VoterId, message: Message) {
@@ -523,12 +525,12 @@
     ///
     /// Failure guarded against: a vote or an acknowledgement leaves, the process dies before
     /// its disk has it, and the voter comes back having forgotten what it promised.
-    pub(crate) fn send_synced(&mut self, to: VoterId, message: Message) {
+    pub(crate) fn send_after_sync(&mut self, to: VoterId, message: Message) {
         if self.is_synced() {
             return self.send(to, message);
         }
         let envelope = self.envelope(to, message);
-        self.held.push_back((self.writes, envelope));
+        self.held_back.push_back((self.last_write, envelope));
     }
 
     fn envelope(&self, to: VoterId, message: Message) -> Envelope {
@@ -546,13 +548,13 @@
         self.outputs.0.push(Output::Answer { ticket, answer });
     }
 
-    pub(crate) fn note(&mut self, note: NodeEvent) {
+    pub(crate) fn emit(&mut self, note: NodeEvent) {
         self.outputs.0.push(Output::Event(note));
     }
 
-    pub(crate) fn office(&mut self) -> Option<&mut Office> {
+    pub(crate) fn leader_state(&mut self) -> Option<&mut LeaderState> {
         match &mut self.role {
-            Role::Leader(office) => Some(office),
+            Role::Leader(state) => Some(state),
             _ => None,
         }
     }
@@ -577,29 +579,29 @@
         let verdict = match payload {
             Payload::Office { .. } => {
                 self.fence = self.fence.max(Fence(term.get()));
-                self.settle_office(term);
+                self.mark_ready(term);
                 Vec::new()
             }
             Payload::Command(command) => self.machine.apply(index, &command),
             Payload::Voters(voters) => {
-                self.settle_voters(voters);
+                self.apply_voters(voters);
                 Vec::new()
             }
             Payload::Replaced(_) => {
                 self.machine.majority_replaced(index);
-                self.note(NodeEvent::MajorityReplaced(index));
+                self.emit(NodeEvent::MajorityReplaced(index));
                 Vec::new()
             }
         };
-        let ticket = self.office().and_then(|o| o.waiting.remove(&index));
+        let ticket = self.leader_state().and_then(|s| s.waiting.remove(&index));
         if let Some(ticket) = ticket {
             self.answer(ticket, Ok(verdict));
         }
-        self.leave_if_removed();
+        self.step_down_if_removed();
     }
 
     fn take_snapshot(&mut self) {
-        let since = self.applied.get() - self.log.covered().get();
+        let since = self.applied.get() - self.log.snapshot_index().get();
         if since < self.timing.snapshot_entries {
             return;
         }
@@ -614,6 +616,6 @@
         self.log.compact(snapshot, self.timing.retained_entries);
         let stored = Box::new(self.to_stored());
         self.write(Write::Replace(stored));
-        self.note(NodeEvent::SnapshotSaved(self.applied));
+        self.emit(NodeEvent::SnapshotSaved(self.applied));
     }
 }
--- a/crates/control/src/record.rs
+++ b/crates/control/src/record.rs
@@ -6,14 +6,14 @@
 use std::fmt;
 
 /// The length of a record's header.
-pub const HEADER: usize = 12;
+pub const HEADER_LENGTH: usize = 12;
 
 /// The unit in which a disk writes whole or not at all.
-const SECTOR: usize = 512;
+const SECTOR_SIZE: usize = 512;
 
 /// What a log file holds.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Scanned<'a> {
+pub struct Scan<'a> {
     /// The bodies of the whole records.
     pub bodies: Vec<&'a [u8]>,
     /// Where the last whole record ends; what follows was torn by a crash.
@@ -36,12 +36,12 @@
 impl std::error::Error for Damage {}
 
 /// Adds a record to a buffer.
-pub fn push(buffer: &mut Vec<u8>, body: &[u8]) {
+pub fn append_record(buffer: &mut Vec<u8>, body: &[u8]) {
     let length = (body.len() as u32).to_be_bytes();
     let checksum = crc32fast::hash(body).to_be_bytes();
     let mut header = [length, checksum].concat();
-    let seal = crc32fast::hash(&header).to_be_bytes();
-    header.extend_from_slice(&seal);
+    let header_checksum = crc32fast::hash(&header).to_be_bytes();
+    header.extend_from_slice(&header_checksum);
     buffer.extend_from_slice(&header);
     buffer.extend_from_slice(body);
 }
@@ -51,60 +51,60 @@
 /// Failure guarded against: a damaged record is taken for the end of the log, so that what
 /// was acknowledged is silently forgotten. A crash leaves the last write short, or with whole
 /// sectors that were never written and read as zeros; anything else is damage and refused.
-pub fn scan(bytes: &[u8]) -> Result<Scanned<'_>, Damage> {
+pub fn scan(bytes: &[u8]) -> Result<Scan<'_>, Damage> {
     let mut bodies = Vec::new();
     let mut offset = 0;
     while offset < bytes.len() {
-        match read(&bytes[offset..]) {
-            Found::Whole(body) => {
+        match parse_record(&bytes[offset..]) {
+            Parsed::Whole(body) => {
                 bodies.push(body);
-                offset += HEADER + body.len();
+                offset += HEADER_LENGTH + body.len();
             }
-            Found::Torn => break,
-            Found::Damaged => return Err(Damage { offset }),
+            Parsed::Torn => break,
+            Parsed::Damaged => return Err(Damage { offset }),
         }
     }
-    Ok(Scanned {
+    Ok(Scan {
         bodies,
         end: offset,
     })
 }
 
-enum Found<'a> {
+enum Parsed<'a> {
     Whole(&'a [u8]),
     Torn,
     Damaged,
 }
 
-fn read(rest: &[u8]) -> Found<'_> {
-    if rest.len() < HEADER || rest.iter().all(|b| *b == 0) {
-        return Found::Torn;
+fn parse_record(rest: &[u8]) -> Parsed<'_> {
+    if rest.len() < HEADER_LENGTH || rest.iter().all(|b| *b == 0) {
+        return Parsed::Torn;
     }
-    let (header, after) = rest.split_at(HEADER);
-    if number(&header[8..]) != crc32fast::hash(&header[..8]) {
-        return Found::Damaged;
+    let (header, after) = rest.split_at(HEADER_LENGTH);
+    if read_u32(&header[8..]) != crc32fast::hash(&header[..8]) {
+        return Parsed::Damaged;
     }
-    let length = number(header) as usize;
+    let length = read_u32(header) as usize;
     if after.len() < length {
-        return Found::Torn;
+        return Parsed::Torn;
     }
     let body = &after[..length];
-    if number(&header[4..]) == crc32fast::hash(body) {
-        return Found::Whole(body);
+    if read_u32(&header[4..]) == crc32fast::hash(body) {
+        return Parsed::Whole(body);
     }
-    if after.len() == length && has_hole(body) {
-        Found::Torn
+    if after.len() == length && has_unwritten_part(body) {
+        Parsed::Torn
     } else {
-        Found::Damaged
+        Parsed::Damaged
     }
 }
 
 /// Whether a stretch as long as a sector was never written.
-fn has_hole(body: &[u8]) -> bool {
-    body.chunks(SECTOR / 2)
-        .any(|c| c.len() == SECTOR / 2 && c.iter().all(|b| *b == 0))
+fn has_unwritten_part(body: &[u8]) -> bool {
+    body.chunks(SECTOR_SIZE / 2)
+        .any(|c| c.len() == SECTOR_SIZE / 2 && c.iter().all(|b| *b == 0))
 }
 
-fn number(bytes: &[u8]) -> u32 {
+fn read_u32(bytes: &[u8]) -> u32 {
     u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]])
 }
--- a/crates/control/src/replicate.rs
+++ b/crates/control/src/replicate.rs
@@ -10,16 +10,16 @@
 use crate::voters::VoterId;
 
 /// A batch that was not acknowledged is sent again after so many heartbeats.
-const RESEND_BEATS: u64 = 2;
+const RESEND_HEARTBEATS: u64 = 2;
 
 impl<M: StateMachine> Node<M> {
     pub(crate) fn propose(&mut self, ticket: Ticket, command: Vec<u8>) {
-        if let Err(refusal) = self.may_append() {
+        if let Err(refusal) = self.check_can_append() {
             return self.answer(ticket, Err(refusal));
         }
         let index = self.append_own(Payload::Command(command));
-        if let Some(office) = self.office() {
-            office.waiting.insert(index, ticket);
+        if let Some(state) = self.leader_state() {
+            state.waiting.insert(index, ticket);
         }
     }
 
@@ -27,18 +27,18 @@
     ///
     /// Failure guarded against: a leader in a minority takes a patch and lets its operator wait
     /// for an election timeout. Without a majority's recent answer it says so at once.
-    pub(crate) fn may_append(&self) -> Result<(), Refusal> {
-        let Role::Leader(office) = &self.role else {
+    pub(crate) fn check_can_append(&self) -> Result<(), Refusal> {
+        let Role::Leader(state) = &self.role else {
             return Err(match self.leader {
-                None if !self.is_sheltered() => Refusal::NoQuorum,
+                None if !self.hears_leader() => Refusal::NoQuorum,
                 leader => Refusal::NotLeader { leader },
             });
         };
-        let contact = self.contact(office).unwrap_or(office.began);
+        let contact = self.quorum_contact(state).unwrap_or(state.elected_at);
         if self.now >= contact + self.timing.lease {
             return Err(Refusal::NoQuorum);
         }
-        if office.waiting.len() >= self.timing.max_waiting as usize {
+        if state.waiting.len() >= self.timing.max_waiting as usize {
             return Err(Refusal::Busy);
         }
         Ok(())
@@ -59,20 +59,23 @@
     }
 
     /// Speaks to every follower when a heartbeat is due.
-    pub(crate) fn beat(&mut self) {
+    pub(crate) fn send_heartbeats(&mut self) {
         let (now, heartbeat) = (self.now, self.timing.heartbeat);
-        let Some(office) = self.office() else {
+        let Some(state) = self.leader_state() else {
             return;
         };
-        if now < office.beat {
+        if now < state.next_heartbeat {
             return;
         }
-        office.beat = now + heartbeat;
-        let resend = heartbeat.times(RESEND_BEATS);
-        let peers: Vec<VoterId> = office.peers.keys().copied().collect();
-        for progress in office.peers.values_mut() {
-            if progress.batch.is_some_and(|(_, sent)| now >= sent + resend) {
-                progress.batch = None;
+        state.next_heartbeat = now + heartbeat;
+        let resend = heartbeat.times(RESEND_HEARTBEATS);
+        let peers: Vec<VoterId> = state.peers.keys().copied().collect();
+        for progress in state.peers.values_mut() {
+            if progress
+                .in_flight
+                .is_some_and(|(_, sent)| now >= sent + resend)
+            {
+                progress.in_flight = None;
             }
         }
         for peer in peers {
@@ -82,13 +85,13 @@
 
     /// Sends to every follower that has no batch under way.
     fn send_idle(&mut self) {
-        let Some(office) = self.office() else {
+        let Some(state) = self.leader_state() else {
             return;
         };
-        let idle = office
+        let idle = state
             .peers
             .iter()
-            .filter(|(_, p)| p.batch.is_none() && p.snapshot.is_none());
+            .filter(|(_, p)| p.in_flight.is_none() && p.snapshot.is_none());
         let idle: Vec<VoterId> = idle.map(|(id, _)| *id).collect();
         for peer in idle {
             self.send_next(peer);
@@ -98,7 +101,7 @@
     /// Sends a follower its next entries, a piece of a snapshot, or a bare heartbeat.
     pub(crate) fn send_next(&mut self, to: VoterId) {
         let base = self.log.base();
-        let Some(progress) = self.office().and_then(|o| o.peers.get_mut(&to)) else {
+        let Some(progress) = self.leader_state().and_then(|s| s.peers.get_mut(&to)) else {
             return;
         };
         if progress.regressed {
@@ -107,7 +110,7 @@
         if progress.snapshot.is_some() {
             return self.send_piece(to);
         }
-        let busy = progress.batch.is_some();
+        let busy = progress.in_flight.is_some();
         let previous = if busy {
             progress.matched.max(base)
         } else {
@@ -129,13 +132,13 @@
         let entries = if bound == 0 {
             Vec::new()
         } else {
-            self.log.after(previous, bound)
+            self.log.entries_after(previous, bound)
         };
         let (sent, commit) = (self.now, self.commit);
-        if let Some(progress) = self.office().and_then(|o| o.peers.get_mut(&to)) {
-            progress.told = commit;
+        if let Some(progress) = self.leader_state().and_then(|s| s.peers.get_mut(&to)) {
+            progress.sent_commit = commit;
             if let Some(last) = entries.last() {
-                progress.batch = Some((last.index, sent));
+                progress.in_flight = Some((last.index, sent));
             }
         }
         let previous = Position::new(term, previous);
@@ -157,44 +160,44 @@
         commit: Index,
         sent: Moment,
     ) {
-        if !self.hear_leader(from, term) {
-            return self.refuse(from, self.log.last_index(), sent);
+        if !self.accept_leader(from, term) {
+            return self.send_mismatched(from, self.log.last_index(), sent);
         }
-        if let Some(hint) = self.mismatch(previous) {
-            return self.refuse(from, hint, sent);
+        if let Some(hint) = self.find_mismatch(previous) {
+            return self.send_mismatched(from, hint, sent);
         }
         let last = Index(previous.index.get() + entries.len() as u64);
         let bare = entries.is_empty();
-        if !self.take_entries(entries) {
+        if !self.append_new(entries) {
             return;
         }
         self.commit = self.commit.max(commit.min(last));
         if bare {
-            self.answer_beat(from, last, sent);
+            self.answer_heartbeat(from, last, sent);
         } else {
             self.acknowledge(from, last, sent);
         }
     }
 
     /// Says where the logs may agree, and in which term this voter is.
-    pub(crate) fn refuse(&mut self, to: VoterId, hint: Index, sent: Moment) {
+    pub(crate) fn send_mismatched(&mut self, to: VoterId, hint: Index, sent: Moment) {
         let last = self.log.last_index();
-        self.send_synced(to, Message::Mismatched { hint, last, sent });
+        self.send_after_sync(to, Message::Mismatched { hint, last, sent });
     }
 
     /// Takes note of a leader; false where its term is over.
-    pub(crate) fn hear_leader(&mut self, from: VoterId, term: Term) -> bool {
+    pub(crate) fn accept_leader(&mut self, from: VoterId, term: Term) -> bool {
         if term < self.hard.term {
             return false;
         }
         self.follow(term, Some(from));
-        self.heard = self.now;
-        self.rest();
+        self.last_heard = self.now;
+        self.reset_election_timer();
         true
     }
 
     /// The last place where the logs may agree, if they differ at the given one.
-    fn mismatch(&self, previous: Position) -> Option<Index> {
+    fn find_mismatch(&self, previous: Position) -> Option<Index> {
         if previous.index <= self.commit {
             // What is committed agrees with every leader's log.
             return None;
@@ -214,7 +217,7 @@
     }
 
     /// Adds what is new of a leader's entries; false where they contradict what is committed.
-    fn take_entries(&mut self, entries: Vec<LogEntry>) -> bool {
+    fn append_new(&mut self, entries: Vec<LogEntry>) -> bool {
         let differs =
             |e: &LogEntry| e.index > self.log.base() && self.log.term_at(e.index) != Some(e.term);
         let Some(first) = entries.iter().position(differs) else {
@@ -223,7 +226,7 @@
         let fresh = entries[first..].to_vec();
         let index = fresh[0].index;
         if index <= self.commit {
-            self.note(NodeEvent::Contradicted(index));
+            self.emit(NodeEvent::Contradicted(index));
             return false;
         }
         self.log.append(fresh.clone());
@@ -234,10 +237,10 @@
     /// Says that the log is synced up to here, now or as soon as it is.
     pub(crate) fn acknowledge(&mut self, to: VoterId, index: Index, sent: Moment) {
         let message = Message::Matched { index, sent };
-        if self.durable_index() >= index && self.is_sworn() {
+        if self.durable_index() >= index && self.is_vote_synced() {
             self.send(to, message);
         } else {
-            self.send_synced(to, message);
+            self.send_after_sync(to, message);
         }
     }
 
@@ -245,13 +248,13 @@
     ///
     /// Failure guarded against: a slow disk keeps back the answers to heartbeats, and a leader
     /// whom everyone hears steps down. Only a term that is not synced yet keeps them back.
-    fn answer_beat(&mut self, to: VoterId, index: Index, sent: Moment) {
+    fn answer_heartbeat(&mut self, to: VoterId, index: Index, sent: Moment) {
         let index = index.min(self.durable_index());
         let message = Message::Matched { index, sent };
-        if self.is_sworn() {
+        if self.is_vote_synced() {
             self.send(to, message);
         } else {
-            self.send_synced(to, message);
+            self.send_after_sync(to, message);
         }
     }
 
@@ -264,7 +267,7 @@
             return;
         }
         progress.acknowledge(sent);
-        progress.rise(index, now);
+        progress.advance_to(index, now);
         self.advance_commit();
         self.send_more(from);
     }
@@ -280,11 +283,11 @@
         let Some(progress) = self.progress(from, term) else {
             return;
         };
-        if last < progress.matched && sent > progress.risen {
-            return self.bar(from);
+        if last < progress.matched && sent > progress.advanced_at {
+            return self.mark_regressed(from);
         }
         progress.acknowledge(sent);
-        progress.batch = None;
+        progress.in_flight = None;
         let next = hint.max(progress.matched).next();
         if next < progress.next {
             progress.next = next;
@@ -296,13 +299,13 @@
     /// were committed by counting its disk are there no longer. It shows as a log shorter than
     /// what was acknowledged, in answer to a message sent after that acknowledgement came. The
     /// voter counts for nothing in this term and must be replaced.
-    fn bar(&mut self, peer: VoterId) {
-        if let Some(progress) = self.office().and_then(|o| o.peers.get_mut(&peer)) {
+    fn mark_regressed(&mut self, peer: VoterId) {
+        if let Some(progress) = self.leader_state().and_then(|s| s.peers.get_mut(&peer)) {
             progress.regressed = true;
             progress.matched = Index(0);
-            progress.acked = None;
+            progress.last_acked = None;
         }
-        self.note(NodeEvent::Regressed(peer));
+        self.emit(NodeEvent::Regressed(peer));
     }
 
     /// What this leader knows of a follower that answers it in its term.
@@ -314,17 +317,17 @@
         if term != self.hard.term {
             return None;
         }
-        self.office()?.peers.get_mut(&from)
+        self.leader_state()?.peers.get_mut(&from)
     }
 
     /// Goes on with a follower that still lacks entries or the news of a commit.
     fn send_more(&mut self, to: VoterId) {
         let (last, commit) = (self.log.last_index(), self.commit);
-        let Some(progress) = self.office().and_then(|o| o.peers.get_mut(&to)) else {
+        let Some(progress) = self.leader_state().and_then(|s| s.peers.get_mut(&to)) else {
             return;
         };
-        let behind = progress.next <= last || progress.told < commit;
-        if progress.batch.is_none() && behind {
+        let behind = progress.next <= last || progress.sent_commit < commit;
+        if progress.in_flight.is_none() && behind {
             self.send_next(to);
         }
     }
@@ -332,15 +335,15 @@
     /// Commits what a majority of the voters has synced, and tells the followers.
     pub(crate) fn advance_commit(&mut self) {
         let own = (self.id, self.durable_index());
-        let Role::Leader(office) = &self.role else {
+        let Role::Leader(state) = &self.role else {
             return;
         };
-        let held = |id| match office.peers.get(&id) {
+        let held = |id| match state.peers.get(&id) {
             _ if id == own.0 => own.1,
             Some(progress) => progress.matched,
             None => Index(0),
         };
-        let Some(agreed) = self.log.voters().agreed(held) else {
+        let Some(agreed) = self.log.voters().majority_value(held) else {
             return;
         };
         let own_term = self.log.term_at(agreed) == Some(self.hard.term);
--- a/crates/control/src/role.rs
+++ b/crates/control/src/role.rs
@@ -25,16 +25,16 @@
         granted: BTreeSet<VoterId>,
     },
     /// It leads.
-    Leader(Box<Office>),
+    Leader(Box<LeaderState>),
 }
 
 /// A leader's term of office.
 #[derive(Debug, Clone, Hash)]
-pub(crate) struct Office {
+pub(crate) struct LeaderState {
     /// When it began.
-    pub(crate) began: Moment,
+    pub(crate) elected_at: Moment,
     /// When the next heartbeat is due.
-    pub(crate) beat: Moment,
+    pub(crate) next_heartbeat: Moment,
     /// Whether its first entry is committed.
     pub(crate) ready: bool,
     /// What each other voter and learner has.
@@ -51,15 +51,15 @@
     /// The last entry that is synced there.
     pub(crate) matched: Index,
     /// When `matched` last rose.
-    pub(crate) risen: Moment,
+    pub(crate) advanced_at: Moment,
     /// When it came to be followed by this leader.
-    pub(crate) since: Moment,
+    pub(crate) tracked_since: Moment,
     /// When the last message was sent that it answered.
-    pub(crate) acked: Option<Moment>,
+    pub(crate) last_acked: Option<Moment>,
     /// The commit that it was last told of.
-    pub(crate) told: Index,
+    pub(crate) sent_commit: Index,
     /// The last entry of a batch under way, and when it was sent.
-    pub(crate) batch: Option<(Index, Moment)>,
+    pub(crate) in_flight: Option<(Index, Moment)>,
     /// A snapshot under way, and how much of it has arrived.
     pub(crate) snapshot: Option<(Arc<Snapshot>, u64)>,
     /// It lost what it had acknowledged.
@@ -72,25 +72,25 @@
         Self {
             next: last.next(),
             matched: Index(0),
-            risen: Moment::ZERO,
-            since: now,
-            acked: None,
-            told: Index(0),
-            batch: None,
+            advanced_at: Moment::ZERO,
+            tracked_since: now,
+            last_acked: None,
+            sent_commit: Index(0),
+            in_flight: None,
             snapshot: None,
             regressed: false,
         }
     }
 
     /// Takes note that the follower's disk holds the log up to here.
-    pub(crate) fn rise(&mut self, index: Index, now: Moment) {
+    pub(crate) fn advance_to(&mut self, index: Index, now: Moment) {
         if index > self.matched {
             self.matched = index;
-            self.risen = now;
+            self.advanced_at = now;
         }
         self.next = self.next.max(index.next());
-        if self.batch.is_some_and(|(last, _)| index >= last) {
-            self.batch = None;
+        if self.in_flight.is_some_and(|(last, _)| index >= last) {
+            self.in_flight = None;
         }
         if self
             .snapshot
@@ -103,6 +103,6 @@
 
     /// Takes note of an answer to a message sent at this moment.
     pub(crate) fn acknowledge(&mut self, sent: Moment) {
-        self.acked = self.acked.max(Some(sent));
+        self.last_acked = self.last_acked.max(Some(sent));
     }
 }
--- a/crates/control/src/roster.rs
+++ b/crates/control/src/roster.rs
@@ -13,28 +13,28 @@
 /// How long a voter must be silent before a learner takes its place: longer than a restart of its
 /// process or a lost packet keeps it silent, and well below the time within which a second host
 /// may be lost.
-pub const SILENT: Span = Span::from_millis(1_200);
+pub const SILENCE_LIMIT: Span = Span::from_millis(1_200);
 
 /// How long a silent learner is kept.
-pub const ABANDONED: Span = Span::from_secs(10);
+pub const LEARNER_SILENCE_LIMIT: Span = Span::from_secs(10);
 
 /// What a leader knows of another voter or learner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Health {
     /// How long ago the last message was sent that it answered; where it never answered, how long
     /// the leader has sent to it.
-    pub silent: Span,
+    pub silence: Span,
     /// Whether its disk holds all that is committed.
-    pub current: bool,
+    pub caught_up: bool,
 }
 
 /// What a leader looks at.
 #[derive(Debug, Clone)]
 pub struct Roster<'a> {
     /// The leader.
-    pub own: VoterId,
+    pub leader: VoterId,
     /// How many voters there are to be.
-    pub target: usize,
+    pub target_size: usize,
     /// The voters and learners in force.
     pub voters: &'a Voters,
     /// How the others are.
@@ -45,33 +45,38 @@
 
 impl Roster<'_> {
     /// The next change, if one is due.
-    pub fn next(&self) -> Option<VoterChange> {
-        self.surplus()
-            .or_else(|| self.promotion())
-            .or_else(|| self.newcomer())
-            .or_else(|| self.abandoned())
+    pub fn next_change(&self) -> Option<VoterChange> {
+        self.remove_surplus()
+            .or_else(|| self.promote_learner())
+            .or_else(|| self.add_newcomer())
+            .or_else(|| self.remove_abandoned())
     }
 
     /// A voter too many: one whose address another one has taken over, else a silent one.
-    fn surplus(&self) -> Option<VoterChange> {
-        if self.voters.voters.len() <= self.target {
+    fn remove_surplus(&self) -> Option<VoterChange> {
+        if self.voters.voters.len() <= self.target_size {
             return None;
         }
-        let others = || self.voters.voters.iter().filter(|(id, _)| **id != self.own);
-        let dead = others().find(|(id, location)| self.is_succeeded(**id, location));
+        let others = || {
+            self.voters
+                .voters
+                .iter()
+                .filter(|(id, _)| **id != self.leader)
+        };
+        let dead = others().find(|(id, location)| self.is_replaced(**id, location));
         let silent = || others().find(|(id, _)| self.is_silent(**id));
         let (id, _) = dead.or_else(silent)?;
         Some(VoterChange::Remove { id: *id })
     }
 
     /// A learner that has caught up and whose vote is needed.
-    fn promotion(&self) -> Option<VoterChange> {
+    fn promote_learner(&self) -> Option<VoterChange> {
         let votes = &self.voters.voters;
-        let short = votes.len() < self.target;
+        let short = votes.len() < self.target_size;
         let missing = votes.iter().any(|(id, location)| {
-            *id != self.own && (self.is_silent(*id) || self.is_succeeded(*id, location))
+            *id != self.leader && (self.is_silent(*id) || self.is_replaced(*id, location))
         });
-        let due = short || (missing && votes.len() == self.target);
+        let due = short || (missing && votes.len() == self.target_size);
         if !due {
             return None;
         }
@@ -79,28 +84,31 @@
         let ready = learners.find(|id| {
             let change = VoterChange::Promote { id: **id };
             let health = self.health.get(id);
-            let current = health.is_some_and(|h| h.current) && !self.is_silent(**id);
-            current && self.voters.with_change(&change).is_ok()
+            let caught_up = health.is_some_and(|h| h.caught_up) && !self.is_silent(**id);
+            caught_up && self.voters.with_change(&change).is_ok()
         });
         ready.map(|id| VoterChange::Promote { id: *id })
     }
 
-    fn newcomer(&self) -> Option<VoterChange> {
-        let new = self.joining.iter().find(|(id, _)| !self.voters.knows(**id));
+    fn add_newcomer(&self) -> Option<VoterChange> {
+        let new = self
+            .joining
+            .iter()
+            .find(|(id, _)| !self.voters.is_member(**id));
         new.map(|(id, location)| VoterChange::Learn {
             id: *id,
             location: location.clone(),
         })
     }
 
-    fn abandoned(&self) -> Option<VoterChange> {
-        let gone = |id: &&VoterId| self.silent(**id) >= ABANDONED;
+    fn remove_abandoned(&self) -> Option<VoterChange> {
+        let gone = |id: &&VoterId| self.silence(**id) >= LEARNER_SILENCE_LIMIT;
         let id = self.voters.learners.keys().find(gone)?;
         Some(VoterChange::Remove { id: *id })
     }
 
     /// Whether a learner or voter that joined later has its address: then its disk is gone.
-    fn is_succeeded(&self, id: VoterId, location: &Location) -> bool {
+    fn is_replaced(&self, id: VoterId, location: &Location) -> bool {
         let all = self.voters.voters.iter().chain(&self.voters.learners);
         let mut others = all.filter(|(other, _)| **other != id);
         others.any(|(other, s)| {
@@ -109,11 +117,11 @@
     }
 
     fn is_silent(&self, id: VoterId) -> bool {
-        self.silent(id) >= SILENT
+        self.silence(id) >= SILENCE_LIMIT
     }
 
-    fn silent(&self, id: VoterId) -> Span {
+    fn silence(&self, id: VoterId) -> Span {
         // The leader itself, and whoever it does not send to yet, are not silent.
-        self.health.get(&id).map_or(Span::default(), |h| h.silent)
+        self.health.get(&id).map_or(Span::default(), |h| h.silence)
     }
 }
--- a/crates/control/src/storage.rs
+++ b/crates/control/src/storage.rs
@@ -79,6 +79,6 @@
 impl std::error::Error for StorageError {}
 
 /// Puts the path into an error of the operating system.
-pub(crate) fn broken(path: &Path) -> impl FnOnce(std::io::Error) -> Report<StorageError> + '_ {
+pub(crate) fn io_error(path: &Path) -> impl FnOnce(std::io::Error) -> Report<StorageError> + '_ {
     move |e| Report::new(e).change_context(StorageError::Broken(path.into()))
 }
--- a/crates/control/src/voters.rs
+++ b/crates/control/src/voters.rs
@@ -143,7 +143,7 @@
     }
 
     /// Whether the id is a voter or learner.
-    pub fn knows(&self, id: VoterId) -> bool {
+    pub fn is_member(&self, id: VoterId) -> bool {
         self.is_voter(id) || self.learners.contains_key(&id)
     }
 
@@ -170,14 +170,14 @@
     }
 
     /// The highest value that a majority of the voters has reached.
-    pub fn agreed<T: Ord + Copy>(&self, value: impl Fn(VoterId) -> T) -> Option<T> {
+    pub fn majority_value<T: Ord + Copy>(&self, value: impl Fn(VoterId) -> T) -> Option<T> {
         let mut values: Vec<T> = self.voters.keys().map(|id| value(*id)).collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
         values.get(self.majority() - 1).copied()
     }
 
     /// The zone that holds more than half of the votes of three or more voters.
-    pub fn crowded(&self) -> Option<&ZoneId> {
+    pub fn crowded_zone(&self) -> Option<&ZoneId> {
         if self.voters.len() < 3 {
             return None;
         }
@@ -198,7 +198,7 @@
     pub fn with_change(&self, change: &VoterChange) -> Result<Self> {
         let mut next = self.clone();
         match change {
-            VoterChange::Learn { id, .. } if self.knows(*id) => {
+            VoterChange::Learn { id, .. } if self.is_member(*id) => {
                 return Err(ChangeError::Known(*id));
             }
             VoterChange::Learn { id, location } => {
@@ -208,7 +208,7 @@
                 let location = next.learners.remove(id).ok_or(ChangeError::Unknown(*id))?;
                 next.voters.insert(*id, location);
             }
-            VoterChange::Remove { id } if !self.knows(*id) => {
+            VoterChange::Remove { id } if !self.is_member(*id) => {
                 return Err(ChangeError::Unknown(*id));
             }
             VoterChange::Remove { id } => {
@@ -228,8 +228,8 @@
             return Err(ChangeError::Full);
         }
         let grown = self.voters.len() > previous.voters.len();
-        match self.crowded() {
-            Some(zone) if grown && previous.crowded().is_none() => {
+        match self.crowded_zone() {
+            Some(zone) if grown && previous.crowded_zone().is_none() => {
                 Err(ChangeError::Crowded(zone.clone()))
             }
             _ => Ok(()),
--- a/crates/control/tests/machine.rs
+++ b/crates/control/tests/machine.rs
@@ -120,7 +120,7 @@
         .diff(Version::new(10), Version::new(12))
         .expect("kept");
     assert_eq!(delta.services.set.len(), 2);
-    let delta = history.since(Version::new(0)).expect("kept");
+    let delta = history.delta_since(Version::new(0)).expect("kept");
     let base = history.config_at(Version::new(0)).expect("kept");
     assert_eq!(delta.apply(&base).as_ref(), Ok(machine.config().as_ref()));
 }
@@ -132,7 +132,7 @@
     assert!((1_024..=1_088).contains(&kept), "{kept} entries");
     assert!(machine.history().config_at(Version::new(1)).is_err());
     assert!(machine.history().config_at(Version::new(1_000)).is_ok());
-    assert!(machine.history().since(Version::new(1)).is_none());
+    assert!(machine.history().delta_since(Version::new(1)).is_none());
     let mut other = ConfigMachine::default();
     other.restore(&machine.snapshot()).expect("a snapshot");
     assert_eq!(other.config(), machine.config());
--- a/crates/control/tests/roster.rs
+++ b/crates/control/tests/roster.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use snipemast_control::roster::{Health, Roster, ABANDONED, SILENT};
+use snipemast_control::roster::{Health, Roster, LEARNER_SILENCE_LIMIT, SILENCE_LIMIT};
 use snipemast_control::{Location, VoterChange, VoterId, Voters};
 use snipemast_core::prelude::*;
 
@@ -21,8 +21,8 @@
     Voters::new((1..=3).map(|n| (VoterId(n), location(n as u8))).collect())
 }
 
-fn health(silent: Span, current: bool) -> Health {
-    Health { silent, current }
+fn health(silence: Span, caught_up: bool) -> Health {
+    Health { silence, caught_up }
 }
 
 fn next(
@@ -36,13 +36,13 @@
         .map(|(id, s)| (VoterId(*id), s.clone()))
         .collect();
     let roster = Roster {
-        own: LEADER,
-        target: 3,
+        leader: LEADER,
+        target_size: 3,
         voters,
         health: &health,
         joining: &joining,
     };
-    roster.next()
+    roster.next_change()
 }
 
 const HEARD: Span = Span::from_millis(50);
@@ -54,7 +54,7 @@
 fn new_learner_stays() {
     let mut voters = three();
     voters.learners.insert(VoterId(9), location(3));
-    let lost = ABANDONED.times(2);
+    let lost = LEARNER_SILENCE_LIMIT.times(2);
     let heard = [
         (2, health(HEARD, true)),
         (3, health(lost, false)),
@@ -68,7 +68,7 @@
 #[test]
 fn wiped_voter_replaced() {
     let mut voters = three();
-    let silent = health(SILENT, true);
+    let silent = health(SILENCE_LIMIT, true);
     let well = health(HEARD, true);
     let joining = [(9, location(3))];
     let learn = next(&voters, &[(2, well), (3, silent)], &joining).unwrap();
@@ -115,13 +115,16 @@
     let health = [(2, well), (3, well), (9, well)];
     let health = health.iter().map(|(id, h)| (VoterId(*id), *h)).collect();
     let roster = Roster {
-        own: LEADER,
-        target: 5,
+        leader: LEADER,
+        target_size: 5,
         voters: &voters,
         health: &health,
         joining: &BTreeMap::new(),
     };
-    assert_eq!(roster.next(), Some(VoterChange::Promote { id: VoterId(9) }));
+    assert_eq!(
+        roster.next_change(),
+        Some(VoterChange::Promote { id: VoterId(9) })
+    );
 }
 
 /// A learner that is gone for good does not stay on the list of hosts that everyone polls.
@@ -130,7 +133,11 @@
     let mut voters = three();
     voters.learners.insert(VoterId(9), location(4));
     let well = health(HEARD, true);
-    let heard = [(2, well), (3, well), (9, health(ABANDONED, false))];
+    let heard = [
+        (2, well),
+        (3, well),
+        (9, health(LEARNER_SILENCE_LIMIT, false)),
+    ];
     assert_eq!(
         next(&voters, &heard, &[]),
         Some(VoterChange::Remove { id: VoterId(9) })
--- a/crates/control/tests/steps.rs
+++ b/crates/control/tests/steps.rs
@@ -4,7 +4,7 @@
 
 use snipemast_control::message::Position;
 use snipemast_control::{
-    ClusterId, Envelope, Hard, Input, LogEntry, Message, Node, NodeParams, Output, Payload,
+    ClusterId, Envelope, HardState, Input, LogEntry, Message, Node, NodeParams, Output, Payload,
     StoredState, VoterId,
 };
 use snipemast_core::prelude::*;
@@ -87,7 +87,7 @@
 #[test]
 fn old_term_waits() {
     let stored = StoredState {
-        hard: Hard {
+        hard: HardState {
             term: Term(3),
             vote: None,
         },
@@ -102,8 +102,8 @@
         granted: true,
     };
     let outputs = node.handle(now, says(2, 1, 3, granted));
-    let sworn = last_write(&outputs);
-    node.handle(now, Input::Synced { write: sworn });
+    let vote_write = last_write(&outputs);
+    node.handle(now, Input::Synced { write: vote_write });
     let outputs = node.handle(now, says(2, 1, 4, Message::Voted { granted: true }));
     assert!(node.is_leader());
     let office = last_write(&outputs);
@@ -120,7 +120,7 @@
 
 fn stored_two() -> StoredState {
     StoredState {
-        hard: Hard {
+        hard: HardState {
             term: Term(2),
             vote: None,
         },
--- a/crates/control/tests/storage.rs
+++ b/crates/control/tests/storage.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use snipemast_control::{
-    force, ClusterId, DiskStorage, Hard, Input, LogEntry, Node, NodeParams, Payload, Recovery,
+    force, ClusterId, DiskStorage, HardState, Input, LogEntry, Node, NodeParams, Payload, Recovery,
     Snapshot, Storage, StorageError, StoredState, Timing, VoterId, Voters, Write,
 };
 use snipemast_core::prelude::*;
@@ -62,7 +62,7 @@
 
 fn hard(term: u64) -> Write {
     let vote = Some(VoterId(3));
-    Write::Hard(Hard {
+    Write::Hard(HardState {
         term: Term(term),
         vote,
     })
@@ -316,7 +316,11 @@
             StorageError::Unforced(folder.file("force"))
         );
     }
-    fs::write(folder.file("force"), format!("{last} {}\n", force::PHRASE)).unwrap();
+    fs::write(
+        folder.file("force"),
+        format!("{last} {}\n", force::CONFIRMATION),
+    )
+    .unwrap();
     let (disk, opened) = open(&folder.0, 1, 99).unwrap();
     assert!(opened.forced);
     assert_eq!(disk.identity().voter, VoterId(99));
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -347,7 +347,7 @@
     }
 
     fn check_entries(&mut self, node: &Node<Ledger>) {
-        for entry in node.log().after(node.log().base(), usize::MAX) {
+        for entry in node.log().entries_after(node.log().base(), usize::MAX) {
             let key = (entry.index, entry.term);
             let first = self.written.entry(key).or_insert_with(|| entry.clone());
             assert_eq!(*first, entry, "logs match");
@@ -395,7 +395,7 @@
         let distinct: BTreeSet<_> = commands.iter().collect();
         assert_eq!(distinct.len(), commands.len(), "once each");
         for id in self.ids() {
-            if self.runs(id) && self.node(leader).voters().knows(id) {
+            if self.runs(id) && self.node(leader).voters().is_member(id) {
                 assert_eq!(&self.node(id).machine().commands, commands, "{id} agrees");
             }
         }
--- a/crates/controller/src/voter.rs
+++ b/crates/controller/src/voter.rs
@@ -231,7 +231,7 @@
 
     /// Submits a configuration, if this voter leads; the verdict, if there is one.
     pub(crate) async fn submit(&self, submission: &Submission) -> Option<Verdict> {
-        if let Some(verdict) = self.settled(submission) {
+        if let Some(verdict) = self.known_verdict(submission) {
             return Some(verdict);
         }
         let command = snipemast_net::rpc::encode(submission).to_vec();
@@ -242,10 +242,10 @@
     }
 
     /// The verdict on what is overtaken already, which needs no place in the log.
-    fn settled(&self, submission: &Submission) -> Option<Verdict> {
+    fn known_verdict(&self, submission: &Submission) -> Option<Verdict> {
         let guard = self.running.lock();
         let node = &guard.as_ref()?.node;
-        node.machine().settled(submission)
+        node.machine().known_verdict(submission)
     }
 
     /// Gives the node an input that has an answer.
@@ -371,19 +371,19 @@
         let running = guard.as_mut()?;
         running.joining.retain(|_, (_, until)| now < *until);
         let node = &running.node;
-        if !node.is_settled() {
+        if !node.is_ready_leader() {
             return None;
         }
         let joining = running.joining.iter();
         let joining = joining.map(|(id, (location, _))| (*id, location.clone()));
         let roster = Roster {
-            own: node.id(),
-            target: self.target,
+            leader: node.id(),
+            target_size: self.target,
             voters: node.voters(),
             health: &node.health(now),
             joining: &joining.collect(),
         };
-        roster.next()
+        roster.next_change()
     }
 
     /// Waits for a change of the configuration or of the leader.
