--- a/crates/control/src/apply.rs
+++ b/crates/control/src/apply.rs
@@ -1,4 +1,4 @@
-//! What the replicated log drives: a deterministic state machine over opaque commands.
+//! The interface between the replicated log and the deterministic state machine that it drives.
 
 use std::fmt;
 
@@ -7,10 +7,10 @@
 /// The result of restoring a state machine.
 pub type Result<T> = std::result::Result<T, RestoreError>;
 
-/// Bytes that are not a snapshot of the state machine.
+/// The bytes are not a snapshot of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RestoreError {
-    /// What the decoder met.
+    /// Why decoding failed.
     pub reason: String,
 }
 
@@ -22,23 +22,25 @@
 
 impl std::error::Error for RestoreError {}
 
-/// A state machine that every voter runs over the same commands in the same order.
+/// A state machine to which every voter applies the same commands in the same order.
 ///
-/// `apply` must depend on nothing but the state and the command: no clock, no randomness.
+/// The result of `apply` must depend on nothing but the state and the command: no clock, no
+/// randomness.
 pub trait StateMachine {
-    /// Applies the committed command at this place of the log and returns its verdict.
+    /// Applies the committed command at this index of the log and returns its encoded verdict.
     fn apply(&mut self, index: Index, command: &[u8]) -> Vec<u8>;
 
-    /// The whole state in bytes.
+    /// Returns the whole state, encoded.
     fn snapshot(&self) -> Vec<u8>;
 
-    /// Replaces the whole state by a snapshot.
+    /// Replaces the whole state with a snapshot.
     fn restore(&mut self, bytes: &[u8]) -> Result<()>;
 
-    /// An operator replaced a majority that was lost for good, so committed commands may be gone.
+    /// Is called when an operator has replaced a majority that was lost for good, so that committed
+    /// commands may be gone.
     ///
-    /// A machine that numbers its states jumps ahead here, by more than can have been lost, so
-    /// that no number stands for two states.
+    /// A machine that numbers its states must skip more numbers here than can have been lost, so
+    /// that no number is used for two states.
     fn majority_replaced(&mut self, index: Index) {
         let _ = index;
     }
--- a/crates/control/src/change.rs
+++ b/crates/control/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the voters: one at a time, and only to a learner that has caught up.
+//! Membership changes: one at a time, and only a learner that has caught up may become a voter.
 
 use snipemast_core::prelude::*;
 
@@ -9,6 +9,7 @@
 use crate::voters::{ChangeError, VoterChange, VoterId, Voters};
 
 impl<M: StateMachine> Node<M> {
+    /// Appends a membership change to the log, or refuses it.
     pub(crate) fn change(&mut self, ticket: Ticket, change: VoterChange) {
         let next = self.check_can_append().and_then(|()| {
             let checked = self.check_change(&change);
@@ -20,10 +21,12 @@
         }
     }
 
-    /// Failures guarded against: two changes at once whose majorities do not overlap; a change
-    /// by a leader that has committed nothing yet, beside one of the leader before it; a
-    /// promotion that makes the majority wait for a disk that still lacks the log, or that
-    /// loses it when a second host goes right after a repair.
+    /// Returns the voters after the change, or why it may not be made now.
+    ///
+    /// Three failures are guarded against. Two changes at once could have majorities that do not
+    /// overlap. A leader that has committed nothing yet could add a change beside one of the
+    /// previous leader. A promoted learner that still lacks the log would make the majority wait
+    /// for its disk, and entries would be lost if a second host failed right after a repair.
     fn check_change(&self, change: &VoterChange) -> Result<Voters, ChangeError> {
         let Role::Leader(state) = &self.role else {
             return Err(ChangeError::Early);
@@ -41,6 +44,7 @@
         Ok(next)
     }
 
+    /// Checks that a learner answers and holds every committed entry.
     fn check_learner(&self, progress: Option<&Progress>) -> Result<(), ChangeError> {
         let (held, acked) = progress.map_or((Index(0), None), |p| (p.matched, p.last_acked));
         let alive = acked.is_some_and(|a| self.now < a + self.timing.election_timeout);
@@ -67,11 +71,11 @@
         if let Some(state) = self.leader_state() {
             state.waiting.insert(index, ticket);
         }
-        // A change to fewer voters may be held by enough disks already.
+        // With fewer voters, enough disks may hold the entry already.
         self.advance_commit();
     }
 
-    /// A committed set of voters: whoever left it is sent nothing more.
+    /// Applies a committed set of voters; members that left it are sent nothing more.
     pub(crate) fn apply_voters(&mut self, voters: Voters) {
         let current: Vec<VoterId> = self.log.voters().others(self.id);
         if let Some(state) = self.leader_state() {
@@ -80,7 +84,8 @@
         self.emit(NodeEvent::VotersChanged(voters));
     }
 
-    /// The first entry of an office is committed: the leader may give orders.
+    /// Marks the leader as ready once the first entry of its term is committed; from then on it may
+    /// issue its fencing number.
     pub(crate) fn mark_ready(&mut self, term: Term) {
         if term != self.hard.term {
             return;
@@ -92,7 +97,7 @@
         self.emit(NodeEvent::LeaderReady(Fence(term.get())));
     }
 
-    /// A leader that a committed change has removed ends its office.
+    /// Steps down if a committed change has removed this leader from the voters.
     pub(crate) fn step_down_if_removed(&mut self) {
         let settled = self.log.voters_index() <= self.applied;
         if settled && self.is_leader() && !self.log.voters().is_voter(self.id) {
--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -1,8 +1,8 @@
 //! A voter's data folder: `lock`, `identity`, `snapshot` and `log`.
 //!
-//! The log is one file of checked records. A snapshot takes the place of the one before it,
-//! and then a new log, with the few entries still needed, takes the place of the log; a crash
-//! between the two leaves a log that begins earlier, which is read as well.
+//! The log is one file of records with checksums. A new snapshot replaces the previous one, and
+//! then a new log, with the few entries that are still needed, replaces the old log. A crash
+//! between the two steps leaves a log that begins before the snapshot; it is read correctly.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::Write as _;
@@ -28,7 +28,7 @@
 const SNAPSHOT_FILE: &str = "snapshot";
 
 data! {
-    /// What a record of the log file says; one record a sync.
+    /// The content of one record of the log file; each sync writes one record.
     struct Batch {
         items: Vec<Item>,
     }
@@ -37,35 +37,35 @@
     enum Item {
         /// The term and the vote.
         Hard(HardState),
-        /// Entries; whatever stood at the first one's place and after it is gone.
+        /// Entries, which replace all earlier entries from the first one's index on.
         Entries(Vec<LogEntry>),
     }
 }
 
-/// A voter's data folder, locked for this process.
+/// A voter's data folder, locked by this process.
 #[derive(Debug)]
 pub struct DiskStorage {
     folder: PathBuf,
     identity: Identity,
     log: File,
     failed: bool,
-    /// Held for as long as the process uses the folder.
+    /// The lock on the folder, released when this is dropped.
     _lock: File,
 }
 
-/// What a data folder held when it was opened.
+/// The state recovered from a data folder when it was opened.
 #[derive(Debug, Clone)]
 pub struct Recovery {
-    /// What the voter had kept.
+    /// The state that the voter had stored.
     pub stored: StoredState,
-    /// How many bytes a crash had left torn at the end of the log.
+    /// The number of bytes that a crash left torn at the end of the log.
     pub torn: usize,
-    /// An operator had a lost majority replaced by this voter alone.
+    /// Whether an operator had a lost majority replaced with this voter alone.
     pub forced: bool,
 }
 
 impl DiskStorage {
-    /// Opens the data folder of the voter with this seat, or makes one under the id `fresh`.
+    /// Opens the data folder of the voter at this location, or creates one with the id `fresh`.
     pub fn open(folder: &Path, location: &Location, fresh: VoterId) -> Result<(Self, Recovery)> {
         fs::create_dir_all(folder).map_err(io_error(folder))?;
         let lock = lock_folder(folder)?;
@@ -102,12 +102,13 @@
         ))
     }
 
-    /// Who the folder is.
+    /// Returns the identity of the folder.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// Joins a cluster for good, as one of its first voters or, with no voters, as a learner.
+    /// Stores the cluster that this voter belongs to for good. With no `first_voters` it joins as a
+    /// learner.
     pub fn join(&mut self, cluster: ClusterId, first_voters: Voters) -> Result<()> {
         self.identity.cluster = Some(cluster);
         self.identity.first_voters = first_voters;
@@ -147,8 +148,10 @@
 }
 
 impl Storage for DiskStorage {
-    /// Failure guarded against: a sync fails, the system drops the pages it could not write,
-    /// and the next sync succeeds without them. After one failure every write fails.
+    /// Writes and syncs; after one failure every later write fails.
+    ///
+    /// Otherwise, when a sync fails, the operating system may drop the pages that it could not
+    /// write, and the next sync would succeed without them.
     fn write(&mut self, writes: &[Write]) -> Result<()> {
         if self.failed {
             return Err(Report::new(StorageError::Ended));
@@ -170,7 +173,7 @@
     }
 }
 
-/// Who the folder is; a new one is kept before anything else is.
+/// Loads and checks the identity of the folder; a new identity is stored before anything else.
 fn load_identity(folder: &Path, host: &HostId, fresh: VoterId, inode: u64) -> Result<Identity> {
     match Identity::load(folder)? {
         Some(identity) => {
@@ -190,10 +193,10 @@
     }
 }
 
-/// What the folder holds, and how many bytes were torn at the end of its log.
+/// Reads the stored state, and returns it with the number of bytes torn at the end of the log.
 ///
-/// Failure guarded against: the log is lost and its voter goes on as if it had never voted. A
-/// folder on which a process has started before must have its log.
+/// A folder on which a process has started before must have its log: if the log was lost, its
+/// voter would continue as if it had never voted.
 fn read_state(folder: &Path, identity: &Identity) -> Result<(StoredState, usize)> {
     let snapshot: Option<Snapshot> = load_record(&folder.join(SNAPSHOT_FILE))?;
     let mut stored = StoredState {
@@ -210,7 +213,8 @@
     }
     let bytes = fs::read(&path).map_err(io_error(&path))?;
     let scan = record::scan(&bytes).map_err(|d| damage_error(&path, d.offset))?;
-    // The first record came with the file's name, so no crash can have torn it.
+    // The file was synced with its first record before it got its name, so no crash can have torn
+    // it.
     if scan.bodies.is_empty() {
         return Err(damage_error(&path, 0));
     }
@@ -223,7 +227,7 @@
     Ok((stored, bytes.len() - scan.end))
 }
 
-/// Takes an item into what is stored; nothing where entries leave a gap.
+/// Applies an item to the stored state; returns `None` if its entries would leave a gap.
 fn apply_item(stored: &mut StoredState, item: Item) -> Option<()> {
     match item {
         Item::Hard(hard) => stored.hard = hard,
@@ -239,7 +243,7 @@
     Some(())
 }
 
-/// Puts a log with only what is needed in the place of the log.
+/// Replaces the log file with one that holds only this state.
 fn write_log(folder: &Path, stored: &StoredState) -> Result<()> {
     let mut items = vec![Item::Hard(stored.hard)];
     if !stored.entries.is_empty() {
--- a/crates/control/src/documents.rs
+++ b/crates/control/src/documents.rs
@@ -1,4 +1,4 @@
-//! The state machine of whole configurations: the document with the highest number is in force.
+//! The state machine of whole configurations: the document with the highest version is in force.
 
 use snipemast_core::data;
 use snipemast_core::prelude::*;
@@ -7,23 +7,23 @@
 use crate::files::encode;
 
 data! {
-    /// A whole configuration, as its operator sent it.
+    /// A whole configuration, as an operator sent it.
     pub struct Submission {
-        /// Its number.
+        /// Its version.
         pub version: Version,
-        /// Its text, already checked.
+        /// Its text, which has already been validated.
         #[serde(with = "serde_bytes")]
         pub text: Vec<u8>,
     }
 
-    /// What became of a submission.
+    /// The outcome of a submission.
     #[derive(Copy)]
     pub enum Verdict {
-        /// It is in force now.
+        /// The submission is in force now.
         Accepted,
-        /// It is in force already, or a higher number is: nothing changed.
+        /// The submission or one with a higher version was already in force; nothing changed.
         Held,
-        /// Other content is in force under its number: nothing changed.
+        /// Other content is in force under the same version; nothing changed.
         Conflict,
     }
 }
@@ -36,29 +36,29 @@
 }
 
 impl Documents {
-    /// No configuration yet.
+    /// Creates a machine without a configuration.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The number of the configuration in force; 0 where there is none.
+    /// Returns the version of the configuration in force, or 0 if there is none.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The text of the configuration in force.
+    /// Returns the text of the configuration in force.
     pub fn text(&self) -> &[u8] {
         &self.text
     }
 
-    /// The configuration in force as it was submitted, if there is one.
+    /// Returns the configuration in force as it was submitted, if there is one.
     pub fn submission(&self) -> Option<Submission> {
         (self.version > Version(0)).then(|| self.to_submission())
     }
 
-    /// What would become of a submission, if that is settled without the log.
+    /// Returns the verdict on a submission if it is certain without the log.
     ///
-    /// Numbers only rise, so what is overtaken stays overtaken.
+    /// Versions only rise, so a submission below the version in force can never be accepted.
     pub fn known_verdict(&self, submission: &Submission) -> Option<Verdict> {
         if submission.version > self.version {
             return None;
@@ -82,7 +82,8 @@
 impl StateMachine for Documents {
     fn apply(&mut self, _: Index, command: &[u8]) -> Vec<u8> {
         let Ok(submission) = rmp_serde::from_slice::<Submission>(command) else {
-            // Every voter decides alike; only a voter of a later release could have written it.
+            // Only a later release can have written this command. Every voter of this release gives
+            // the same verdict.
             return encode(&Verdict::Conflict);
         };
         let verdict = self.known_verdict(&submission);
--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, vote, check-quorum, and the end of an office.
+//! Elections: pre-vote, vote, check-quorum, and stepping down.
 
 use std::collections::BTreeSet;
 
@@ -11,21 +11,21 @@
 use crate::role::{LeaderState, Progress, Role};
 use crate::voters::VoterId;
 
-/// A candidate that was not elected tries again after this part of the election timeout.
+/// A candidate that was not elected retries after the election timeout divided by this.
 const RETRY_FRACTION: u64 = 4;
 
 impl<M: StateMachine> Node<M> {
-    /// Waits for a leader for one election timeout and a little more by chance.
+    /// Restarts the wait for a leader: one election timeout plus a random jitter.
     pub(crate) fn reset_election_timer(&mut self) {
         let spread = self.rng.span_below(self.timing.election_jitter);
         self.election_due = self.now + self.timing.election_timeout + spread;
     }
 
-    /// Asks the voters whether they would elect it.
+    /// Asks the other voters whether they would vote for this one, without raising the term.
     ///
-    /// Failure guarded against: a voter that was cut off comes back with a term it raised alone
-    /// and deposes a leader that all others hear. No term is raised before a majority says
-    /// that it hears no leader.
+    /// The term is raised only after a majority has said that it hears no leader. Otherwise a voter
+    /// that was cut off would return with a term that it raised alone and depose a leader that all
+    /// others hear.
     pub(crate) fn start_pre_vote(&mut self) {
         let part = self.timing.election_timeout.as_micros() / RETRY_FRACTION;
         self.election_due =
@@ -66,6 +66,7 @@
         }
     }
 
+    /// Raises the term and asks the other voters for their votes.
     fn start_election(&mut self) {
         self.set_hard_state(self.hard.term.next(), Some(self.id));
         self.role = Role::Candidate {
@@ -108,11 +109,11 @@
         }
     }
 
-    /// Begins an office with an entry of its own term.
+    /// Becomes the leader and appends a first entry of its own term.
     ///
-    /// Failure guarded against: a leader counts disks for an entry of an earlier term, and a
-    /// later leader without that entry overwrites it. Only entries of its own term are
-    /// counted; what stands before them is committed with them.
+    /// A leader counts disks only for entries of its own term; earlier entries are committed along
+    /// with them. If it counted disks for an entry of an earlier term, a later leader without that
+    /// entry could still overwrite it.
     fn become_leader(&mut self) {
         let (last, now) = (self.log.last_index(), self.now);
         let peers = self.log.voters().others(self.id);
@@ -129,7 +130,7 @@
         self.append_own(Payload::Office { leader: self.id });
     }
 
-    /// Follows a leader, or nobody yet, in this term.
+    /// Becomes a follower in this term, of a leader if one is known.
     pub(crate) fn follow(&mut self, term: Term, leader: Option<VoterId>) {
         if term > self.hard.term {
             self.set_hard_state(term, None);
@@ -139,7 +140,7 @@
         self.leader = leader;
     }
 
-    /// Ends an office, if it holds one: whoever waits learns that the verdict is not known.
+    /// Steps down if this voter leads; callers that wait learn that their verdict is unknown.
     pub(crate) fn step_down(&mut self) {
         let Role::Leader(state) = &mut self.role else {
             return;
@@ -154,8 +155,10 @@
         }
     }
 
-    /// Failure guarded against: a leader that no majority hears goes on taking patches, and
-    /// operators wait for verdicts that can't come. It steps down after one election timeout.
+    /// Steps down if no majority has answered for one election timeout.
+    ///
+    /// Otherwise a leader that no majority hears would keep accepting patches, and operators would
+    /// wait for verdicts that cannot come.
     pub(crate) fn check_quorum(&mut self) {
         let Role::Leader(state) = &self.role else {
             return;
@@ -166,7 +169,7 @@
         }
     }
 
-    /// The latest moment by which a majority has answered something sent then or later.
+    /// Returns the latest moment such that a majority has answered a message sent then or later.
     pub(crate) fn quorum_contact(&self, state: &LeaderState) -> Option<Moment> {
         let acked = |id| match state.peers.get(&id) {
             _ if id == self.id => Some(self.now),
@@ -176,7 +179,8 @@
         self.log.voters().majority_value(acked).flatten()
     }
 
-    /// Whether it hears a leader, or is one: then it helps nobody to depose it.
+    /// Whether this voter leads or has heard a leader within the election timeout. If so, it does
+    /// not help to depose that leader.
     pub(crate) fn hears_leader(&self) -> bool {
         self.is_leader() || self.now < self.last_heard + self.timing.election_timeout
     }
--- a/crates/control/src/entry.rs
+++ b/crates/control/src/entry.rs
@@ -1,4 +1,4 @@
-//! What stands in the log, and what a voter keeps on its disk.
+//! The entries of the log, and the state that a voter keeps on its disk.
 
 use std::sync::Arc;
 
@@ -11,43 +11,43 @@
     /// One entry of the log.
     #[derive(Hash)]
     pub struct LogEntry {
-        /// Its place.
+        /// Its index in the log.
         pub index: Index,
         /// The term of the leader that wrote it.
         pub term: Term,
-        /// What it says.
+        /// Its content.
         pub payload: Payload,
     }
 
-    /// What an entry says.
+    /// The content of an entry.
     #[derive(Hash)]
     pub enum Payload {
-        /// A leader took office; its term is the fencing number once this is committed.
+        /// A leader was elected; once this is committed, its term is the fencing number.
         Office {
             /// The leader.
             leader: VoterId,
         },
         /// A command for the state machine.
         Command(#[serde(with = "serde_bytes")] Vec<u8>),
-        /// The voters from here on.
+        /// The voters and learners from this entry on.
         Voters(Voters),
-        /// An operator replaced a majority that was lost for good by these voters.
+        /// An operator replaced a majority that was lost for good with these voters.
         Replaced(Voters),
     }
 
-    /// The term a voter is in, and whom it voted for.
+    /// The term that a voter is in, and its vote in that term.
     #[derive(Copy, Default, Hash)]
     pub struct HardState {
-        /// The term.
+        /// The current term.
         pub term: Term,
-        /// Whom it voted for in that term.
+        /// The candidate that it voted for in that term.
         pub vote: Option<VoterId>,
     }
 
-    /// The state of the machine after the entry at an index.
+    /// The state of the state machine after the entry at an index.
     #[derive(Hash)]
     pub struct Snapshot {
-        /// The last entry that it covers.
+        /// The index of the last entry that it covers.
         pub index: Index,
         /// That entry's term.
         pub term: Term,
@@ -55,36 +55,36 @@
         pub voters: Voters,
         /// The fencing number as of that entry.
         pub fence: Fence,
-        /// The machine's bytes.
+        /// The encoded state of the state machine.
         #[serde(with = "serde_bytes")]
         pub state: Vec<u8>,
     }
 }
 
-/// What a disk holds of one voter.
+/// The durable state of one voter.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct StoredState {
     /// The term and the vote.
     pub hard: HardState,
     /// The last snapshot.
     pub snapshot: Option<Arc<Snapshot>>,
-    /// The entries after it, and some before it for those who are a little behind.
+    /// The entries after the snapshot, and some before it for followers that are a little behind.
     pub entries: Vec<LogEntry>,
 }
 
-/// Something that a disk must do, in the order in which it is asked.
+/// One write to a disk; writes take effect in the order in which they are issued.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Write {
-    /// Keep the term and the vote.
+    /// Store the term and the vote.
     Hard(HardState),
-    /// Keep these entries; whatever stood at the first one's place and after it is gone.
+    /// Store these entries, which replace all earlier entries from the first one's index on.
     Append(Vec<LogEntry>),
-    /// Keep a snapshot and these entries in place of everything before.
+    /// Replace everything stored with a snapshot and entries.
     Replace(Box<StoredState>),
 }
 
 impl LogEntry {
-    /// The voters that this entry brings into force.
+    /// Returns the voters that this entry brings into force, if it changes them.
     pub fn voters(&self) -> Option<&Voters> {
         match &self.payload {
             Payload::Voters(voters) | Payload::Replaced(voters) => Some(voters),
@@ -92,9 +92,9 @@
         }
     }
 
-    /// About how many bytes it takes in a message.
+    /// Returns roughly how many bytes the entry takes in a message.
     pub fn approx_size(&self) -> usize {
-        /// What index, term and the names of the fields take.
+        /// The bytes for the index, the term and the field names.
         const ENTRY_OVERHEAD: usize = 64;
         match &self.payload {
             Payload::Command(bytes) => bytes.len() + ENTRY_OVERHEAD,
@@ -107,7 +107,7 @@
 }
 
 impl StoredState {
-    /// Does what a disk was asked, in memory.
+    /// Applies a write in memory as a disk would.
     pub fn apply(&mut self, write: &Write) {
         match write {
             Write::Hard(hard) => self.hard = *hard,
--- a/crates/control/src/force.rs
+++ b/crates/control/src/force.rs
@@ -1,9 +1,10 @@
-//! Replacement of a majority that was lost for good: an operator's explicit act.
+//! Replacement of a majority that was lost for good, at an operator's explicit request.
 //!
-//! The operator writes a file `force` into the data folder of the one voter that is left, with
-//! one line: the last place of its log, as status or the refusal tells it, and the words of
-//! [`CONFIRMATION`]. The next start makes this voter a cluster of its own. What the lost voters had
-//! committed beyond its log is gone; operators must read the history and submit it again.
+//! The operator writes a file `force` into the data folder of the one voter that is left. It holds
+//! one line: the last index of that voter's log, as the status or the refusal shows it, and the
+//! words of [`CONFIRMATION`]. The next start makes this voter a cluster of its own. Whatever the
+//! lost voters had committed beyond its log is gone; operators must read the history and submit it
+//! again.
 
 use std::fs;
 use std::io;
@@ -19,15 +20,15 @@
 use crate::storage::{io_error, Result, StorageError};
 use crate::voters::{ClusterId, Location, VoterId, Voters};
 
-/// What the operator must write after the last place of the log.
+/// The words that the operator must write after the last index of the log.
 pub const CONFIRMATION: &str = "changes after this may be lost";
 
-/// How far the term rises, so that no fencing number of a lost leader is as high.
+/// How much the term is raised, so that no fencing number of a lost leader is as high.
 pub const TERM_STEP: u64 = 1_000_000;
 
 const REQUEST_FILE: &str = "force";
 
-/// The last place of a stored log.
+/// Returns the last index of a stored log.
 pub fn last_index(stored: &StoredState) -> Index {
     let covered = stored.snapshot.as_ref().map_or(Index(0), |s| s.index);
     stored
@@ -36,18 +37,20 @@
         .map_or(covered, |e| e.index.max(covered))
 }
 
-/// Whether an operator asks for it.
+/// Whether an operator has requested the replacement.
 pub(crate) fn is_requested(folder: &Path) -> bool {
     folder.join(REQUEST_FILE).exists()
 }
 
-/// Makes the voter a cluster of its own, if an operator asks for it; whether one did.
+/// Makes the voter a cluster of its own if an operator has requested it; returns whether one has.
 ///
-/// Failures guarded against: a request that was left behind, or meant for another voter, is
-/// carried out (it must name the last place of this very log); a lost voter comes back and
-/// is counted (the cluster's id changes, so its messages are dropped); a folder put back from a
-/// copy votes as its original (it gets a new voter id); orders of the new leader are refused
-/// as old (the term rises by more than the lost voters can have used).
+/// These failures are guarded against:
+/// - A request that was left behind or meant for another voter is carried out: it must name the
+///   last index of this very log.
+/// - A lost voter comes back and is counted: the cluster's id changes, so its messages are dropped.
+/// - A folder that was restored from a copy votes as its original: it gets a new voter id.
+/// - Orders of the new leader are refused as outdated: the term rises by more than the lost voters
+///   can have used.
 pub(crate) fn replace_majority(
     folder: &Path,
     identity: &mut Identity,
@@ -78,7 +81,7 @@
     Ok(true)
 }
 
-/// Takes the request away once it is carried out.
+/// Removes the request once it has been carried out.
 pub(crate) fn remove_request(folder: &Path) -> Result<()> {
     let path = folder.join(REQUEST_FILE);
     match fs::remove_file(&path) {
--- a/crates/control/src/forming.rs
+++ b/crates/control/src/forming.rs
@@ -1,4 +1,4 @@
-//! How the first voters become a cluster, once; and how later ones find it.
+//! How the first voters form a cluster, once, and how later ones find it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,20 +8,20 @@
 use crate::voters::{ClusterId, Location, VoterId, Voters};
 
 data! {
-    /// Who asks who a control host is.
+    /// A request to a control host to say who it is.
     pub struct Hello {
-        /// The asker.
+        /// The sender.
         pub voter: VoterId,
     }
 
-    /// Who a control host is.
+    /// The identity of a control host and its cluster.
     pub struct ControlHost {
-        /// Its id, from its data folder.
+        /// Its voter id, from its data folder.
         pub voter: VoterId,
-        /// Where it is.
+        /// Its location.
         #[serde(rename = "seat")]
         pub location: Location,
-        /// Its cluster, once that is formed.
+        /// The cluster that it belongs to, once that is formed.
         pub cluster: Option<ClusterId>,
         /// The voters that the cluster was formed with.
         #[serde(rename = "formed")]
@@ -29,14 +29,14 @@
     }
 }
 
-/// The cluster to belong to, if that is clear from who has answered so far.
+/// Returns the cluster to join or form and its first voters, if the answers so far decide it.
 ///
-/// `known` holds the own host and those of `addresses` (sorted) that answered; `first` says whether
-/// a cluster may be formed at all.
+/// `known` holds the own host and those of the sorted `addresses` that have answered; `first` says
+/// whether a cluster may be formed at all.
 ///
-/// Failures guarded against: two hosts form two clusters (only the lowest address forms one); a
-/// host whose disk was wiped forms a new cluster beside the old one (none is formed unless every
-/// listed host is new, and a host that is not among its voters only learns).
+/// Only the host with the lowest address forms a cluster, so that two hosts never form two. None is
+/// formed unless every listed host is new, and a host that is not among the first voters joins as a
+/// learner; otherwise a host whose disk was wiped would form a new cluster beside the old one.
 pub fn choose_cluster(
     first: bool,
     own: SocketAddr,
--- a/crates/control/src/install.rs
+++ b/crates/control/src/install.rs
@@ -1,4 +1,4 @@
-//! Snapshots on their way from a leader to a follower that is far behind.
+//! Transfer of snapshots from a leader to a follower that is far behind.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::node::{Node, NodeEvent};
 use crate::voters::VoterId;
 
-/// A snapshot that is arriving.
+/// A snapshot that has arrived in part.
 #[derive(Debug, Clone, Hash)]
 pub(crate) struct IncomingSnapshot {
     head: SnapshotHead,
@@ -18,7 +18,7 @@
 }
 
 impl<M: StateMachine> Node<M> {
-    /// Begins to send the last snapshot to a follower whose next entries are gone.
+    /// Begins to send the last snapshot to a follower whose next entries are no longer kept.
     pub(crate) fn send_snapshot(&mut self, to: VoterId) {
         let Some(snapshot) = self.log.snapshot().cloned() else {
             return;
@@ -30,7 +30,7 @@
         self.send_piece(to);
     }
 
-    /// Sends the next piece of the snapshot under way.
+    /// Sends the next piece of the snapshot that is being transferred.
     pub(crate) fn send_piece(&mut self, to: VoterId) {
         let chunk = self.timing.chunk_size.as_bytes() as usize;
         let sent = self.now;
@@ -82,10 +82,10 @@
         }
     }
 
-    /// Adds a piece that follows on what has arrived; returns how much has arrived.
+    /// Adds a piece if it continues what has arrived; returns how many bytes have arrived.
     ///
-    /// Failure guarded against: pieces come twice, late or of two snapshots and make up a state
-    /// that never was. A piece counts at its offset in its own snapshot only.
+    /// A piece is used only at its offset in its own snapshot. Otherwise pieces that arrive twice,
+    /// late or from two snapshots could be joined into a state that never existed.
     fn add_piece(&mut self, head: SnapshotHead, offset: u64, bytes: &[u8]) -> u64 {
         let same = self.incoming.as_ref().is_some_and(|i| i.head == head);
         if !same {
@@ -103,7 +103,7 @@
         incoming.bytes.len() as u64
     }
 
-    /// Brings a whole snapshot into force; false where it is damaged.
+    /// Installs a complete snapshot; returns false if it is damaged.
     fn install(&mut self) -> bool {
         let Some(IncomingSnapshot { head, bytes }) = self.incoming.take() else {
             return false;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,19 +1,22 @@
-//! The control role: which configuration is in force.
+//! The control role: a replicated log of configuration changes and the state machines on top of it.
 //!
-//! - [`machine`]: the state machine that patches are applied to.
-//! - [`documents`]: the state machine of whole configurations, the highest number in force.
-//! - [`roster`]: which change of the voters a leader makes next by itself.
-//! - [`forming`]: how the first voters become a cluster, once.
-//! - [`apply`]: what the replicated log asks of a state machine.
-//! - [`node`]: one voter of the replicated log, without disk, wire or clock.
-//!   `election`, `replicate`, `install`, `change` and `role` are its parts.
-//! - [`voters`]: who votes, and how that may change.
-//! - [`entry`]: what stands in the log and on the disk.
+//! The log follows the Raft protocol, with pre-vote, check-quorum, leader leases and learners.
+//!
+//! - [`machine`]: the state machine that applies patches to a configuration.
+//! - [`documents`]: the state machine that replaces whole configurations; the highest version is in
+//!   force.
+//! - [`roster`]: the membership change that a leader makes next on its own.
+//! - [`forming`]: how the first voters form a cluster, once.
+//! - [`apply`]: the trait that a state machine on the replicated log implements.
+//! - [`node`]: one voter of the replicated log, without disk, network or clock; its code is split
+//!   over `election`, `replicate`, `install` (snapshots), `change` (membership) and `role`.
+//! - [`voters`]: the voters and learners, and the rules for changing them.
+//! - [`entry`]: the entries of the log and the state that a disk holds.
 //! - [`log`]: the log in memory.
-//! - [`message`]: what voters say to each other.
-//! - [`timing`]: timeouts, bounds and chance.
-//! - [`storage`]: what a voter asks of a disk.
-//! - [`disk`]: a voter's data folder, out of [`record`], [`identity`] and small `files`.
+//! - [`message`]: the messages between voters.
+//! - [`timing`]: timeouts, limits and the random number generator of a voter.
+//! - [`storage`]: the trait through which a voter writes to a disk.
+//! - [`disk`]: a voter's data folder, made of [`record`]s, an [`identity`] and small `files`.
 //! - [`force`]: replacement of a majority that was lost for good.
 
 pub mod apply;
--- a/crates/control/src/log.rs
+++ b/crates/control/src/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory: the last snapshot, and the entries around and after it.
+//! The log in memory: the last snapshot, and the entries shortly before and after it.
 
 use std::sync::Arc;
 
@@ -9,20 +9,20 @@
 
 /// The last snapshot and the entries kept in memory.
 ///
-/// Some entries before the snapshot stay, so that a voter a little behind gets entries
+/// Some entries before the snapshot are kept, so that a voter that is a little behind gets entries
 /// instead of the whole state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Log {
     snapshot: Option<Arc<Snapshot>>,
     entries: Vec<LogEntry>,
-    /// The index and term before the first entry kept.
+    /// The index and term of the entry before the first one kept.
     base: (Index, Term),
-    /// The voters at the base, and each later set with its place.
+    /// The voters at the base, and each later set of voters with its index.
     voter_sets: Vec<(Index, Voters)>,
 }
 
 impl Log {
-    /// The log that a disk holds, formed with these voters if it holds no snapshot.
+    /// Creates the log from stored state; without a snapshot it begins with `first_voters`.
     pub fn new(stored: StoredState, first_voters: Voters) -> Self {
         let StoredState {
             snapshot, entries, ..
@@ -41,11 +41,11 @@
         log
     }
 
-    /// Takes entries from the disk, where they join the snapshot.
+    /// Loads the entries from the disk that continue the snapshot.
     ///
-    /// Failure guarded against: a crash after an installed snapshot was kept, before the older
-    /// log was replaced. The old log's later entries may differ from what was committed; they
-    /// count only where the log has the snapshot's last entry itself.
+    /// After a crash between storing an installed snapshot and replacing the older log, that log's
+    /// later entries may differ from what was committed. They are used only if the log contains the
+    /// snapshot's last entry itself.
     fn load_entries(&mut self, entries: Vec<LogEntry>) {
         let (index, term) = self.base;
         let joins = match entries.first() {
@@ -59,32 +59,32 @@
         }
     }
 
-    /// The last snapshot.
+    /// Returns the last snapshot.
     pub fn snapshot(&self) -> Option<&Arc<Snapshot>> {
         self.snapshot.as_ref()
     }
 
-    /// The last place that the snapshot covers.
+    /// Returns the last index that the snapshot covers, or 0 without one.
     pub fn snapshot_index(&self) -> Index {
         self.snapshot.as_ref().map_or(Index(0), |s| s.index)
     }
 
-    /// The place before the first entry kept.
+    /// Returns the index before the first entry kept.
     pub fn base(&self) -> Index {
         self.base.0
     }
 
-    /// The last place.
+    /// Returns the last index.
     pub fn last_index(&self) -> Index {
         self.entries.last().map_or(self.base.0, |e| e.index)
     }
 
-    /// The last entry's term.
+    /// Returns the last entry's term.
     pub fn last_term(&self) -> Term {
         self.entries.last().map_or(self.base.1, |e| e.term)
     }
 
-    /// The term at a place that is kept.
+    /// Returns the term at an index, if it is kept.
     pub fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.base.0 {
             return Some(self.base.1);
@@ -92,13 +92,13 @@
         self.get(index).map(|e| e.term)
     }
 
-    /// The entry at a place that is kept.
+    /// Returns the entry at an index, if it is kept.
     pub fn get(&self, index: Index) -> Option<&LogEntry> {
         let offset = index.get().checked_sub(self.base.0.get() + 1)?;
         self.entries.get(offset as usize)
     }
 
-    /// The entries after a place, as many as fit the bound, at least one.
+    /// Returns the entries after an index, as many as fit into `bound` bytes but at least one.
     pub fn entries_after(&self, index: Index, bound: usize) -> Vec<LogEntry> {
         let skip = index.get().saturating_sub(self.base.0.get()) as usize;
         let mut size = 0;
@@ -113,23 +113,30 @@
         found
     }
 
-    /// The voters in force: the last set in the log, committed or not.
+    /// Returns the voters in force: the last set in the log, committed or not.
     pub fn voters(&self) -> &Voters {
-        &self.voter_sets.last().expect("the base has its voters").1
+        &self
+            .voter_sets
+            .last()
+            .expect("the base has a set of voters")
+            .1
     }
 
-    /// Where the last set of voters stands.
+    /// Returns the index of the last set of voters.
     pub fn voters_index(&self) -> Index {
-        self.voter_sets.last().expect("the base has its voters").0
+        self.voter_sets
+            .last()
+            .expect("the base has a set of voters")
+            .0
     }
 
-    /// The voters as of a place.
+    /// Returns the voters as of an index.
     pub fn voters_at(&self, index: Index) -> &Voters {
         let found = self.voter_sets.iter().rev().find(|(i, _)| *i <= index);
         &found.unwrap_or(&self.voter_sets[0]).1
     }
 
-    /// Adds entries at their places; whatever stood there and after is gone.
+    /// Appends entries; they replace all earlier entries from the first one's index on.
     pub fn append(&mut self, entries: Vec<LogEntry>) {
         let Some(first) = entries.first() else {
             return;
@@ -150,16 +157,19 @@
         self.voter_sets.retain(|(i, _)| *i < from || *i == base);
     }
 
-    /// Whether a log that ends so holds all that this one may have committed.
+    /// Whether a log that ends at this term and index is at least as up to date as this one, so
+    /// that it holds every entry that may be committed here.
     pub fn is_up_to_date(&self, term: Term, index: Index) -> bool {
         (term, index) >= (self.last_term(), self.last_index())
     }
 
-    /// Takes a snapshot of one's own state and drops entries but the last `keep` before it.
+    /// Stores a snapshot of the own state, and drops all entries before it but the last `keep`.
     pub fn compact(&mut self, snapshot: Arc<Snapshot>, keep: u64) {
         let base = Index(snapshot.index.get().saturating_sub(keep));
         if base > self.base.0 {
-            let term = self.term_at(base).expect("the place is kept");
+            let term = self
+                .term_at(base)
+                .expect("the index is at or after the base");
             let voters = self.voters_at(base).clone();
             let drop = (base.get() - self.base.0.get()) as usize;
             self.entries.drain(..drop);
@@ -170,7 +180,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Takes a snapshot from the leader; entries stay only where they join it.
+    /// Stores a snapshot from the leader; later entries are kept only if they continue it.
     pub fn install(&mut self, snapshot: Arc<Snapshot>) {
         let joins = self.term_at(snapshot.index) == Some(snapshot.term);
         let later = if joins {
@@ -185,7 +195,7 @@
         self.append(later);
     }
 
-    /// All that a disk must hold to bring this log back.
+    /// Returns the state that a disk must hold to restore this log.
     pub fn to_stored(&self, hard: crate::entry::HardState) -> StoredState {
         StoredState {
             hard,
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -1,11 +1,11 @@
-//! The state machine of the control role: the configuration, its history and verdicts.
+//! The state machine that applies patches: the configuration, its history and the verdicts.
 //!
-//! Every voter applies the same commands in the same order and comes to the same state. Nothing
-//! here reads a clock or draws at random: author, time and reason come with the command. Fencing
-//! numbers are the log's own: each term of office has one.
+//! Every voter applies the same commands in the same order and reaches the same state. Nothing
+//! here reads a clock or a random number: author, time and reason come with the command. Fencing
+//! numbers come from the log, one for each term with a leader.
 //!
-//! - [`command`]: what the log carries.
-//! - [`history`]: the last versions, who made them and why.
+//! - [`command`]: the commands in the log and their replies.
+//! - [`history`]: the last versions, with their authors and reasons.
 //! - [`verdicts`]: the first verdict of each patch id.
 
 pub mod command;
@@ -23,11 +23,11 @@
 pub use history::{Bounds, History, HistoryEntry, HistoryError};
 pub use verdicts::{PatchDigest, Verdicts};
 
-/// How many versions are passed over when a lost majority is replaced: more than could have
-/// been accepted and lost unseen.
+/// The number of versions that are skipped when a lost majority is replaced: more than can have
+/// been accepted and lost unnoticed.
 const SKIPPED_VERSIONS: u64 = 1_000;
 
-/// The configuration in force and what led to it.
+/// The configuration in force, its history and the verdicts on patches.
 #[derive(Debug, Default)]
 pub struct ConfigMachine {
     config: Arc<Config>,
@@ -36,7 +36,7 @@
 }
 
 impl ConfigMachine {
-    /// Starts from a configuration.
+    /// Creates a machine that starts from this configuration.
     pub fn new(config: Config) -> Self {
         let config = Arc::new(config);
         Self {
@@ -46,29 +46,28 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> &Arc<Config> {
         &self.config
     }
 
-    /// The last versions, who made them and why.
+    /// Returns the last versions, with their authors and reasons.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// Carries a command out.
+    /// Executes a command.
     pub fn execute(&mut self, command: &Command) -> Reply {
         match command {
             Command::Submit(submission) => Reply::Verdict(self.submit(submission)),
         }
     }
 
-    /// Applies a patch whole or refuses it whole.
+    /// Applies a patch as a whole, or refuses it as a whole.
     ///
-    /// Failure guarded against: an operator resends a patch whose answer was lost, and it takes
-    /// effect twice. The first verdict is kept under the patch's id and given again. A verdict
-    /// that fell out of memory does no harm: an accepted patch raised the version, so that its
-    /// resend is a conflict.
+    /// The first verdict is kept under the patch's id and returned again for a resend, so that a
+    /// patch whose answer was lost does not take effect twice. A verdict that was evicted does no
+    /// harm: an accepted patch raised the version, so that its resend is a conflict.
     pub fn submit(&mut self, submission: &Submission) -> Verdict {
         let Submission {
             patch,
@@ -94,7 +93,7 @@
         verdict
     }
 
-    /// What a patch would come to now; nothing changes.
+    /// Returns the verdict that a patch would get now, without applying it.
     pub fn dry_run(&self, patch: &Patch) -> Verdict {
         match patch.prepare(&self.config) {
             Ok(change) => Verdict::Accepted {
@@ -104,7 +103,7 @@
         }
     }
 
-    /// The whole state, to be restored by [`ConfigMachine::from_state`].
+    /// Returns the whole state, which [`ConfigMachine::from_state`] restores.
     pub fn state(&self) -> State {
         State {
             config: self.config.as_ref().clone(),
@@ -114,7 +113,7 @@
         }
     }
 
-    /// The machine that had this state.
+    /// Restores a machine from its state.
     pub fn from_state(state: State) -> Result<Self, HistoryError> {
         let mut history = History::new(Arc::new(state.base), Bounds::default());
         for entry in state.history {
@@ -147,15 +146,15 @@
         pub config: Config,
         /// The configuration before the oldest entry of the history.
         pub base: Config,
-        /// The last versions.
+        /// The history of the last versions, oldest first.
         pub history: Vec<HistoryEntry>,
-        /// The verdicts that are remembered.
+        /// The verdicts on the latest patches.
         pub verdicts: Verdicts,
     }
 }
 
 impl Submission {
-    /// A patch without an author, as tests and the demonstration submit it.
+    /// Creates a submission without an author, as tests and the demonstration need it.
     pub fn new(patch: Patch) -> Self {
         Self {
             patch,
@@ -164,14 +163,14 @@
         }
     }
 
-    /// Says who submits it.
+    /// Sets the author.
     #[must_use]
     pub fn with_author(mut self, author: OperatorId) -> Self {
         self.author = Some(author);
         self
     }
 
-    /// Says when it was submitted.
+    /// Sets the time of submission.
     #[must_use]
     pub fn with_time(mut self, time: WallTime) -> Self {
         self.time = time;
@@ -189,7 +188,7 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        rmp_serde::to_vec_named(&self.state()).expect("the state is plain data")
+        rmp_serde::to_vec_named(&self.state()).expect("the state can be encoded")
     }
 
     fn restore(&mut self, bytes: &[u8]) -> apply::Result<()> {
@@ -199,9 +198,10 @@
         Ok(())
     }
 
-    /// Failure guarded against: versions that were accepted and then lost with their majority
-    /// are still in force at some entry, and the same numbers are given out again. It shows as
-    /// two contents under one number. The numbers go on well above the lost ones.
+    /// Skips versions, so that numbering continues well above any version that was lost.
+    ///
+    /// A version that was accepted and then lost with its majority may still be in force at some
+    /// entry. If its number were assigned again, two contents would exist under one number.
     fn majority_replaced(&mut self, _: Index) {
         let from = self.config.version;
         let delta = Delta::new(from, Version::new(from.get() + SKIPPED_VERSIONS));
--- a/crates/control/src/machine/command.rs
+++ b/crates/control/src/machine/command.rs
@@ -1,4 +1,4 @@
-//! What the replicated log carries for the state machine, and what comes back.
+//! The commands that the replicated log carries for the state machine, and their replies.
 
 use std::fmt;
 
@@ -6,32 +6,32 @@
 use snipemast_core::prelude::*;
 
 data! {
-    /// A command of the log.
+    /// A command for the state machine.
     pub enum Command {
         /// An operator submits a patch.
         Submit(Submission),
     }
 
-    /// A patch, who submits it and when.
+    /// A patch with its author and time.
     pub struct Submission {
         /// The patch.
         pub patch: Patch,
-        /// The operator whose key came with it; nobody before the first operator is configured.
+        /// The operator whose key came with it; none before the first operator is configured.
         pub author: Option<OperatorId>,
-        /// The wall clock of the host that took it.
+        /// The wall-clock time of the host that received it.
         pub time: WallTime,
     }
 
-    /// What a command came to.
+    /// The reply to a command.
     pub enum Reply {
         /// The verdict on a patch.
         Verdict(Verdict),
-        /// The command is not one that this release knows.
+        /// This release does not know the command.
         Unknown,
     }
 }
 
-/// Bytes that are no command of this release.
+/// The bytes are no command of this release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CommandError;
 
@@ -44,24 +44,24 @@
 impl std::error::Error for CommandError {}
 
 impl Command {
-    /// The bytes that the log carries.
+    /// Encodes the command for the log.
     pub fn to_bytes(&self) -> Vec<u8> {
-        rmp_serde::to_vec_named(self).expect("commands are plain data")
+        rmp_serde::to_vec_named(self).expect("the command can be encoded")
     }
 
-    /// The command that these bytes hold.
+    /// Decodes a command.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, CommandError> {
         rmp_serde::from_slice(bytes).map_err(|_| CommandError)
     }
 }
 
 impl Reply {
-    /// The bytes of a verdict, as the log hands them back.
+    /// Encodes the reply, which the log returns as the verdict on the command.
     pub fn to_bytes(&self) -> Vec<u8> {
-        rmp_serde::to_vec_named(self).expect("replies are plain data")
+        rmp_serde::to_vec_named(self).expect("the reply can be encoded")
     }
 
-    /// The reply that these bytes hold.
+    /// Decodes a reply; bytes that are no reply count as [`Reply::Unknown`].
     pub fn from_bytes(bytes: &[u8]) -> Self {
         rmp_serde::from_slice(bytes).unwrap_or(Self::Unknown)
     }
--- a/crates/control/src/machine/history.rs
+++ b/crates/control/src/machine/history.rs
@@ -1,4 +1,4 @@
-//! The last versions of the configuration: who made them, when, and why.
+//! The last versions of the configuration, with their authors, times and reasons.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -7,24 +7,24 @@
 use snipemast_config::{Config, Delta, Patch, WallTime};
 use snipemast_core::prelude::*;
 
-/// The result of looking into the history.
+/// The result of reading the history.
 pub type Result<T> = std::result::Result<T, HistoryError>;
 
-/// A version that the history can't show.
+/// The history cannot show a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HistoryError {
-    /// It fell out, or it is not there yet.
+    /// The version is no longer kept, or does not exist yet.
     Unknown {
-        /// The version that was asked for.
+        /// The requested version.
         asked: Version,
         /// The oldest version that is kept.
         oldest: Version,
-        /// The newest version.
+        /// The newest version that is kept.
         newest: Version,
     },
     /// The stored history does not lead to this version.
     Broken {
-        /// The version.
+        /// The version that could not be reached.
         version: Version,
     },
 }
@@ -50,25 +50,25 @@
 impl std::error::Error for HistoryError {}
 
 data! {
-    /// One version: how it came about.
+    /// One version and the change that led to it.
     pub struct HistoryEntry {
         /// The version.
         pub version: Version,
-        /// The patch that made it; none where a lost majority was replaced.
+        /// The patch that created it; none if a lost majority was replaced.
         pub patch: Option<PatchId>,
-        /// Who submitted the patch.
+        /// The operator who submitted the patch.
         pub author: Option<OperatorId>,
-        /// When, by the wall clock of the host that took it.
+        /// The wall-clock time of the host that received the patch.
         pub time: WallTime,
-        /// Why, in the author's words.
+        /// The reason, in the author's words.
         pub reason: String,
-        /// What changed.
+        /// The difference from the previous version.
         pub delta: Delta,
     }
 }
 
 impl HistoryEntry {
-    /// The entry of an accepted patch.
+    /// Creates the entry of an accepted patch.
     pub fn new(patch: &Patch, author: Option<OperatorId>, time: WallTime, delta: Delta) -> Self {
         Self {
             version: delta.to,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The entry that passes over versions which a lost majority may have given out.
+    /// Creates the entry that skips versions which a lost majority may have assigned.
     pub fn replaced(delta: Delta) -> Self {
         Self {
             version: delta.to,
@@ -93,17 +93,17 @@
     }
 }
 
-/// How much a history keeps.
+/// The limits of a history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// The number of versions.
+    /// The number of versions that are kept at least.
     pub versions: usize,
-    /// The number of versions between two that are kept whole.
+    /// The number of versions from one full configuration to the next.
     pub checkpoint_interval: usize,
 }
 
 impl Default for Bounds {
-    /// Two days of 430 changes each and some, with a whole version for each 64.
+    /// Keeps somewhat more than two days of 430 changes each, with a full configuration every 64.
     fn default() -> Self {
         Self {
             versions: 1_024,
@@ -114,8 +114,8 @@
 
 /// The last versions.
 ///
-/// Deltas lead from version to version. Some versions are kept whole besides, so that no
-/// version is more than [`Bounds::checkpoint_interval`] deltas away.
+/// Deltas lead from version to version. Some versions are also kept as full configurations, so that
+/// every version can be rebuilt with at most [`Bounds::checkpoint_interval`] deltas.
 #[derive(Debug)]
 pub struct History {
     bounds: Bounds,
@@ -131,7 +131,7 @@
 }
 
 impl History {
-    /// A history that begins with this version.
+    /// Creates a history that begins with this version.
     pub fn new(base: Arc<Config>, bounds: Bounds) -> Self {
         Self {
             bounds,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Adds the version that follows.
+    /// Adds the next version.
     pub fn push(&mut self, entry: HistoryEntry, config: &Arc<Config>) {
         self.entries.push_back(entry);
         self.newest = Arc::clone(config);
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Forgets the oldest versions, up to the next one that is kept whole.
+    /// Drops the oldest versions, up to the next full configuration.
     fn drop_oldest(&mut self) {
         self.checkpoints.pop_front();
         let oldest = self.base().version;
@@ -165,22 +165,22 @@
         }
     }
 
-    /// The oldest version, whole.
+    /// Returns the oldest full configuration.
     pub fn base(&self) -> &Arc<Config> {
         self.checkpoints.front().unwrap_or(&self.newest)
     }
 
-    /// The newest version, whole.
+    /// Returns the newest configuration.
     pub fn newest(&self) -> &Arc<Config> {
         &self.newest
     }
 
-    /// The entries, oldest first.
+    /// Returns the entries, oldest first.
     pub fn entries(&self) -> impl DoubleEndedIterator<Item = &HistoryEntry> {
         self.entries.iter()
     }
 
-    /// A version, whole.
+    /// Rebuilds the configuration of a version.
     pub fn config_at(&self, version: Version) -> Result<Arc<Config>> {
         if version == self.newest.version {
             return Ok(Arc::clone(&self.newest));
@@ -205,7 +205,7 @@
         Ok(Arc::new(config))
     }
 
-    /// What leads from one version to another, in either direction.
+    /// Returns the delta from one version to another, in either direction.
     pub fn diff(&self, from: Version, to: Version) -> Result<Delta> {
         Ok(Delta::between(
             self.config_at(from)?.as_ref(),
@@ -213,7 +213,7 @@
         ))
     }
 
-    /// What leads from a version to the newest, or nothing where it fell out.
+    /// Returns the delta from a version to the newest, or `None` if the version is no longer kept.
     pub fn delta_since(&self, version: Version) -> Option<Delta> {
         Delta::joined(self.entries.iter().map(|e| &e.delta), version)
     }
--- a/crates/control/src/machine/verdicts.rs
+++ b/crates/control/src/machine/verdicts.rs
@@ -5,22 +5,22 @@
 use snipemast_config::{KeyHash, Patch, Refusal, Verdict};
 use snipemast_core::prelude::*;
 
-/// How many verdicts are remembered: some days of patches.
+/// The number of verdicts that are kept: several days of patches.
 const MAX_VERDICTS: usize = 4_096;
 
 data! {
-    /// What a patch says, in short: two patches with one digest are the same.
+    /// A digest of a patch and its author; patches with the same digest count as the same.
     #[derive(Copy)]
     pub struct PatchDigest(KeyHash);
 
-    /// The first verdict of each patch id; the oldest are forgotten.
+    /// The first verdict of each patch id; the oldest are evicted.
     #[derive(Default)]
     pub struct Verdicts {
         known: BTreeMap<PatchId, KnownVerdict>,
         order: VecDeque<PatchId>,
     }
 
-    /// A verdict, and of which patch.
+    /// A verdict, and the digest of its patch.
     struct KnownVerdict {
         digest: PatchDigest,
         verdict: Verdict,
@@ -28,7 +28,7 @@
 }
 
 impl PatchDigest {
-    /// The digest of a patch of this author.
+    /// Computes the digest of a patch by this author.
     pub fn compute(patch: &Patch, author: Option<&OperatorId>) -> Self {
         let author = author.map_or("", OperatorId::as_str);
         let Patch {
@@ -43,10 +43,10 @@
 }
 
 impl Verdicts {
-    /// The verdict on an id, for a patch with this digest.
+    /// Returns the verdict on an id for a patch with this digest, if the id is known.
     ///
-    /// Failure guarded against: two operators choose one id, and the second is told that its
-    /// patch was accepted when the first one's was. Another digest under a known id is refused.
+    /// Another digest under a known id is refused. Otherwise, when two operators choose the same
+    /// id, the second would be told that its patch was accepted when only the first one's was.
     pub fn find(&self, id: &PatchId, digest: &PatchDigest) -> Option<Verdict> {
         let known = self.known.get(id)?;
         if known.digest == *digest {
@@ -57,7 +57,7 @@
         })
     }
 
-    /// Remembers the verdict on an id that had none.
+    /// Stores the verdict on an id that had none.
     pub fn remember(&mut self, id: PatchId, digest: PatchDigest, verdict: Verdict) {
         self.order.push_back(id.clone());
         self.known.insert(id, KnownVerdict { digest, verdict });
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -1,4 +1,4 @@
-//! What voters say to each other.
+//! The messages between voters.
 
 use snipemast_core::data;
 use snipemast_core::prelude::*;
@@ -7,101 +7,102 @@
 use crate::voters::{ClusterId, VoterId, Voters};
 
 data! {
-    /// A message with its sender and addressee.
+    /// A message with its sender and recipient.
     #[derive(Hash)]
     pub struct Envelope {
         /// The cluster that both belong to.
         pub cluster: ClusterId,
-        /// Who sent it.
+        /// The sender.
         pub from: VoterId,
-        /// Which start of the sender's process, counted in its data folder.
+        /// The number of times that the sender's process has started, as counted in its data
+        /// folder.
         pub start: u64,
-        /// Whom it is for.
+        /// The recipient.
         pub to: VoterId,
         /// The sender's term.
         pub term: Term,
-        /// What it says.
+        /// The message itself.
         pub message: Message,
     }
 
-    /// What a voter says.
+    /// A message between two voters.
     #[derive(Hash)]
     pub enum Message {
-        /// Would you vote for me in the next term?
+        /// Asks whether the recipient would vote for the sender in the next term.
         PreVote {
             /// The term that would begin.
             next: Term,
-            /// The last entry of the asker's log.
+            /// The last entry of the sender's log.
             last: Position,
         },
         /// The answer to a pre-vote.
         PreVoted {
-            /// The term that was asked about.
+            /// The term that the pre-vote was for.
             next: Term,
-            /// Whether the vote would be given.
+            /// Whether the vote would be granted.
             granted: bool,
         },
-        /// Vote for me in my term.
+        /// Asks for the recipient's vote in the sender's term.
         Vote {
             /// The last entry of the candidate's log.
             last: Position,
         },
         /// The answer to a vote.
         Voted {
-            /// Whether the vote was given.
+            /// Whether the vote was granted.
             granted: bool,
         },
-        /// The leader's entries, or its heartbeat.
+        /// Entries from the leader; without entries it is a heartbeat.
         Append {
-            /// The entry before the first one sent.
+            /// The entry before the first one in this message.
             previous: Position,
             /// The entries.
             entries: Vec<LogEntry>,
-            /// How far the log is committed.
+            /// The leader's commit index.
             commit: Index,
-            /// When it was sent, on the leader's clock; comes back in the answer.
+            /// The time of sending on the leader's clock, which the answer repeats.
             sent: Moment,
         },
-        /// The follower's synced log agrees with the leader's up to here.
+        /// The follower's synced log matches the leader's up to an index.
         Matched {
-            /// The last place that agrees and is synced.
+            /// The last index that matches and is synced.
             index: Index,
-            /// The leader's moment.
+            /// The time of sending, repeated from the leader's message.
             sent: Moment,
         },
-        /// The follower's log has another entry before the first one sent, or none.
+        /// The follower's log has no entry or a different one before the first entry sent.
         Mismatched {
-            /// The last place where it may agree.
+            /// The last index at which the logs may match.
             hint: Index,
-            /// The last place of the follower's log.
+            /// The last index of the follower's log.
             last: Index,
-            /// The leader's moment.
+            /// The time of sending, repeated from the leader's message.
             sent: Moment,
         },
         /// A piece of a snapshot.
         Install {
-            /// Which snapshot.
+            /// The head of the snapshot, which identifies it.
             head: Box<SnapshotHead>,
-            /// Where the piece begins.
+            /// The byte offset of the piece.
             offset: u64,
-            /// The piece.
+            /// The bytes of the piece.
             #[serde(with = "serde_bytes")]
             bytes: Vec<u8>,
-            /// When it was sent, on the leader's clock.
+            /// The time of sending on the leader's clock.
             sent: Moment,
         },
-        /// So much of a snapshot has arrived.
+        /// The follower has received a part of a snapshot.
         Installed {
-            /// The last entry that the snapshot covers.
+            /// The index of the last entry that the snapshot covers.
             index: Index,
-            /// How many bytes have arrived in order.
+            /// The number of bytes that have arrived in order.
             received: u64,
-            /// The leader's moment.
+            /// The time of sending, repeated from the leader's message.
             sent: Moment,
         },
     }
 
-    /// A place in a log.
+    /// A position in a log.
     #[derive(Copy, Default, PartialOrd, Ord, Hash)]
     pub struct Position {
         /// The entry's term.
@@ -110,7 +111,7 @@
         pub index: Index,
     }
 
-    /// What a snapshot holds beside the machine's bytes.
+    /// The parts of a snapshot other than the state of the state machine.
     #[derive(Hash)]
     pub struct SnapshotHead {
         /// The last entry that it covers.
@@ -119,15 +120,15 @@
         pub voters: Voters,
         /// The fencing number as of that entry.
         pub fence: Fence,
-        /// The length of the machine's bytes.
+        /// The length of the encoded state in bytes.
         pub total: u64,
-        /// The CRC-32 of the machine's bytes.
+        /// The CRC-32 of the encoded state.
         pub checksum: u32,
     }
 }
 
 impl Position {
-    /// The place of an entry.
+    /// Creates the position of an entry.
     pub const fn new(term: Term, index: Index) -> Self {
         Self { term, index }
     }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,8 +1,8 @@
-//! One voter of the replicated log, as a plain state machine.
+//! One voter of the replicated log, as a state machine without I/O.
 //!
-//! Time, chance, identity, disk and wire stand outside: [`Node::handle`] takes one [`Input`] and
-//! returns what is to be done. Nothing that promises durability leaves before the disk has
-//! said so with [`Input::Synced`].
+//! Time, randomness, identity, disk and network stay outside: [`Node::handle`] takes one [`Input`]
+//! and returns the resulting [`Output`]s. A message that promises durability is sent only after the
+//! disk has confirmed the writes with [`Input::Synced`].
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -22,46 +22,46 @@
 use crate::voters::{ChangeError, ClusterId, VoterChange, VoterId, Voters};
 
 number_ids! {
-    /// A caller's number for a command or change, which its answer carries.
+    /// A number that a caller gives to a command or change and that the answer carries.
     Ticket;
 }
 
-/// What a voter is started with.
+/// The parameters with which a voter is started.
 #[derive(Debug, Clone)]
 pub struct NodeParams {
-    /// Its id, from its data folder.
+    /// The voter's id, from its data folder.
     pub id: VoterId,
-    /// Which start of its data folder this is.
+    /// The number of times that a process has started on the data folder, this one included.
     pub start: u64,
-    /// Its cluster.
+    /// The cluster that it belongs to.
     pub cluster: ClusterId,
-    /// The voters that the cluster was formed with, or none for a learner.
+    /// The voters that the cluster was formed with, or none if this voter joined as a learner.
     pub first_voters: Voters,
-    /// What its disk holds.
+    /// The state that its disk holds.
     pub stored: StoredState,
-    /// Timeouts and bounds.
+    /// Timeouts and limits.
     pub timing: Timing,
-    /// Seeds its chance.
+    /// The seed of its random number generator.
     pub seed: u64,
 }
 
-/// What happens to a voter.
+/// An input to a voter.
 #[derive(Debug, Clone)]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// A message has come.
+    /// A message has arrived.
     Receive(Envelope),
-    /// A command is submitted.
+    /// A caller submits a command.
     Propose {
-        /// The caller's number.
+        /// The caller's ticket.
         ticket: Ticket,
         /// The command.
         command: Vec<u8>,
     },
-    /// A change of the voters is submitted.
+    /// A caller submits a membership change.
     Change {
-        /// The caller's number.
+        /// The caller's ticket.
         ticket: Ticket,
         /// The change.
         change: VoterChange,
@@ -73,26 +73,26 @@
     },
 }
 
-/// What a voter wants done.
+/// An action that a voter requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
     /// Write to the disk, in this order, and sync.
     Write {
         /// The write's number.
         number: u64,
-        /// What to write.
+        /// The content of the write.
         write: Write,
     },
     /// Send a message; it may be lost.
     Send(Envelope),
     /// Answer a caller.
     Answer {
-        /// The caller's number.
+        /// The caller's ticket.
         ticket: Ticket,
-        /// The verdict, or why there is none.
+        /// The verdict, or the reason why there is none.
         answer: Result<Vec<u8>, Refusal>,
     },
-    /// Note an event.
+    /// Report an event.
     Event(NodeEvent),
 }
 
@@ -100,55 +100,56 @@
     /// Why a command or change has no verdict.
     #[derive(Hash)]
     pub enum Refusal {
-        /// This voter does not lead; nothing was accepted.
+        /// This voter is not the leader; nothing was accepted.
         NotLeader {
-            /// Who leads, if that is known.
+            /// The leader, if it is known.
             leader: Option<VoterId>,
         },
-        /// No majority is in reach; nothing was accepted.
+        /// No majority can be reached; nothing was accepted.
         NoQuorum,
-        /// Too many commands wait; nothing was accepted.
+        /// Too many commands are waiting; nothing was accepted.
         Busy,
-        /// The leader lost its office first: a resend under the same id learns the verdict.
+        /// The leader stepped down before the verdict was known; a resend under the same id gets
+        /// it.
         Unknown,
-        /// The voters can't be changed so.
+        /// The membership change is not allowed.
         Change(ChangeError),
     }
 }
 
-/// Something worth an event.
+/// An event that a voter reports for the log of events.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NodeEvent {
     /// This voter was elected.
     Elected(Term),
-    /// Its office is in the log: it may give orders with this fencing number.
+    /// The first entry of its term is committed, so it may issue this fencing number.
     LeaderReady(Fence),
-    /// Its term of office ended.
+    /// This voter stopped leading in this term.
     SteppedDown(Term),
-    /// The voters changed.
+    /// A membership change was committed.
     VotersChanged(Voters),
     /// A snapshot was taken or installed.
     SnapshotSaved(Index),
     /// An operator replaced a lost majority.
     MajorityReplaced(Index),
-    /// A voter lost what it had said was synced; it counts for nothing any more.
+    /// A voter lost entries that it had acknowledged as synced; it is no longer counted.
     Regressed(VoterId),
-    /// Two processes speak under one id; the one that started first is not heard.
+    /// Two processes use the same voter id; messages of the one that started first are dropped.
     Outdated(VoterId),
-    /// A leader contradicts what is committed; its message was dropped.
+    /// A leader sent an entry that contradicts a committed one; its message was dropped.
     Contradicted(Index),
-    /// A snapshot that the machine can't read was dropped.
+    /// A snapshot that the state machine cannot restore was dropped.
     SnapshotUnreadable(Index),
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotLeader { leader: Some(id) } => write!(f, "{id} leads"),
+            Self::NotLeader { leader: Some(id) } => write!(f, "voter {id} is the leader"),
             Self::NotLeader { leader: None } => f.write_str("no leader is known"),
-            Self::NoQuorum => f.write_str("no majority of the voters is in reach"),
-            Self::Busy => f.write_str("too many patches wait for their verdict"),
-            Self::Unknown => f.write_str("the leader changed: send it again under the same id"),
+            Self::NoQuorum => f.write_str("no majority of the voters can be reached"),
+            Self::Busy => f.write_str("too many patches are waiting for their verdict"),
+            Self::Unknown => f.write_str("the leader changed; resend it under the same id"),
             Self::Change(e) => write!(f, "{e}"),
         }
     }
@@ -156,7 +157,7 @@
 
 impl std::error::Error for Refusal {}
 
-/// One voter or learner.
+/// A voter or learner of the replicated log.
 #[derive(Debug, Clone, Hash)]
 pub struct Node<M> {
     pub(crate) id: VoterId,
@@ -173,24 +174,30 @@
     pub(crate) fence: Fence,
     pub(crate) role: Role,
     pub(crate) leader: Option<VoterId>,
-    /// When a leader was last heard, or when this process started.
+    /// When a message from a leader last arrived, or when this process started.
     pub(crate) last_heard: Moment,
-    /// When it stands for election.
+    /// When it starts an election unless it hears a leader.
     pub(crate) election_due: Moment,
-    /// A snapshot that is arriving.
+    /// A snapshot that has arrived in part.
     pub(crate) incoming: Option<crate::install::IncomingSnapshot>,
+    /// The highest start count seen from each peer.
     pub(crate) peer_starts: BTreeMap<VoterId, u64>,
+    /// The number of the last write that was issued.
     last_write: u64,
+    /// The number of the last write that is synced.
     last_synced: u64,
-    /// The last write of a term or vote.
+    /// The number of the last write that contained a term or vote.
     vote_write: u64,
+    /// The last index that is synced.
     durable: Index,
+    /// Unsynced writes of entries, each with the last index that it makes durable.
     unsynced: VecDeque<(u64, Index)>,
+    /// Messages that wait until a write is synced.
     held_back: VecDeque<(u64, Envelope)>,
     outputs: Outbox,
 }
 
-/// Outputs of the step under way: empty between steps, so they count for no hash.
+/// The outputs of the current step. Empty between steps, so they are left out of the hash.
 #[derive(Debug, Clone, Default)]
 struct Outbox(Vec<Output>);
 
@@ -199,11 +206,11 @@
 }
 
 impl<M: StateMachine> Node<M> {
-    /// Starts a voter from what its disk holds.
+    /// Starts a voter from the state that its disk holds.
     ///
-    /// Failure guarded against: a follower granted a leader its lease, crashed, and votes for
-    /// another right after its restart, so that two leaders speak at once. A start counts as
-    /// having heard a leader, so no vote is given for one election timeout.
+    /// A start counts as having heard a leader, so no vote is granted for one election timeout.
+    /// Otherwise a follower that granted a leader its lease could crash, restart and vote for
+    /// another leader while the first one still holds its lease.
     pub fn new(params: NodeParams, mut machine: M, now: Moment) -> apply::Result<Self> {
         let hard = params.stored.hard;
         let log = Log::new(params.stored, params.first_voters);
@@ -245,7 +252,7 @@
         Ok(node)
     }
 
-    /// Takes one input at a moment and returns what is to be done, in order.
+    /// Handles one input at a moment and returns the resulting outputs, in order.
     pub fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
         self.check_timers();
@@ -261,7 +268,7 @@
         std::mem::take(&mut self.outputs.0)
     }
 
-    /// When [`Input::Tick`] is due.
+    /// Returns when the next [`Input::Tick`] is due.
     pub fn next_tick(&self) -> Moment {
         match &self.role {
             Role::Leader(state) => state.next_heartbeat,
@@ -270,33 +277,33 @@
         }
     }
 
-    /// Its id.
+    /// Returns its id.
     pub fn id(&self) -> VoterId {
         self.id
     }
 
-    /// Its term.
+    /// Returns its term.
     pub fn term(&self) -> Term {
         self.hard.term
     }
 
-    /// Who leads, as far as it knows.
+    /// Returns the leader, as far as it knows.
     pub fn leader(&self) -> Option<VoterId> {
         self.leader
     }
 
-    /// Whether it leads.
+    /// Whether it is the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether it leads and may speak for the cluster without asking: no other leader can
-    /// have been elected yet.
+    /// Whether it is the leader and holds a lease, so that no other leader can have been elected
+    /// yet and it may answer for the cluster without asking the others.
     pub fn has_lease(&self, now: Moment) -> bool {
         self.lease_end().is_some_and(|end| now < end)
     }
 
-    /// Until when it may speak for the cluster, if it leads.
+    /// Returns when its lease ends, if it is a ready leader.
     pub fn lease_end(&self) -> Option<Moment> {
         match &self.role {
             Role::Leader(state) if state.ready => {
@@ -306,42 +313,43 @@
         }
     }
 
-    /// The state machine.
+    /// Returns the state machine.
     pub fn machine(&self) -> &M {
         &self.machine
     }
 
-    /// The log.
+    /// Returns the log.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// How far the log is committed, as far as it knows.
+    /// Returns the last index that it knows to be committed.
     pub fn commit_index(&self) -> Index {
         self.commit
     }
 
-    /// How far the log is applied to the machine.
+    /// Returns the last index that is applied to the state machine.
     pub fn applied_index(&self) -> Index {
         self.applied
     }
 
-    /// The highest fencing number in the committed log.
+    /// Returns the highest fencing number in the committed log.
     pub fn fence(&self) -> Fence {
         self.fence
     }
 
-    /// The voters in force.
+    /// Returns the voters and learners in force.
     pub fn voters(&self) -> &Voters {
         self.log.voters()
     }
 
-    /// Whether it leads and its first entry is committed, so that it may change the voters.
+    /// Whether it is the leader and the first entry of its term is committed, so that it may change
+    /// the voters.
     pub fn is_ready_leader(&self) -> bool {
         matches!(&self.role, Role::Leader(state) if state.ready)
     }
 
-    /// How the other voters and learners are, if it leads.
+    /// Returns the health of the other voters and learners; empty unless it is the leader.
     pub fn health(&self, now: Moment) -> BTreeMap<VoterId, Health> {
         let Role::Leader(state) = &self.role else {
             return BTreeMap::new();
@@ -356,18 +364,20 @@
             .collect()
     }
 
-    /// How far its own disk is synced.
+    /// Returns the last index that is synced on its own disk.
     pub fn durable_index(&self) -> Index {
         self.durable
     }
 
-    /// What its disk must hold once every write is synced.
+    /// Returns the state that its disk holds once every write is synced.
     pub fn to_stored(&self) -> StoredState {
         self.log.to_stored(self.hard)
     }
 
-    /// Failure guarded against: a leader that was cut off or stopped for long wakes up and goes
-    /// on as if it led. Time is looked at before each input, so it steps down first.
+    /// Handles timeouts; runs before each input.
+    ///
+    /// So a leader that was cut off or suspended for long steps down before it handles anything
+    /// else, instead of continuing as if it still led.
     fn check_timers(&mut self) {
         if self.is_leader() {
             self.check_quorum();
@@ -385,6 +395,8 @@
         voters.voters.len() == 1 && voters.is_voter(self.id)
     }
 
+    /// Handles a message; drops it if it is for another cluster or recipient, or from an outdated
+    /// process.
     fn receive(&mut self, envelope: Envelope) {
         let Envelope {
             cluster, from, to, ..
@@ -429,8 +441,10 @@
         }
     }
 
-    /// Failure guarded against: a data folder was put back from an older copy and its process
-    /// speaks with what it forgot. Its count of starts is lower than one already heard.
+    /// Whether the sender's start count is lower than one already seen from the same voter.
+    ///
+    /// That happens when a data folder was restored from an older copy; its process would act on
+    /// state that lacks what it has promised since.
     fn is_outdated(&mut self, from: VoterId, start: u64) -> bool {
         let seen = self.peer_starts.entry(from).or_insert(start);
         let outdated = start < *seen;
@@ -438,7 +452,7 @@
         outdated
     }
 
-    /// Adopts a later term where the message proves one; false where it is to be dropped.
+    /// Adopts a later term if the message proves one; returns false if the message must be dropped.
     fn adopt_term(&mut self, envelope: &Envelope) -> bool {
         if envelope.term <= self.hard.term {
             return true;
@@ -453,6 +467,7 @@
         }
     }
 
+    /// Issues a write to the disk.
     pub(crate) fn write(&mut self, write: Write) {
         self.last_write += 1;
         match &write {
@@ -474,8 +489,10 @@
         self.outputs.0.push(Output::Write { number, write });
     }
 
-    /// Failure guarded against: entries that were overwritten count as synced because an
-    /// earlier write of their places was. What is overwritten leaves the count at once.
+    /// Stops counting entries from an index on as synced, because they are overwritten.
+    ///
+    /// Otherwise the new entries would count as synced once an earlier write of the same indices
+    /// was synced.
     pub(crate) fn mark_unsynced_from(&mut self, from: Index) {
         let last = Index(from.get().saturating_sub(1));
         self.durable = self.durable.min(last);
@@ -506,16 +523,17 @@
         }
     }
 
-    /// Whether the term and vote are on the disk.
+    /// Whether the term and vote are synced.
     pub(crate) fn is_vote_synced(&self) -> bool {
         self.last_synced >= self.vote_write
     }
 
-    /// Whether everything is on the disk.
+    /// Whether every write is synced.
     pub(crate) fn is_synced(&self) -> bool {
         self.last_synced >= self.last_write
     }
 
+    /// Sends a message at once.
     pub(crate) fn send(&mut self, to: VoterId, message: Message) {
         let envelope = self.envelope(to, message);
         self.outputs.0.push(Output::Send(envelope));
@@ -523,8 +541,8 @@
 
     /// Sends a message once everything written so far is synced.
     ///
-    /// Failure guarded against: a vote or an acknowledgement leaves, the process dies before
-    /// its disk has it, and the voter comes back having forgotten what it promised.
+    /// Otherwise a vote or acknowledgement could be sent, the process could die before the disk has
+    /// it, and the voter would restart without what it promised.
     pub(crate) fn send_after_sync(&mut self, to: VoterId, message: Message) {
         if self.is_synced() {
             return self.send(to, message);
@@ -600,12 +618,16 @@
         self.step_down_if_removed();
     }
 
+    /// Takes a snapshot once enough entries have been applied since the last one.
     fn take_snapshot(&mut self) {
         let since = self.applied.get() - self.log.snapshot_index().get();
         if since < self.timing.snapshot_entries {
             return;
         }
-        let term = self.log.term_at(self.applied).expect("it was just applied");
+        let term = self
+            .log
+            .term_at(self.applied)
+            .expect("the last applied entry is kept");
         let snapshot = Arc::new(Snapshot {
             index: self.applied,
             term,
--- a/crates/control/src/record.rs
+++ b/crates/control/src/record.rs
@@ -1,29 +1,30 @@
-//! Records of the log file: a checked header, a checked body.
+//! Records of the log file, with checksums over header and body.
 //!
-//! Each record is 12 bytes of header (length, CRC-32 of the body, CRC-32 of the eight bytes
-//! before) and the body. [`scan`] tells a torn tail, which a crash leaves, from damage.
+//! Each record is a header of 12 bytes (length, CRC-32 of the body, CRC-32 of the eight bytes
+//! before) followed by the body. [`scan`] distinguishes a torn tail, which a crash leaves, from
+//! damage.
 
 use std::fmt;
 
-/// The length of a record's header.
+/// The length of a record's header in bytes.
 pub const HEADER_LENGTH: usize = 12;
 
-/// The unit in which a disk writes whole or not at all.
+/// The number of bytes that a disk writes as a whole or not at all.
 const SECTOR_SIZE: usize = 512;
 
-/// What a log file holds.
+/// The records of a log file.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Scan<'a> {
-    /// The bodies of the whole records.
+    /// The bodies of the complete records.
     pub bodies: Vec<&'a [u8]>,
-    /// Where the last whole record ends; what follows was torn by a crash.
+    /// The offset at which the last complete record ends; what follows was torn by a crash.
     pub end: usize,
 }
 
-/// A record that no crash can have left so.
+/// A record is damaged in a way that no crash can have caused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Damage {
-    /// Where the record begins.
+    /// The offset at which the record begins.
     pub offset: usize,
 }
 
@@ -35,7 +36,7 @@
 
 impl std::error::Error for Damage {}
 
-/// Adds a record to a buffer.
+/// Appends a record to a buffer.
 pub fn append_record(buffer: &mut Vec<u8>, body: &[u8]) {
     let length = (body.len() as u32).to_be_bytes();
     let checksum = crc32fast::hash(body).to_be_bytes();
@@ -46,11 +47,11 @@
     buffer.extend_from_slice(body);
 }
 
-/// Reads every record.
+/// Reads all records.
 ///
-/// Failure guarded against: a damaged record is taken for the end of the log, so that what
-/// was acknowledged is silently forgotten. A crash leaves the last write short, or with whole
-/// sectors that were never written and read as zeros; anything else is damage and refused.
+/// A crash leaves the last write short, or with whole sectors that were never written and read as
+/// zeros. Anything else is damage and refused: if a damaged record were taken for the end of the
+/// log, acknowledged entries would be lost silently.
 pub fn scan(bytes: &[u8]) -> Result<Scan<'_>, Damage> {
     let mut bodies = Vec::new();
     let mut offset = 0;
@@ -99,7 +100,9 @@
     }
 }
 
-/// Whether a stretch as long as a sector was never written.
+/// Whether a sector within the body was never written and reads as zeros.
+///
+/// Any sector covers at least one whole chunk of half its size.
 fn has_unwritten_part(body: &[u8]) -> bool {
     body.chunks(SECTOR_SIZE / 2)
         .any(|c| c.len() == SECTOR_SIZE / 2 && c.iter().all(|b| *b == 0))
--- a/crates/control/src/replicate.rs
+++ b/crates/control/src/replicate.rs
@@ -1,4 +1,4 @@
-//! Replication: the leader's entries, the followers' acknowledgements, the commit.
+//! Replication: entries from the leader, acknowledgements from followers, and commits.
 
 use snipemast_core::prelude::*;
 
@@ -9,10 +9,11 @@
 use crate::role::Role;
 use crate::voters::VoterId;
 
-/// A batch that was not acknowledged is sent again after so many heartbeats.
+/// The number of heartbeats after which an unacknowledged batch is sent again.
 const RESEND_HEARTBEATS: u64 = 2;
 
 impl<M: StateMachine> Node<M> {
+    /// Appends a command to the log, or refuses it.
     pub(crate) fn propose(&mut self, ticket: Ticket, command: Vec<u8>) {
         if let Err(refusal) = self.check_can_append() {
             return self.answer(ticket, Err(refusal));
@@ -23,10 +24,10 @@
         }
     }
 
-    /// Whether a command may enter the log now.
+    /// Checks that an entry may be appended now.
     ///
-    /// Failure guarded against: a leader in a minority takes a patch and lets its operator wait
-    /// for an election timeout. Without a majority's recent answer it says so at once.
+    /// Without a recent answer from a majority it is refused at once. Otherwise a leader in a
+    /// minority would accept a patch and let its operator wait for an election timeout.
     pub(crate) fn check_can_append(&self) -> Result<(), Refusal> {
         let Role::Leader(state) = &self.role else {
             return Err(match self.leader {
@@ -44,7 +45,7 @@
         Ok(())
     }
 
-    /// Adds an entry of this leader to its log and sends it on.
+    /// Appends an entry of this leader to its log and sends it to the followers.
     pub(crate) fn append_own(&mut self, payload: Payload) -> Index {
         let index = self.log.last_index().next();
         let entry = LogEntry {
@@ -58,7 +59,7 @@
         index
     }
 
-    /// Speaks to every follower when a heartbeat is due.
+    /// Sends to every follower when a heartbeat is due.
     pub(crate) fn send_heartbeats(&mut self) {
         let (now, heartbeat) = (self.now, self.timing.heartbeat);
         let Some(state) = self.leader_state() else {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Sends to every follower that has no batch under way.
+    /// Sends to every follower that has no batch or snapshot in flight.
     fn send_idle(&mut self) {
         let Some(state) = self.leader_state() else {
             return;
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Sends a follower its next entries, a piece of a snapshot, or a bare heartbeat.
+    /// Sends a follower its next entries, a piece of a snapshot, or a heartbeat without entries.
     pub(crate) fn send_next(&mut self, to: VoterId) {
         let base = self.log.base();
         let Some(progress) = self.leader_state().and_then(|s| s.peers.get_mut(&to)) else {
@@ -127,8 +128,9 @@
         self.send_append(to, previous, bound);
     }
 
+    /// Sends the entries after an index, up to `bound` bytes; none if that is 0.
     fn send_append(&mut self, to: VoterId, previous: Index, bound: usize) {
-        let term = self.log.term_at(previous).expect("the place is kept");
+        let term = self.log.term_at(previous).expect("the index is kept");
         let entries = if bound == 0 {
             Vec::new()
         } else {
@@ -179,13 +181,13 @@
         }
     }
 
-    /// Says where the logs may agree, and in which term this voter is.
+    /// Answers a leader with the last index at which the logs may match and this voter's term.
     pub(crate) fn send_mismatched(&mut self, to: VoterId, hint: Index, sent: Moment) {
         let last = self.log.last_index();
         self.send_after_sync(to, Message::Mismatched { hint, last, sent });
     }
 
-    /// Takes note of a leader; false where its term is over.
+    /// Follows the sender as the leader; returns false if its term is over.
     pub(crate) fn accept_leader(&mut self, from: VoterId, term: Term) -> bool {
         if term < self.hard.term {
             return false;
@@ -196,10 +198,10 @@
         true
     }
 
-    /// The last place where the logs may agree, if they differ at the given one.
+    /// Returns the last index at which the logs may match, if they differ at the given position.
     fn find_mismatch(&self, previous: Position) -> Option<Index> {
         if previous.index <= self.commit {
-            // What is committed agrees with every leader's log.
+            // Committed entries match every leader's log.
             return None;
         }
         if previous.index > self.log.last_index() {
@@ -216,7 +218,8 @@
         Some(hint)
     }
 
-    /// Adds what is new of a leader's entries; false where they contradict what is committed.
+    /// Appends those of a leader's entries that are new; returns false if they contradict committed
+    /// entries.
     fn append_new(&mut self, entries: Vec<LogEntry>) -> bool {
         let differs =
             |e: &LogEntry| e.index > self.log.base() && self.log.term_at(e.index) != Some(e.term);
@@ -234,7 +237,7 @@
         true
     }
 
-    /// Says that the log is synced up to here, now or as soon as it is.
+    /// Acknowledges the log up to an index, now or as soon as it is synced.
     pub(crate) fn acknowledge(&mut self, to: VoterId, index: Index, sent: Moment) {
         let message = Message::Matched { index, sent };
         if self.durable_index() >= index && self.is_vote_synced() {
@@ -244,10 +247,10 @@
         }
     }
 
-    /// Answers a bare heartbeat with what is synced already.
+    /// Answers a heartbeat with the last index that is already synced.
     ///
-    /// Failure guarded against: a slow disk keeps back the answers to heartbeats, and a leader
-    /// whom everyone hears steps down. Only a term that is not synced yet keeps them back.
+    /// Only a term or vote that is not synced yet delays the answer. If a slow disk delayed the
+    /// answers to heartbeats, a leader that everyone hears would step down.
     fn answer_heartbeat(&mut self, to: VoterId, index: Index, sent: Moment) {
         let index = index.min(self.durable_index());
         let message = Message::Matched { index, sent };
@@ -295,10 +298,11 @@
         }
     }
 
-    /// Failure guarded against: a data folder was put back from an older copy, and entries that
-    /// were committed by counting its disk are there no longer. It shows as a log shorter than
-    /// what was acknowledged, in answer to a message sent after that acknowledgement came. The
-    /// voter counts for nothing in this term and must be replaced.
+    /// Marks a peer as regressed: it is not counted in this term any more and must be replaced.
+    ///
+    /// A peer regresses when its data folder was restored from an older copy, so that entries which
+    /// were committed by counting its disk are gone. Its log is then shorter than what it
+    /// acknowledged, in an answer to a message sent after that acknowledgement arrived.
     fn mark_regressed(&mut self, peer: VoterId) {
         if let Some(progress) = self.leader_state().and_then(|s| s.peers.get_mut(&peer)) {
             progress.regressed = true;
@@ -308,7 +312,7 @@
         self.emit(NodeEvent::Regressed(peer));
     }
 
-    /// What this leader knows of a follower that answers it in its term.
+    /// Returns the progress of a follower that answers in this leader's term.
     pub(crate) fn progress(
         &mut self,
         from: VoterId,
@@ -320,7 +324,7 @@
         self.leader_state()?.peers.get_mut(&from)
     }
 
-    /// Goes on with a follower that still lacks entries or the news of a commit.
+    /// Sends more to a follower that still lacks entries or the latest commit index.
     fn send_more(&mut self, to: VoterId) {
         let (last, commit) = (self.log.last_index(), self.commit);
         let Some(progress) = self.leader_state().and_then(|s| s.peers.get_mut(&to)) else {
@@ -332,7 +336,7 @@
         }
     }
 
-    /// Commits what a majority of the voters has synced, and tells the followers.
+    /// Commits the entries that a majority of the voters has synced, and informs the followers.
     pub(crate) fn advance_commit(&mut self) {
         let own = (self.id, self.durable_index());
         let Role::Leader(state) = &self.role else {
--- a/crates/control/src/role.rs
+++ b/crates/control/src/role.rs
@@ -1,4 +1,4 @@
-//! What a voter is in its term.
+//! The role of a voter in its term.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,65 +9,66 @@
 use crate::node::Ticket;
 use crate::voters::VoterId;
 
-/// What a voter is in its term.
+/// The role of a voter in its term.
 #[derive(Debug, Clone, Hash)]
 pub(crate) enum Role {
     /// It follows a leader, or waits for one.
     Follower,
-    /// It asks whether it would be elected.
+    /// It asks the other voters whether they would vote for it.
     PreCandidate {
-        /// Who would vote for it.
+        /// The voters that would vote for it.
         granted: BTreeSet<VoterId>,
     },
-    /// It stands for election.
+    /// It asks the other voters for their votes.
     Candidate {
-        /// Who voted for it.
+        /// The voters that voted for it.
         granted: BTreeSet<VoterId>,
     },
-    /// It leads.
+    /// It is the leader.
     Leader(Box<LeaderState>),
 }
 
-/// A leader's term of office.
+/// The state of a leader.
 #[derive(Debug, Clone, Hash)]
 pub(crate) struct LeaderState {
-    /// When it began.
+    /// When it was elected.
     pub(crate) elected_at: Moment,
     /// When the next heartbeat is due.
     pub(crate) next_heartbeat: Moment,
-    /// Whether its first entry is committed.
+    /// Whether the first entry of its term is committed.
     pub(crate) ready: bool,
-    /// What each other voter and learner has.
+    /// The progress of each other voter and learner.
     pub(crate) peers: BTreeMap<VoterId, Progress>,
-    /// Who waits for the verdict of an entry.
+    /// The tickets that wait for the verdict on an entry.
     pub(crate) waiting: BTreeMap<Index, Ticket>,
 }
 
-/// What a leader knows of one follower.
+/// The replication progress of one follower, as the leader knows it.
 #[derive(Debug, Clone, Hash)]
 pub(crate) struct Progress {
-    /// The first entry to send.
+    /// The index of the next entry to send.
     pub(crate) next: Index,
-    /// The last entry that is synced there.
+    /// The last index that the follower has synced.
     pub(crate) matched: Index,
-    /// When `matched` last rose.
+    /// When `matched` last advanced.
     pub(crate) advanced_at: Moment,
-    /// When it came to be followed by this leader.
+    /// Since when this leader has sent to it.
     pub(crate) tracked_since: Moment,
-    /// When the last message was sent that it answered.
+    /// When the latest message that it has acknowledged was sent.
     pub(crate) last_acked: Option<Moment>,
-    /// The commit that it was last told of.
+    /// The last commit index that was sent to it.
     pub(crate) sent_commit: Index,
-    /// The last entry of a batch under way, and when it was sent.
+    /// The last index of the batch in flight, and when the batch was sent.
     pub(crate) in_flight: Option<(Index, Moment)>,
-    /// A snapshot under way, and how much of it has arrived.
+    /// The snapshot being transferred, and the number of bytes that have arrived.
     pub(crate) snapshot: Option<(Arc<Snapshot>, u64)>,
-    /// It lost what it had acknowledged.
+    /// Whether it has lost entries that it had acknowledged.
     pub(crate) regressed: bool,
 }
 
 impl Progress {
-    /// A follower of whom nothing is known but that the log may agree up to here.
+    /// Creates the progress of a follower about which nothing is known yet; its log may match up to
+    /// `last`.
     pub(crate) fn new(last: Index, now: Moment) -> Self {
         Self {
             next: last.next(),
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Takes note that the follower's disk holds the log up to here.
+    /// Records that the follower has synced the log up to an index.
     pub(crate) fn advance_to(&mut self, index: Index, now: Moment) {
         if index > self.matched {
             self.matched = index;
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Takes note of an answer to a message sent at this moment.
+    /// Records an answer to a message that was sent at this moment.
     pub(crate) fn acknowledge(&mut self, sent: Moment) {
         self.last_acked = self.last_acked.max(Some(sent));
     }
--- a/crates/control/src/roster.rs
+++ b/crates/control/src/roster.rs
@@ -1,8 +1,8 @@
-//! Which change of the voters a leader makes next, so that lost disks are replaced by themselves.
+//! The choice of the next membership change, so that the leader replaces lost disks on its own.
 //!
-//! A host that comes back with an empty disk, or a new host in another one's place, asks to
-//! join. It learns first, and votes once it has caught up; the voter that fell silent leaves after
-//! that, so that the log never stands on fewer disks than before.
+//! A host that returns with an empty disk, or a new host in place of another, asks to join. It is
+//! added as a learner and becomes a voter once it has caught up. Only then is the silent voter
+//! removed, so that the log is never held by fewer disks than before.
 
 use std::collections::BTreeMap;
 
@@ -10,41 +10,40 @@
 
 use crate::voters::{Location, VoterChange, VoterId, Voters};
 
-/// How long a voter must be silent before a learner takes its place: longer than a restart of its
-/// process or a lost packet keeps it silent, and well below the time within which a second host
-/// may be lost.
+/// How long a voter must be silent before a learner replaces it: longer than a restart of its
+/// process or a lost packet takes, and well below the time within which a second host may be lost.
 pub const SILENCE_LIMIT: Span = Span::from_millis(1_200);
 
-/// How long a silent learner is kept.
+/// How long a learner may be silent before it is removed.
 pub const LEARNER_SILENCE_LIMIT: Span = Span::from_secs(10);
 
-/// What a leader knows of another voter or learner.
+/// The health of another voter or learner, as the leader knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Health {
-    /// How long ago the last message was sent that it answered; where it never answered, how long
-    /// the leader has sent to it.
+    /// How long ago the latest message that it has acknowledged was sent; if it has never answered,
+    /// how long the leader has sent to it.
     pub silence: Span,
-    /// Whether its disk holds all that is committed.
+    /// Whether its disk holds every committed entry.
     pub caught_up: bool,
 }
 
-/// What a leader looks at.
+/// The state of the members from which the next change is chosen.
 #[derive(Debug, Clone)]
 pub struct Roster<'a> {
     /// The leader.
     pub leader: VoterId,
-    /// How many voters there are to be.
+    /// The number of voters that the cluster should have.
     pub target_size: usize,
     /// The voters and learners in force.
     pub voters: &'a Voters,
-    /// How the others are.
+    /// The health of the other members.
     pub health: &'a BTreeMap<VoterId, Health>,
-    /// Who asks to join.
+    /// The hosts that ask to join.
     pub joining: &'a BTreeMap<VoterId, Location>,
 }
 
 impl Roster<'_> {
-    /// The next change, if one is due.
+    /// Returns the next change, if one is due.
     pub fn next_change(&self) -> Option<VoterChange> {
         self.remove_surplus()
             .or_else(|| self.promote_learner())
@@ -52,7 +51,7 @@
             .or_else(|| self.remove_abandoned())
     }
 
-    /// A voter too many: one whose address another one has taken over, else a silent one.
+    /// Removes a surplus voter: one whose address another member has taken over, else a silent one.
     fn remove_surplus(&self) -> Option<VoterChange> {
         if self.voters.voters.len() <= self.target_size {
             return None;
@@ -69,7 +68,7 @@
         Some(VoterChange::Remove { id: *id })
     }
 
-    /// A learner that has caught up and whose vote is needed.
+    /// Promotes a learner that has caught up, if its vote is needed.
     fn promote_learner(&self) -> Option<VoterChange> {
         let votes = &self.voters.voters;
         let short = votes.len() < self.target_size;
@@ -90,6 +89,7 @@
         ready.map(|id| VoterChange::Promote { id: *id })
     }
 
+    /// Adds a host that asks to join as a learner.
     fn add_newcomer(&self) -> Option<VoterChange> {
         let new = self
             .joining
@@ -101,13 +101,15 @@
         })
     }
 
+    /// Removes a learner that has been silent for too long.
     fn remove_abandoned(&self) -> Option<VoterChange> {
         let gone = |id: &&VoterId| self.silence(**id) >= LEARNER_SILENCE_LIMIT;
         let id = self.voters.learners.keys().find(gone)?;
         Some(VoterChange::Remove { id: *id })
     }
 
-    /// Whether a learner or voter that joined later has its address: then its disk is gone.
+    /// Whether the member is silent and another one with the same address is not; then its disk is
+    /// gone.
     fn is_replaced(&self, id: VoterId, location: &Location) -> bool {
         let all = self.voters.voters.iter().chain(&self.voters.learners);
         let mut others = all.filter(|(other, _)| **other != id);
@@ -121,7 +123,7 @@
     }
 
     fn silence(&self, id: VoterId) -> Span {
-        // The leader itself, and whoever it does not send to yet, are not silent.
+        // The leader itself, and a member that it does not send to yet, do not count as silent.
         self.health.get(&id).map_or(Span::default(), |h| h.silence)
     }
 }
--- a/crates/control/src/storage.rs
+++ b/crates/control/src/storage.rs
@@ -1,4 +1,4 @@
-//! Where a voter's writes go: a disk, or memory for tests and demonstrations.
+//! The storage behind a voter's writes: a disk, or memory for tests and demonstrations.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -9,18 +9,19 @@
 
 use crate::entry::Write;
 
-/// The result of using a disk.
+/// The result of a storage operation.
 pub type Result<T> = std::result::Result<T, Report<StorageError>>;
 
-/// Keeps what a voter must not forget.
+/// Stores the durable state of a voter.
 pub trait Storage: Send + 'static {
-    /// Writes in order and returns once everything is synced.
+    /// Performs the writes in order and returns once all of them are synced.
     ///
-    /// After an error nothing may be acknowledged any more: what the disk holds is not known.
+    /// After an error nothing may be acknowledged any more, because the content of the disk is
+    /// unknown.
     fn write(&mut self, writes: &[Write]) -> Result<()>;
 }
 
-/// A storage that forgets everything with its process.
+/// A storage that loses everything when the process ends.
 #[derive(Debug, Default)]
 pub struct MemoryStorage;
 
@@ -30,31 +31,31 @@
     }
 }
 
-/// A data folder that can't be used.
+/// The data folder cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StorageError {
     /// Another process uses the folder.
     Locked(PathBuf),
-    /// A file can't be read or written.
+    /// A file cannot be read or written.
     Broken(PathBuf),
-    /// A file is damaged where no crash can have damaged it.
+    /// A file is damaged in a way that no crash can have caused.
     Damaged {
         /// The file.
         file: PathBuf,
-        /// Where in the file.
+        /// The byte offset of the damage.
         offset: usize,
     },
-    /// The folder was written by another release.
+    /// The folder has a format that this release does not know.
     Format(u32),
     /// The folder belongs to another host.
     Foreign(HostId),
-    /// The folder is a copy: the original may have voted since.
+    /// The folder is a copy; the original may have voted since.
     Copied(PathBuf),
-    /// Files are there without the folder's identity, or the other way round.
+    /// The folder has files but no identity, or an identity but no log.
     Incomplete(PathBuf),
-    /// An earlier write failed; the role has ended.
+    /// An earlier write failed, so the storage accepts no more.
     Ended,
-    /// The request to replace a lost majority does not fit this folder.
+    /// The request to replace a lost majority does not match this folder.
     Unforced(PathBuf),
 }
 
@@ -62,23 +63,23 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Locked(p) => write!(f, "{} is used by another process", p.display()),
-            Self::Broken(p) => write!(f, "{} can't be read or written", p.display()),
+            Self::Broken(p) => write!(f, "{} cannot be read or written", p.display()),
             Self::Damaged { file, offset } => {
                 write!(f, "{} is damaged at byte {offset}", file.display())
             }
-            Self::Format(found) => write!(f, "format {found} is not known to this release"),
-            Self::Foreign(host) => write!(f, "the folder belongs to {host}"),
+            Self::Format(found) => write!(f, "this release does not know folder format {found}"),
+            Self::Foreign(host) => write!(f, "the data folder belongs to host {host}"),
             Self::Copied(p) => write!(f, "{} is a copy and must not vote", p.display()),
-            Self::Incomplete(p) => write!(f, "{} lacks some of its files", p.display()),
-            Self::Ended => f.write_str("an earlier write failed"),
-            Self::Unforced(p) => write!(f, "{} does not fit this folder", p.display()),
+            Self::Incomplete(p) => write!(f, "some files are missing in {}", p.display()),
+            Self::Ended => f.write_str("an earlier write to the data folder failed"),
+            Self::Unforced(p) => write!(f, "{} does not match this folder's log", p.display()),
         }
     }
 }
 
 impl std::error::Error for StorageError {}
 
-/// Puts the path into an error of the operating system.
+/// Returns a function that adds the path to an I/O error.
 pub(crate) fn io_error(path: &Path) -> impl FnOnce(std::io::Error) -> Report<StorageError> + '_ {
     move |e| Report::new(e).change_context(StorageError::Broken(path.into()))
 }
--- a/crates/control/src/timing.rs
+++ b/crates/control/src/timing.rs
@@ -1,32 +1,32 @@
-//! Timeouts and bounds of a voter, and its source of chance.
+//! Timeouts and limits of a voter, and its random number generator.
 
 use snipemast_core::data;
 use snipemast_core::prelude::*;
 
 data! {
-    /// Timeouts and bounds of a voter.
+    /// Timeouts and limits of a voter.
     #[derive(Copy, Hash)]
     pub struct Timing {
-        /// How often a leader speaks to each follower.
+        /// The interval at which a leader sends to each follower.
         pub heartbeat: Span,
-        /// How long a follower waits for a leader at least before it stands for election.
+        /// How long a follower waits at least for a leader before it starts an election.
         #[serde(rename = "election")]
         pub election_timeout: Span,
-        /// How much longer it may wait, by chance.
+        /// The upper bound of the random time that a follower waits in addition.
         #[serde(rename = "spread")]
         pub election_jitter: Span,
-        /// How long a majority's answer lets a leader speak for the cluster.
+        /// How long an answer from a majority lets a leader act for the cluster.
         pub lease: Span,
-        /// How many entries lie between two snapshots.
+        /// The number of entries between two snapshots.
         #[serde(rename = "snapshot")]
         pub snapshot_entries: u64,
-        /// How many entries before the snapshot stay in memory.
+        /// The number of entries before the snapshot that are kept.
         #[serde(rename = "keep")]
         pub retained_entries: u64,
-        /// The largest piece of a snapshot, and about the largest batch of entries.
+        /// The largest piece of a snapshot, and roughly the largest batch of entries.
         #[serde(rename = "chunk")]
         pub chunk_size: Size,
-        /// How many commands may wait for their commit.
+        /// The number of commands that may wait to be committed.
         #[serde(rename = "waiting")]
         pub max_waiting: u32,
     }
@@ -38,8 +38,8 @@
             heartbeat: Span::from_millis(500),
             election_timeout: Span::from_millis(1_500),
             election_jitter: Span::from_millis(600),
-            // Shorter than the election timeout, so that clocks that run apart by a tenth do
-            // not let two leaders speak at once.
+            // Shorter than the election timeout, so that even with clock rates that differ by a
+            // tenth no two leaders act at once.
             lease: Span::from_millis(1_300),
             snapshot_entries: 2_000,
             retained_entries: 1_000,
@@ -49,17 +49,17 @@
     }
 }
 
-/// A small generator of chance, seeded from outside (splitmix64).
+/// A small random number generator with a given seed (splitmix64).
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct SplitMix64(u64);
 
 impl SplitMix64 {
-    /// A generator with this seed.
+    /// Creates a generator with this seed.
     pub const fn new(seed: u64) -> Self {
         Self(seed)
     }
 
-    /// The next number.
+    /// Returns the next random number.
     pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
@@ -68,12 +68,12 @@
         z ^ (z >> 31)
     }
 
-    /// A number below the bound; 0 where that is 0.
+    /// Returns a random number below the bound, or 0 if that is 0.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.next_u64() % bound.max(1)
     }
 
-    /// A span below the bound.
+    /// Returns a random span below the bound.
     pub fn span_below(&mut self, bound: Span) -> Span {
         Span::from_micros(self.below(bound.as_micros()))
     }
--- a/crates/control/src/voters.rs
+++ b/crates/control/src/voters.rs
@@ -1,4 +1,4 @@
-//! Who votes: voters, learners, and the one change at a time that is allowed.
+//! The voters and learners, and the rules for changing them one at a time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,62 +11,62 @@
 /// The result of changing the voters.
 pub type Result<T> = std::result::Result<T, ChangeError>;
 
-/// How many hosts may be set aside for control.
+/// The maximum number of voters.
 pub const MAX_VOTERS: usize = 7;
 
 number_ids! {
-    /// A voter or learner, drawn at random when its data folder is made.
+    /// The id of a voter or learner, drawn at random when its data folder is created.
     ///
-    /// The id belongs to the folder, not to the host: a host whose disk was wiped comes back
-    /// under another id and has no vote until it is added again.
+    /// The id belongs to the folder, not to the host: a host whose disk was wiped returns with
+    /// another id and has no vote until it is added again.
     VoterId;
-    /// The first set of voters, drawn when it was formed; other clusters' messages are dropped.
+    /// The id of a cluster, set when it is formed; messages of other clusters are dropped.
     ClusterId;
 }
 
 data! {
-    /// Where a voter or learner is.
+    /// The location of a voter or learner.
     pub struct Location {
         /// Its host.
         pub host: HostId,
         /// Its availability zone.
         pub zone: ZoneId,
-        /// Where the system's own processes reach it.
+        /// The address at which the system's own processes reach it.
         pub address: SocketAddr,
     }
 
     /// The voters and learners.
     #[derive(Default, Hash)]
     pub struct Voters {
-        /// Whose disks count towards a quorum.
+        /// The members whose disks count towards a quorum.
         pub voters: BTreeMap<VoterId, Location>,
-        /// Who copies the log and has no vote yet.
+        /// The members that copy the log and have no vote yet.
         pub learners: BTreeMap<VoterId, Location>,
     }
 
-    /// One change of the voters, taken alone.
+    /// A single membership change.
     pub enum VoterChange {
-        /// A host begins to copy the log.
+        /// Adds a host as a learner, which begins to copy the log.
         Learn {
-            /// Its id.
+            /// The member's id.
             id: VoterId,
-            /// Where it is.
+            /// The member's location.
             #[serde(rename = "seat")]
             location: Location,
         },
-        /// A learner that has caught up becomes a voter.
+        /// Makes a learner that has caught up a voter.
         Promote {
-            /// Its id.
+            /// The member's id.
             id: VoterId,
         },
-        /// A voter or learner leaves.
+        /// Removes a voter or learner.
         Remove {
-            /// Its id.
+            /// The member's id.
             id: VoterId,
         },
     }
 
-    /// Why a change of the voters was refused.
+    /// Why a membership change was refused.
     #[derive(Hash)]
     pub enum ChangeError {
         /// Another change is not committed yet.
@@ -79,12 +79,12 @@
         Unknown(VoterId),
         /// The learner has not caught up.
         Behind {
-            /// What its disk holds.
+            /// The last index on its disk.
             held: Index,
-            /// What it must hold.
+            /// The index up to which its disk must hold the log.
             needed: Index,
         },
-        /// One zone would hold more than half of the voters.
+        /// One availability zone would hold more than half of the voters.
         Crowded(ZoneId),
         /// There would be no voter left.
         Empty,
@@ -102,9 +102,9 @@
 impl fmt::Display for VoterChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Learn { id, location } => write!(f, "{} learns as {id}", location.host),
-            Self::Promote { id } => write!(f, "{id} becomes a voter"),
-            Self::Remove { id } => write!(f, "{id} leaves"),
+            Self::Learn { id, location } => write!(f, "{} joins as learner {id}", location.host),
+            Self::Promote { id } => write!(f, "learner {id} becomes a voter"),
+            Self::Remove { id } => write!(f, "member {id} is removed"),
         }
     }
 }
@@ -112,14 +112,17 @@
 impl fmt::Display for ChangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Pending => f.write_str("another change of the voters is not committed yet"),
-            Self::Early => f.write_str("the leader has committed nothing in its term yet"),
+            Self::Pending => f.write_str("another membership change is not committed yet"),
+            Self::Early => f.write_str("the leader has not committed an entry of its term yet"),
             Self::Known(id) => write!(f, "{id} is already a voter or learner"),
             Self::Unknown(id) => write!(f, "{id} is neither voter nor learner"),
             Self::Behind { held, needed } => {
-                write!(f, "the learner holds the log up to {held} of {needed}")
+                write!(
+                    f,
+                    "the learner holds the log up to index {held}, not yet up to {needed}"
+                )
             }
-            Self::Crowded(zone) => write!(f, "{zone} would hold more than half of the voters"),
+            Self::Crowded(zone) => write!(f, "zone {zone} would hold more than half of the voters"),
             Self::Empty => f.write_str("no voter would be left"),
             Self::Full => write!(f, "there would be more than {MAX_VOTERS} voters"),
         }
@@ -129,7 +132,7 @@
 impl std::error::Error for ChangeError {}
 
 impl Voters {
-    /// These voters and no learner.
+    /// Creates a set of these voters without learners.
     pub fn new(voters: BTreeMap<VoterId, Location>) -> Self {
         Self {
             voters,
@@ -147,18 +150,18 @@
         self.is_voter(id) || self.learners.contains_key(&id)
     }
 
-    /// Where a voter or learner is.
+    /// Returns the location of a voter or learner.
     pub fn location(&self, id: VoterId) -> Option<&Location> {
         self.voters.get(&id).or_else(|| self.learners.get(&id))
     }
 
-    /// Everyone but the given one.
+    /// Returns all voters and learners except this one.
     pub fn others(&self, id: VoterId) -> Vec<VoterId> {
         let all = self.voters.keys().chain(self.learners.keys());
         all.copied().filter(|v| *v != id).collect()
     }
 
-    /// How many voters are more than half.
+    /// Returns the smallest number of voters that is more than half.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
@@ -169,14 +172,14 @@
         votes >= self.majority()
     }
 
-    /// The highest value that a majority of the voters has reached.
+    /// Returns the highest value that a majority of the voters has reached.
     pub fn majority_value<T: Ord + Copy>(&self, value: impl Fn(VoterId) -> T) -> Option<T> {
         let mut values: Vec<T> = self.voters.keys().map(|id| value(*id)).collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
         values.get(self.majority() - 1).copied()
     }
 
-    /// The zone that holds more than half of the votes of three or more voters.
+    /// Returns the availability zone that holds more than half of three or more voters, if any.
     pub fn crowded_zone(&self) -> Option<&ZoneId> {
         if self.voters.len() < 3 {
             return None;
@@ -191,10 +194,10 @@
             .map(|(zone, _)| zone)
     }
 
-    /// The voters after a change, where its form allows it.
+    /// Returns the voters after a change, or why the change is not allowed.
     ///
-    /// Failure guarded against: the loss of one zone takes the majority along. A change that
-    /// puts more than half of the votes into one zone is refused, unless they were there before.
+    /// A change that puts more than half of the votes into one availability zone is refused, unless
+    /// they were there before. Otherwise the loss of one zone would take the majority along.
     pub fn with_change(&self, change: &VoterChange) -> Result<Self> {
         let mut next = self.clone();
         match change {
