--- a/crates/control/tests/documents.rs
+++ b/crates/control/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Whole configurations: the highest number is in force.
+//! The state machine of whole configurations: the highest version is in force.
 
 use quickcheck::quickcheck;
 
@@ -16,8 +16,8 @@
     rmp_serde::from_slice(&verdict).unwrap()
 }
 
-/// An operator's acknowledgement is lost and it sends the same again, after a later one was taken:
-/// it is acknowledged again, and nothing changes.
+/// An acknowledgement is lost and the operator resends the same configuration, also after a later
+/// one was accepted. It must be acknowledged again, and nothing may change.
 #[test]
 fn resend_is_held() {
     let mut machine = Documents::new();
@@ -28,7 +28,8 @@
     assert_eq!((machine.version(), machine.text()), (Version(8), &b"b"[..]));
 }
 
-/// Two operators send other content under one number: the second is refused and never in force.
+/// Two operators send different content under one version. The second must be refused and never be
+/// in force.
 #[test]
 fn same_number_conflicts() {
     let mut machine = Documents::new();
@@ -38,7 +39,7 @@
 }
 
 quickcheck! {
-    /// In any order, the highest number is in force, and no number is in force after a higher one.
+    /// In any order, the highest version is in force, and none is in force after a higher one.
     fn highest_wins(versions: Vec<u8>) -> bool {
         let mut machine = Documents::new();
         let mut before = Version(0);
--- a/crates/control/tests/explore.rs
+++ b/crates/control/tests/explore.rs
@@ -1,8 +1,8 @@
-//! Every order of events of a small instance: 3 voters, 2 commands, 1 crash, 1 cut.
+//! Explores every order of events of a small instance: 3 voters, 2 commands, 1 crash, 1 cut.
 //!
-//! From an elected leader on, each message may come at any time, a process may die before or
-//! after its disk has synced, a voter may be cut off, and an election timeout may end. Every
-//! state that can be reached is visited once, and the invariants are checked on the way to it.
+//! Once a leader is elected, each message may arrive at any time, a process may die before or
+//! after its disk has synced, a voter may be cut off, and an election timeout may expire. Every
+//! reachable state is visited once, and the invariants are checked on the way to it.
 
 mod support;
 
@@ -13,151 +13,152 @@
 use snipemast_control::{Input, Timing, VoterId};
 use snipemast_core::prelude::*;
 
-use support::{timing, World};
+use support::{timing, Simulation};
 
-/// What may still happen.
+/// The numbers of events that may still occur.
 #[derive(Debug, Clone, Copy, Hash)]
 struct Budget {
     commands: u8,
     crashes: u8,
     cuts: u8,
-    /// Election timeouts that end.
+    /// Election timeouts that expire.
     timeouts: u8,
-    /// Voters that no longer hear a leader and would vote for another.
+    /// Voters that stop hearing the leader and would vote for another one.
     doubts: u8,
-    /// Whether a disk may sync at any time, or does so at the end of each step.
-    slow: bool,
+    /// Whether a disk may sync at any time instead of at the end of each step.
+    slow_disks: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Act {
+enum Action {
     Deliver(usize),
     Sync(VoterId),
-    Ask(VoterId),
+    Submit(VoterId),
     Crash(VoterId, usize),
     Restart(VoterId),
     CutOff(VoterId),
-    Mend,
+    Heal,
     Timeout(VoterId),
     Doubt(VoterId),
 }
 
 #[derive(Clone)]
 struct State {
-    world: World,
+    sim: Simulation,
     budget: Budget,
 }
 
 impl State {
-    /// A settled world with a leader.
+    /// Returns a simulation with an elected leader.
     fn new(budget: Budget) -> Self {
         let timing = Timing {
             snapshot_entries: 1_000,
             ..timing()
         };
-        let mut world = World::with_timing(3, timing);
-        world.run(1_000);
-        assert!(world.leader().is_some());
-        // Each voter has its own clock here, so there is no moment of which a lease could speak.
-        world.stopped = true;
-        Self { world, budget }
+        let mut sim = Simulation::with_timing(3, timing);
+        sim.run(1_000);
+        assert!(sim.leader().is_some());
+        // Each voter has its own clock here, so leases cannot be compared.
+        sim.clock_stopped = true;
+        Self { sim, budget }
     }
 
-    fn acts(&self) -> Vec<Act> {
-        let world = &self.world;
-        let mut acts: Vec<Act> = (0..world.bag.len()).map(Act::Deliver).collect();
-        for id in world.ids() {
-            if !world.runs(id) {
-                acts.push(Act::Restart(id));
+    fn actions(&self) -> Vec<Action> {
+        let sim = &self.sim;
+        let mut actions: Vec<Action> = (0..sim.in_flight.len()).map(Action::Deliver).collect();
+        for id in sim.ids() {
+            if !sim.is_running(id) {
+                actions.push(Action::Restart(id));
                 continue;
             }
-            let pending = world.places[&id].disk.pending.len();
+            let pending = sim.hosts[&id].disk.pending.len();
             if pending > 0 {
-                acts.push(Act::Sync(id));
+                actions.push(Action::Sync(id));
             }
-            if self.budget.commands > 0 && world.node(id).is_leader() {
-                acts.push(Act::Ask(id));
+            if self.budget.commands > 0 && sim.node(id).is_leader() {
+                actions.push(Action::Submit(id));
             }
             if self.budget.crashes > 0 {
-                acts.push(Act::Crash(id, 0));
+                actions.push(Action::Crash(id, 0));
                 if pending > 0 {
-                    acts.push(Act::Crash(id, pending));
+                    actions.push(Action::Crash(id, pending));
                 }
             }
             if self.budget.cuts > 0 {
-                acts.push(Act::CutOff(id));
+                actions.push(Action::CutOff(id));
             }
-            if self.budget.timeouts > 0 && !world.node(id).is_leader() {
-                acts.push(Act::Timeout(id));
+            if self.budget.timeouts > 0 && !sim.node(id).is_leader() {
+                actions.push(Action::Timeout(id));
             }
-            if self.budget.doubts > 0 && !world.node(id).is_leader() {
-                acts.push(Act::Doubt(id));
+            if self.budget.doubts > 0 && !sim.node(id).is_leader() {
+                actions.push(Action::Doubt(id));
             }
         }
-        if !world.cuts.is_empty() {
-            acts.push(Act::Mend);
+        if !sim.cuts.is_empty() {
+            actions.push(Action::Heal);
         }
-        acts
+        actions
     }
 
-    fn after(&self, act: Act) -> Self {
+    fn after(&self, action: Action) -> Self {
         let mut next = self.clone();
-        let Self { world, budget } = &mut next;
-        match act {
-            Act::Deliver(place) => {
-                let envelope = world.bag.remove(place);
-                world.deliver(envelope);
+        let Self { sim, budget } = &mut next;
+        match action {
+            Action::Deliver(index) => {
+                let envelope = sim.in_flight.remove(index);
+                sim.deliver(envelope);
             }
-            Act::Sync(id) => world.sync(id),
-            Act::Ask(id) => {
+            Action::Sync(id) => sim.sync(id),
+            Action::Submit(id) => {
                 let command = format!("c{}", budget.commands);
                 budget.commands -= 1;
-                world.ask(id, &command);
+                sim.submit(id, &command);
             }
-            Act::Crash(id, kept) => {
+            Action::Crash(id, kept) => {
                 budget.crashes -= 1;
-                world.crash(id, kept);
+                sim.crash(id, kept);
             }
-            Act::Restart(id) => world.restart(id),
-            Act::CutOff(id) => {
+            Action::Restart(id) => sim.restart(id),
+            Action::CutOff(id) => {
                 budget.cuts -= 1;
-                world.cut_off(&[id]);
+                sim.cut_off(&[id]);
             }
-            Act::Mend => world.cuts.clear(),
-            Act::Timeout(id) => {
+            Action::Heal => sim.cuts.clear(),
+            Action::Timeout(id) => {
                 budget.timeouts -= 1;
-                world.ahead.insert(id, Span::from_millis(310));
-                world.step(id, Input::Tick);
+                sim.clock_ahead.insert(id, Span::from_millis(310));
+                sim.step(id, Input::Tick);
             }
-            Act::Doubt(id) => {
+            Action::Doubt(id) => {
                 budget.doubts -= 1;
-                world.ahead.insert(id, Span::from_millis(201));
-                world.step(id, Input::Tick);
+                sim.clock_ahead.insert(id, Span::from_millis(201));
+                sim.step(id, Input::Tick);
             }
         }
-        if !self.budget.slow {
-            for id in next.world.ids() {
-                next.world.sync(id);
+        if !self.budget.slow_disks {
+            for id in next.sim.ids() {
+                next.sim.sync(id);
             }
         }
-        next.world.bag.sort_by_key(hash);
-        next.world.bag.dedup();
-        next.world.notes.clear();
+        next.sim.in_flight.sort_by_key(hash);
+        next.sim.in_flight.dedup();
+        next.sim.events.clear();
         next
     }
 
-    /// The state without what only tests keep; the order of messages does not count.
+    /// Returns a hash of the state without what only tests track; the order of messages does not
+    /// count.
     fn fingerprint(&self) -> u64 {
-        let mut messages: Vec<u64> = self.world.bag.iter().map(hash).collect();
+        let mut messages: Vec<u64> = self.sim.in_flight.iter().map(hash).collect();
         messages.sort_unstable();
-        let World {
-            ahead,
-            places,
+        let Simulation {
+            clock_ahead,
+            hosts,
             cuts,
             committed,
             ..
-        } = &self.world;
-        hash(&(ahead, places, cuts, committed, messages, self.budget))
+        } = &self.sim;
+        hash(&(clock_ahead, hosts, cuts, committed, messages, self.budget))
     }
 }
 
@@ -167,14 +168,14 @@
     hasher.finish()
 }
 
-/// Visits every state that can be reached and returns how many there are.
+/// Visits every reachable state and returns their number.
 fn explore(budget: Budget) -> usize {
     let first = State::new(budget);
     let mut seen = HashSet::from([first.fingerprint()]);
     let mut open = vec![first];
     while let Some(state) = open.pop() {
-        for act in state.acts() {
-            let next = state.after(act);
+        for action in state.actions() {
+            let next = state.after(action);
             if seen.insert(next.fingerprint()) {
                 open.push(next);
             }
@@ -183,38 +184,38 @@
     seen.len()
 }
 
-fn budget(commands: u8, crashes: u8, cuts: u8, elections: u8) -> Budget {
+fn limit_faults(commands: u8, crashes: u8, cuts: u8, elections: u8) -> Budget {
     Budget {
         commands,
         crashes,
         cuts,
         timeouts: elections,
         doubts: elections,
-        slow: false,
+        slow_disks: false,
     }
 }
 
 #[test]
 fn small_instance() {
-    let states = explore(budget(2, 1, 1, 0));
+    let states = explore(limit_faults(2, 1, 1, 0));
     println!("states: {states}");
     assert!(states > 50_000);
 }
 
-// The leader or another dies, and one voter stands for election.
+// The leader or another voter dies, and one voter starts an election.
 #[test]
 fn crash_and_election() {
-    let states = explore(budget(0, 1, 0, 1));
+    let states = explore(limit_faults(0, 1, 0, 1));
     println!("states: {states}");
     assert!(states > 10_000);
 }
 
-// Disks sync at any time after a write, also after later messages.
+// Disks sync at any time after a write, even after later messages.
 #[test]
 fn slow_disks() {
     let states = explore(Budget {
-        slow: true,
-        ..budget(1, 1, 1, 0)
+        slow_disks: true,
+        ..limit_faults(1, 1, 1, 0)
     });
     println!("states: {states}");
     assert!(states > 4_000);
--- a/crates/control/tests/machine.rs
+++ b/crates/control/tests/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine: first verdicts and history.
+//! The state machine of patches: verdicts and history.
 
 use serde_json::{json, Value};
 
@@ -8,7 +8,7 @@
 use snipemast_core::prelude::*;
 
 fn id<T: std::str::FromStr<Err = snipemast_core::ids::IdError>>(text: &str) -> T {
-    text.parse().expect("a name")
+    text.parse().expect("a valid name")
 }
 
 fn submission(name: &str, author: &str, base: u64, set: Value) -> Submission {
@@ -34,7 +34,7 @@
 fn submit(machine: &mut ConfigMachine, submission: &Submission) -> Verdict {
     match run(machine, &Command::Submit(submission.clone())) {
         Reply::Verdict(verdict) => verdict,
-        other => panic!("not a verdict: {other:?}"),
+        other => panic!("the reply is not a verdict: {other:?}"),
     }
 }
 
@@ -54,8 +54,8 @@
 
 #[test]
 fn resend_same_verdict() {
-    // An operator's answer is lost and the patch is sent again. Between the two, another
-    // operator's patch was accepted, so that a second evaluation would be a conflict.
+    // An answer is lost and the operator resends the patch. Another operator's patch was accepted
+    // in between, so that a second evaluation would be a conflict.
     let mut machine = ConfigMachine::default();
     let first = submission("p1", "ana", 0, service("a"));
     let verdict = submit(&mut machine, &first);
@@ -68,15 +68,17 @@
 
 #[test]
 fn resend_after_restore() {
-    // The leader that accepted a patch dies; its follower restored a snapshot and knows the
-    // patch from there only.
+    // The leader that accepted a patch dies. The next leader restored a snapshot and knows the
+    // patch only from there.
     let mut machine = ConfigMachine::default();
     let first = submission("p1", "ana", 0, service("a"));
     let verdict = submit(&mut machine, &first);
     let refused = submission("p2", "bea", 0, service("b"));
     let conflict = submit(&mut machine, &refused);
     let mut other = ConfigMachine::default();
-    other.restore(&machine.snapshot()).expect("a snapshot");
+    other
+        .restore(&machine.snapshot())
+        .expect("the snapshot is valid");
     assert_eq!(submit(&mut other, &first), verdict);
     assert_eq!(submit(&mut other, &refused), conflict);
     assert_eq!(other.snapshot(), machine.snapshot());
@@ -84,8 +86,8 @@
 
 #[test]
 fn shared_id_refused() {
-    // Two operators name their patches "friday". The second is told "accepted", and its change
-    // is nowhere.
+    // Two operators use the patch id "friday". The second must not be told that its patch was
+    // accepted, because its change is not in force.
     let mut machine = ConfigMachine::default();
     submit(&mut machine, &submission("friday", "ana", 0, service("a")));
     let other = submission("friday", "bea", 1, service("b"));
@@ -95,8 +97,8 @@
 
 #[test]
 fn race_one_wins() {
-    // Two operators patch the same version at once; both are accepted, and the first one's
-    // change is silently overwritten.
+    // Two operators patch the same version at once. If both were accepted, the first one's change
+    // would be overwritten silently.
     let mut machine = ConfigMachine::default();
     submit(&mut machine, &submission("p1", "ana", 0, service("a")));
     let current = Version::new(1);
@@ -110,18 +112,25 @@
     let machine = filled(300);
     let history = machine.history();
     for n in 1..=300 {
-        let config = history.config_at(Version::new(n)).expect("kept");
+        let config = history
+            .config_at(Version::new(n))
+            .expect("the version is kept");
         assert_eq!(config.version, Version::new(n));
         let name = id(&format!("s{}", (n - 1) % 7));
-        let text = serde_json::to_value(config.services.get(&name)).expect("plain data");
+        let text =
+            serde_json::to_value(config.services.get(&name)).expect("the service can be encoded");
         assert_eq!(text["idempotent"][0], format!("/{}", n - 1));
     }
     let delta = history
         .diff(Version::new(10), Version::new(12))
-        .expect("kept");
+        .expect("the version is kept");
     assert_eq!(delta.services.set.len(), 2);
-    let delta = history.delta_since(Version::new(0)).expect("kept");
-    let base = history.config_at(Version::new(0)).expect("kept");
+    let delta = history
+        .delta_since(Version::new(0))
+        .expect("the version is kept");
+    let base = history
+        .config_at(Version::new(0))
+        .expect("the version is kept");
     assert_eq!(delta.apply(&base).as_ref(), Ok(machine.config().as_ref()));
 }
 
@@ -134,7 +143,9 @@
     assert!(machine.history().config_at(Version::new(1_000)).is_ok());
     assert!(machine.history().delta_since(Version::new(1)).is_none());
     let mut other = ConfigMachine::default();
-    other.restore(&machine.snapshot()).expect("a snapshot");
+    other
+        .restore(&machine.snapshot())
+        .expect("the snapshot is valid");
     assert_eq!(other.config(), machine.config());
     assert!(other.history().config_at(Version::new(1_000)).is_ok());
 }
@@ -142,7 +153,11 @@
 #[test]
 fn author_and_reason() {
     let machine = filled(1);
-    let entry = machine.history().entries().next().expect("an entry");
+    let entry = machine
+        .history()
+        .entries()
+        .next()
+        .expect("the history has an entry");
     assert_eq!(entry.author, Some(id("ana")));
     assert_eq!(entry.reason, "for p0");
     assert_eq!(entry.time.to_string(), "2027-01-15T08:00:00Z");
@@ -150,8 +165,8 @@
 
 #[test]
 fn replaced_majority() {
-    // A majority is lost with its last accepted versions, which some entry has in force. The
-    // next patch must not give their numbers out again.
+    // A majority is lost with its last accepted versions, which may still be in force at some
+    // entry. The next patch must not assign their numbers again.
     let mut machine = filled(3);
     machine.majority_replaced(Index::new(4));
     assert!(machine.config().version > Version::new(900));
--- a/crates/control/tests/matrix.rs
+++ b/crates/control/tests/matrix.rs
@@ -1,4 +1,4 @@
-//! The fault matrix: every fault at every step of the log, singly and in pairs.
+//! A fault matrix: every fault at every step of the protocol, alone and in pairs.
 
 mod support;
 
@@ -7,12 +7,12 @@
 use snipemast_control::{Envelope, Message, Payload, VoterChange, VoterId, Voters, Write};
 use snipemast_core::prelude::*;
 
-use support::{location, World};
+use support::{location, Simulation};
 
 /// How long a fault lasts.
-const WHILE: Span = Span::from_millis(150);
+const FAULT_DURATION: Span = Span::from_millis(150);
 
-/// A step of the protocol, as a fault meets it.
+/// A step of the protocol at which a fault can occur.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     PreVote,
@@ -29,12 +29,12 @@
     SyncSnapshot,
 }
 
-/// What goes wrong at a step.
+/// A fault at a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
-    /// The process dies; nothing that was not synced is left.
+    /// The process dies, and every unsynced write is lost.
     Crash,
-    /// The process dies after its writes reached the disk and before it heard so.
+    /// The process dies after its writes reached the disk, but before it learned that.
     CrashWritten,
     Lost,
     Delayed,
@@ -55,25 +55,25 @@
     Fault::SlowDisk,
 ];
 
-/// A fault at the nth time that a step is met, from 0.
+/// Faults, each at the nth occurrence of a step, counted from 0.
 type Plan = Vec<(Step, usize, Fault)>;
 
-/// What ends a fault.
-enum Undo {
+/// The end of a fault.
+enum Repair {
     Restart(VoterId),
     Deliver(Envelope),
-    Mend,
-    Speed(VoterId),
+    Heal,
+    Recover(VoterId),
 }
 
 struct Run {
-    world: World,
+    sim: Simulation,
     plan: Plan,
-    met: BTreeMap<Step, usize>,
-    later: Vec<(Moment, Undo)>,
+    steps_met: BTreeMap<Step, usize>,
+    repairs: Vec<(Moment, Repair)>,
 }
 
-fn step_of(message: &Message) -> Step {
+fn message_step(message: &Message) -> Step {
     let changes = |e: &snipemast_control::LogEntry| matches!(e.payload, Payload::Voters(_));
     match message {
         Message::PreVote { .. } | Message::PreVoted { .. } => Step::PreVote,
@@ -88,7 +88,7 @@
     }
 }
 
-fn step_of_write(write: &Write) -> Step {
+fn write_step(write: &Write) -> Step {
     match write {
         Write::Hard(_) => Step::SyncVote,
         Write::Append(_) => Step::SyncEntries,
@@ -97,149 +97,149 @@
 }
 
 impl Run {
-    /// Plays the whole script with these faults and lets everything heal.
+    /// Runs the whole scenario with these faults, then ends all faults.
     fn play(plan: Plan) -> Self {
         let mut run = Self {
-            world: World::new(3),
+            sim: Simulation::new(3),
             plan,
-            met: BTreeMap::new(),
-            later: Vec::new(),
+            steps_met: BTreeMap::new(),
+            repairs: Vec::new(),
         };
         run.pass(500);
-        run.ask_some(0..4);
+        run.submit_some(0..4);
         run.lose_one();
         run.change_voters();
         run.lose_leader();
-        run.later.clear();
-        run.world.heal();
+        run.repairs.clear();
+        run.sim.heal();
         run
     }
 
-    fn ask_some(&mut self, numbers: std::ops::Range<u64>) {
+    fn submit_some(&mut self, numbers: std::ops::Range<u64>) {
         for number in numbers {
-            if let Some(leader) = self.world.leader() {
-                self.world.ask(leader, &format!("c{number}"));
+            if let Some(leader) = self.sim.leader() {
+                self.sim.submit(leader, &format!("c{number}"));
             }
             self.pass(30);
         }
     }
 
-    /// One follower misses so much that it needs a snapshot.
+    /// Stops one follower until it has missed so much that it needs a snapshot.
     fn lose_one(&mut self) {
-        let leader = self.world.leader().unwrap_or(VoterId(1));
+        let leader = self.sim.leader().unwrap_or(VoterId(1));
         let follower = VoterId(leader.get() % 3 + 1);
-        self.world.crash(follower, 0);
-        self.ask_some(4..12);
-        self.world.restart(follower);
+        self.sim.crash(follower, 0);
+        self.submit_some(4..12);
+        self.sim.restart(follower);
         self.pass(400);
     }
 
-    /// A fourth voter learns, is promoted, and one of the first leaves.
+    /// Adds a fourth voter as a learner, promotes it, and removes one of the first voters.
     fn change_voters(&mut self) {
         let id = VoterId(4);
-        self.world.add(id, Voters::default());
-        let leaver = |w: &World| VoterId(w.leader().map_or(1, |l| l.get() % 3 + 1));
+        self.sim.add(id, Voters::default());
+        let leaver = |w: &Simulation| VoterId(w.leader().map_or(1, |l| l.get() % 3 + 1));
         let learn = VoterChange::Learn {
             id,
             location: location(4, "zone-4"),
         };
         self.change(learn);
         self.change(VoterChange::Promote { id });
-        let id = leaver(&self.world);
+        let id = leaver(&self.sim);
         self.change(VoterChange::Remove { id });
     }
 
     fn change(&mut self, change: VoterChange) {
         for _ in 0..3 {
-            if let Some(leader) = self.world.leader() {
-                self.world.change(leader, change.clone());
+            if let Some(leader) = self.sim.leader() {
+                self.sim.change(leader, change.clone());
             }
             self.pass(60);
         }
     }
 
     fn lose_leader(&mut self) {
-        if let Some(leader) = self.world.leader() {
-            self.world.crash(leader, 0);
+        if let Some(leader) = self.sim.leader() {
+            self.sim.crash(leader, 0);
         }
         self.pass(500);
-        self.ask_some(12..14);
+        self.submit_some(12..14);
     }
 
     fn pass(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
-            self.world.now = self.world.now + Span::from_millis(10);
-            self.undo();
-            for id in self.world.ids() {
-                self.world.step(id, snipemast_control::Input::Tick);
+            self.sim.now = self.sim.now + Span::from_millis(10);
+            self.repair();
+            for id in self.sim.ids() {
+                self.sim.step(id, snipemast_control::Input::Tick);
             }
-            self.settle();
+            self.deliver_all();
         }
     }
 
-    fn settle(&mut self) {
-        // A message meets a fault once; the bound ends a run that only talks.
+    fn deliver_all(&mut self) {
+        // A message meets a fault once; the bound ends a run that only exchanges messages.
         for _ in 0..200 {
-            for id in self.world.ids() {
+            for id in self.sim.ids() {
                 self.sync(id);
             }
-            if self.world.bag.is_empty() {
+            if self.sim.in_flight.is_empty() {
                 return;
             }
-            let envelope = self.world.bag.remove(0);
+            let envelope = self.sim.in_flight.remove(0);
             self.deliver(envelope);
         }
     }
 
     fn sync(&mut self, id: VoterId) {
-        let place = &self.world.places[&id];
-        let Some((_, write)) = place.disk.pending.first() else {
+        let host = &self.sim.hosts[&id];
+        let Some((_, write)) = host.disk.pending.first() else {
             return;
         };
-        if place.slow {
+        if host.slow_disk {
             return;
         }
-        let step = step_of_write(write);
-        match self.meet(step) {
-            None => self.world.sync(id),
+        let step = write_step(write);
+        match self.next_fault(step) {
+            None => self.sim.sync(id),
             Some(Fault::Crash) => self.crash(id, 0),
             Some(Fault::CrashWritten) => self.crash(id, 1),
-            Some(_) => self.slow(id),
+            Some(_) => self.slow_disk(id),
         }
     }
 
     fn deliver(&mut self, envelope: Envelope) {
         let (from, to) = (envelope.from, envelope.to);
-        let Some(fault) = self.meet(step_of(&envelope.message)) else {
-            return self.world.deliver(envelope);
+        let Some(fault) = self.next_fault(message_step(&envelope.message)) else {
+            return self.sim.deliver(envelope);
         };
         match fault {
             Fault::Crash => self.crash(to, 0),
             Fault::CrashWritten => {
-                self.world.deliver(envelope);
+                self.sim.deliver(envelope);
                 self.crash(to, usize::MAX);
             }
             Fault::Lost => {}
-            Fault::Delayed => self.later(Undo::Deliver(envelope)),
+            Fault::Delayed => self.schedule(Repair::Deliver(envelope)),
             Fault::Duplicated => {
-                self.world.deliver(envelope.clone());
-                self.later(Undo::Deliver(envelope));
+                self.sim.deliver(envelope.clone());
+                self.schedule(Repair::Deliver(envelope));
             }
-            Fault::Reordered => self.world.bag.push(envelope),
+            Fault::Reordered => self.sim.in_flight.push(envelope),
             Fault::Cut => {
-                self.world.cuts.extend([(from, to), (to, from)]);
-                self.later(Undo::Mend);
+                self.sim.cuts.extend([(from, to), (to, from)]);
+                self.schedule(Repair::Heal);
             }
             Fault::SlowDisk => {
-                self.slow(to);
-                self.world.deliver(envelope);
+                self.slow_disk(to);
+                self.sim.deliver(envelope);
             }
         }
     }
 
-    /// Counts a step and gives the fault that is planned for it.
-    fn meet(&mut self, step: Step) -> Option<Fault> {
-        let met = self.met.entry(step).or_insert(0);
+    /// Counts a step and returns the fault that is planned for it.
+    fn next_fault(&mut self, step: Step) -> Option<Fault> {
+        let met = self.steps_met.entry(step).or_insert(0);
         let nth = *met;
         *met += 1;
         let planned = self.plan.iter().find(|(s, n, _)| *s == step && *n == nth);
@@ -247,31 +247,31 @@
     }
 
     fn crash(&mut self, id: VoterId, kept: usize) {
-        self.world.crash(id, kept);
-        self.later(Undo::Restart(id));
+        self.sim.crash(id, kept);
+        self.schedule(Repair::Restart(id));
     }
 
-    fn slow(&mut self, id: VoterId) {
-        self.world.places.get_mut(&id).unwrap().slow = true;
-        self.later(Undo::Speed(id));
+    fn slow_disk(&mut self, id: VoterId) {
+        self.sim.hosts.get_mut(&id).unwrap().slow_disk = true;
+        self.schedule(Repair::Recover(id));
     }
 
-    fn later(&mut self, undo: Undo) {
-        self.later.push((self.world.now + WHILE, undo));
+    fn schedule(&mut self, repair: Repair) {
+        self.repairs.push((self.sim.now + FAULT_DURATION, repair));
     }
 
-    fn undo(&mut self) {
-        let now = self.world.now;
-        let (due, later) = std::mem::take(&mut self.later)
+    fn repair(&mut self) {
+        let now = self.sim.now;
+        let (due, later) = std::mem::take(&mut self.repairs)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.later = later;
-        for (_, undo) in due {
-            match undo {
-                Undo::Restart(id) => self.world.restart(id),
-                Undo::Deliver(envelope) => self.world.deliver(envelope),
-                Undo::Mend => self.world.cuts.clear(),
-                Undo::Speed(id) => self.world.places.get_mut(&id).unwrap().slow = false,
+        self.repairs = later;
+        for (_, repair) in due {
+            match repair {
+                Repair::Restart(id) => self.sim.restart(id),
+                Repair::Deliver(envelope) => self.sim.deliver(envelope),
+                Repair::Heal => self.sim.cuts.clear(),
+                Repair::Recover(id) => self.sim.hosts.get_mut(&id).unwrap().slow_disk = false,
             }
         }
     }
@@ -280,10 +280,10 @@
 #[test]
 fn every_step_met() {
     let run = Run::play(Vec::new());
-    assert_eq!(run.met.len(), 12, "{:?}", run.met);
+    assert_eq!(run.steps_met.len(), 12, "{:?}", run.steps_met);
     assert_eq!(
-        run.world
-            .node(run.world.leader().unwrap())
+        run.sim
+            .node(run.sim.leader().unwrap())
             .voters()
             .voters
             .len(),
@@ -293,7 +293,7 @@
 
 #[test]
 fn single_faults() {
-    let steps = Run::play(Vec::new()).met;
+    let steps = Run::play(Vec::new()).steps_met;
     let mut cells = 0;
     for (step, count) in steps {
         for nth in 0..count.min(40) {
@@ -308,7 +308,7 @@
 
 #[test]
 fn paired_faults() {
-    let steps = Run::play(Vec::new()).met;
+    let steps = Run::play(Vec::new()).steps_met;
     let cell = |(step, count): (&Step, &usize)| {
         let (step, nth) = (*step, count / 2);
         FAULTS.into_iter().map(move |fault| (step, nth, fault))
--- a/crates/control/tests/roster.rs
+++ b/crates/control/tests/roster.rs
@@ -1,4 +1,4 @@
-//! How a leader replaces lost disks by itself.
+//! A leader replaces lost disks on its own.
 
 use std::collections::BTreeMap;
 
@@ -47,9 +47,9 @@
 
 const HEARD: Span = Span::from_millis(50);
 
-/// A user sees changes of the configuration refused long after one control host was replaced.
-/// A new host asks to join; the leader lets it learn; before its first answer can have come the
-/// leader takes it for abandoned, because it has never answered, and removes it, again and again.
+/// A new host joins as a learner, and the leader must not remove it as abandoned before its first
+/// answer can have arrived. Otherwise it is added and removed again and again, and changes of the
+/// configuration are refused long after one control host was replaced.
 #[test]
 fn new_learner_stays() {
     let mut voters = three();
@@ -63,15 +63,15 @@
     assert_eq!(next(&voters, &heard, &[]), None);
 }
 
-/// A host comes back with an empty disk under a new id: it learns, votes once it has caught up, and
-/// only then does the voter leave whose disk is gone.
+/// A host returns with an empty disk and a new id. It becomes a learner, then a voter once it has
+/// caught up, and only then is the voter removed whose disk is gone.
 #[test]
 fn wiped_voter_replaced() {
     let mut voters = three();
     let silent = health(SILENCE_LIMIT, true);
-    let well = health(HEARD, true);
+    let healthy = health(HEARD, true);
     let joining = [(9, location(3))];
-    let learn = next(&voters, &[(2, well), (3, silent)], &joining).unwrap();
+    let learn = next(&voters, &[(2, healthy), (3, silent)], &joining).unwrap();
     assert_eq!(
         learn,
         VoterChange::Learn {
@@ -83,36 +83,41 @@
 
     let behind = health(HEARD, false);
     assert_eq!(
-        next(&voters, &[(2, well), (3, silent), (9, behind)], &[]),
+        next(&voters, &[(2, healthy), (3, silent), (9, behind)], &[]),
         None
     );
 
-    let promote = next(&voters, &[(2, well), (3, silent), (9, well)], &[]).unwrap();
+    let promote = next(&voters, &[(2, healthy), (3, silent), (9, healthy)], &[]).unwrap();
     assert_eq!(promote, VoterChange::Promote { id: VoterId(9) });
     voters = voters.with_change(&promote).unwrap();
 
-    let remove = next(&voters, &[(2, well), (3, silent), (9, well)], &[]).unwrap();
+    let remove = next(&voters, &[(2, healthy), (3, silent), (9, healthy)], &[]).unwrap();
     assert_eq!(remove, VoterChange::Remove { id: VoterId(3) });
     voters = voters.with_change(&remove).unwrap();
-    assert_eq!(next(&voters, &[(2, well), (9, well)], &[]), None);
+    assert_eq!(next(&voters, &[(2, healthy), (9, healthy)], &[]), None);
 }
 
-/// A spare control host learns while all voters are well: it has no vote and costs no quorum.
+/// A spare control host stays a learner while all voters are healthy, so that the quorum does not
+/// grow.
 #[test]
 fn spare_learner_waits() {
     let mut voters = three();
     voters.learners.insert(VoterId(9), location(4));
-    let well = health(HEARD, true);
-    assert_eq!(next(&voters, &[(2, well), (3, well), (9, well)], &[]), None);
+    let healthy = health(HEARD, true);
+    assert_eq!(
+        next(&voters, &[(2, healthy), (3, healthy), (9, healthy)], &[]),
+        None
+    );
 }
 
-/// Three seeds formed a cluster that is to bear two lost disks: learners fill it up to five.
+/// Three seeds formed a cluster that should survive two lost disks. Learners are promoted up to
+/// five voters.
 #[test]
 fn short_cluster_grows() {
     let mut voters = three();
     voters.learners.insert(VoterId(9), location(4));
-    let well = health(HEARD, true);
-    let health = [(2, well), (3, well), (9, well)];
+    let healthy = health(HEARD, true);
+    let health = [(2, healthy), (3, healthy), (9, healthy)];
     let health = health.iter().map(|(id, h)| (VoterId(*id), *h)).collect();
     let roster = Roster {
         leader: LEADER,
@@ -127,15 +132,16 @@
     );
 }
 
-/// A learner that is gone for good does not stay on the list of hosts that everyone polls.
+/// A learner that is gone for good is removed, so that it leaves the list of hosts that everyone
+/// polls.
 #[test]
 fn abandoned_learner_leaves() {
     let mut voters = three();
     voters.learners.insert(VoterId(9), location(4));
-    let well = health(HEARD, true);
+    let healthy = health(HEARD, true);
     let heard = [
-        (2, well),
-        (3, well),
+        (2, healthy),
+        (3, healthy),
         (9, health(LEARNER_SILENCE_LIMIT, false)),
     ];
     assert_eq!(
--- a/crates/control/tests/schedules.rs
+++ b/crates/control/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules of inputs and faults, with every invariant checked after each step.
+//! Random schedules of inputs and faults; all invariants are checked after each step.
 
 mod support;
 
@@ -7,43 +7,43 @@
 use snipemast_control::{VoterChange, VoterId, Voters};
 use snipemast_core::prelude::*;
 
-use support::{location, World};
+use support::{location, Simulation};
 
-/// One act of a schedule.
+/// One action of a schedule.
 #[derive(Debug, Clone)]
-enum Act {
+enum Action {
     Pass(u64),
     Deliver(usize),
     Duplicate(usize),
-    Lose(usize),
+    Drop(usize),
     Sync(u64, usize),
-    Settle,
-    Ask(u64),
+    Run,
+    Submit(u64),
     Crash(u64, usize),
     Restart(u64),
     CutOff(u64),
-    Mend,
+    Heal,
     Learn(u64),
     Promote(u64),
     Remove(u64),
 }
 
-impl Arbitrary for Act {
+impl Arbitrary for Action {
     fn arbitrary(g: &mut Gen) -> Self {
         let number = u64::arbitrary(g);
-        let (id, place) = (number % 5 + 1, (number >> 8) as usize);
+        let (id, index) = (number % 5 + 1, (number >> 8) as usize);
         match u8::arbitrary(g) % 40 {
             0..=4 => Self::Pass(number % 300),
-            5..=12 => Self::Deliver(place),
-            13 => Self::Duplicate(place),
-            14 => Self::Lose(place),
-            15..=19 => Self::Sync(id, place % 3),
-            20..=24 => Self::Settle,
-            25..=29 => Self::Ask(number % 20),
-            30..=31 => Self::Crash(id, place % 3),
+            5..=12 => Self::Deliver(index),
+            13 => Self::Duplicate(index),
+            14 => Self::Drop(index),
+            15..=19 => Self::Sync(id, index % 3),
+            20..=24 => Self::Run,
+            25..=29 => Self::Submit(number % 20),
+            30..=31 => Self::Crash(id, index % 3),
             32..=33 => Self::Restart(id),
             34 => Self::CutOff(id),
-            35 => Self::Mend,
+            35 => Self::Heal,
             36 => Self::Learn(id),
             37..=38 => Self::Promote(id),
             _ => Self::Remove(id),
@@ -51,88 +51,88 @@
     }
 }
 
-fn carry_out(world: &mut World, act: &Act) {
-    let pick = |place: usize, world: &World| match world.bag.len() {
+fn carry_out(sim: &mut Simulation, action: &Action) {
+    let pick = |index: usize, sim: &Simulation| match sim.in_flight.len() {
         0 => None,
-        n => Some(place % n),
+        n => Some(index % n),
     };
-    match act {
-        Act::Pass(millis) => {
-            world.now = world.now + Span::from_millis(*millis);
-            for id in world.ids() {
-                world.step(id, snipemast_control::Input::Tick);
+    match action {
+        Action::Pass(millis) => {
+            sim.now = sim.now + Span::from_millis(*millis);
+            for id in sim.ids() {
+                sim.step(id, snipemast_control::Input::Tick);
             }
         }
-        Act::Deliver(place) => {
-            if let Some(i) = pick(*place, world) {
-                let envelope = world.bag.remove(i);
-                world.deliver(envelope);
+        Action::Deliver(index) => {
+            if let Some(i) = pick(*index, sim) {
+                let envelope = sim.in_flight.remove(i);
+                sim.deliver(envelope);
             }
         }
-        Act::Duplicate(place) => {
-            if let Some(i) = pick(*place, world) {
-                let envelope = world.bag[i].clone();
-                world.bag.push(envelope);
+        Action::Duplicate(index) => {
+            if let Some(i) = pick(*index, sim) {
+                let envelope = sim.in_flight[i].clone();
+                sim.in_flight.push(envelope);
             }
         }
-        Act::Lose(place) => {
-            if let Some(i) = pick(*place, world) {
-                world.bag.remove(i);
+        Action::Drop(index) => {
+            if let Some(i) = pick(*index, sim) {
+                sim.in_flight.remove(i);
             }
         }
-        Act::Sync(id, count) => world.sync_some(VoterId(*id), count + 1),
-        Act::Settle => world.run(20),
-        Act::Ask(number) => {
-            if let Some(leader) = world.leader() {
-                world.ask(leader, &format!("c{number}"));
+        Action::Sync(id, count) => sim.sync_some(VoterId(*id), count + 1),
+        Action::Run => sim.run(20),
+        Action::Submit(number) => {
+            if let Some(leader) = sim.leader() {
+                sim.submit(leader, &format!("c{number}"));
             }
         }
-        Act::Crash(id, kept) => world.crash(VoterId(*id), *kept),
-        Act::Restart(id) => world.restart(VoterId(*id)),
-        Act::CutOff(id) => world.cut_off(&[VoterId(*id)]),
-        Act::Mend => world.cuts.clear(),
-        Act::Learn(id) => {
+        Action::Crash(id, kept) => sim.crash(VoterId(*id), *kept),
+        Action::Restart(id) => sim.restart(VoterId(*id)),
+        Action::CutOff(id) => sim.cut_off(&[VoterId(*id)]),
+        Action::Heal => sim.cuts.clear(),
+        Action::Learn(id) => {
             let location = location(*id, &format!("zone-{id}"));
             change(
-                world,
+                sim,
                 VoterChange::Learn {
                     id: VoterId(*id),
                     location,
                 },
             );
         }
-        Act::Promote(id) => change(world, VoterChange::Promote { id: VoterId(*id) }),
-        Act::Remove(id) => change(world, VoterChange::Remove { id: VoterId(*id) }),
+        Action::Promote(id) => change(sim, VoterChange::Promote { id: VoterId(*id) }),
+        Action::Remove(id) => change(sim, VoterChange::Remove { id: VoterId(*id) }),
     }
 }
 
-fn change(world: &mut World, change: VoterChange) {
-    if let Some(leader) = world.leader() {
-        world.change(leader, change);
+fn change(sim: &mut Simulation, change: VoterChange) {
+    if let Some(leader) = sim.leader() {
+        sim.change(leader, change);
     }
 }
 
-fn play(acts: &[Act]) {
-    let mut world = World::new(3);
+fn run_schedule(actions: &[Action]) {
+    let mut sim = Simulation::new(3);
     for id in [4, 5] {
-        world.add(VoterId(id), Voters::default());
+        sim.add(VoterId(id), Voters::default());
     }
-    world.run(600);
-    for act in acts {
-        carry_out(&mut world, act);
+    sim.run(600);
+    for action in actions {
+        carry_out(&mut sim, action);
     }
-    world.heal();
+    sim.heal();
 }
 
 #[test]
 fn random_schedules() {
-    let holds = |acts: Vec<Act>| {
-        play(&acts);
+    let holds = |actions: Vec<Action>| {
+        run_schedule(&actions);
         true
     };
     for seed in 1..=4 {
         let gen = Gen::from_size_and_seed(150, seed);
-        let check = holds as fn(Vec<Act>) -> bool;
+        let check = holds as fn(Vec<Action>) -> bool;
         QuickCheck::new().rng(gen).tests(250).quickcheck(check);
     }
 }
--- a/crates/control/tests/steps.rs
+++ b/crates/control/tests/steps.rs
@@ -1,4 +1,4 @@
-//! One voter step by step, where an order of events must be exact.
+//! A single voter, step by step, in cases that depend on the exact order of events.
 
 mod support;
 
@@ -9,13 +9,13 @@
 };
 use snipemast_core::prelude::*;
 
-use support::{timing, voters, Ledger};
+use support::{timing, voters, CommandList};
 
-fn node(id: u64, stored: StoredState) -> Node<Ledger> {
+fn node(id: u64, stored: StoredState) -> Node<CommandList> {
     node_at(id, stored, Moment::ZERO)
 }
 
-fn node_at(id: u64, stored: StoredState, now: Moment) -> Node<Ledger> {
+fn node_at(id: u64, stored: StoredState, now: Moment) -> Node<CommandList> {
     let boot = NodeParams {
         id: VoterId(id),
         start: 1,
@@ -25,7 +25,7 @@
         timing: timing(),
         seed: 1,
     };
-    Node::new(boot, Ledger::default(), now).unwrap()
+    Node::new(boot, CommandList::default(), now).unwrap()
 }
 
 fn entry(index: u64, term: u64) -> LogEntry {
@@ -36,7 +36,7 @@
     }
 }
 
-fn says(from: u64, to: u64, term: u64, message: Message) -> Input {
+fn receive(from: u64, to: u64, term: u64, message: Message) -> Input {
     Input::Receive(Envelope {
         cluster: ClusterId(7),
         from: VoterId(from),
@@ -54,7 +54,7 @@
         commit: Index(0),
         sent: Moment::ZERO,
     };
-    says(from, 2, term, message)
+    receive(from, 2, term, message)
 }
 
 fn last_write(outputs: &[Output]) -> u64 {
@@ -65,8 +65,8 @@
     outputs.iter().filter_map(number).max().unwrap()
 }
 
-// A follower's disk is slow. Entries of a lost leader wait for their sync when the next leader
-// overwrites them, and then the old write is synced. It must not pass for the new entries.
+// A follower's disk is slow: entries of a lost leader are still unsynced when the next leader
+// overwrites them. When the old write is synced, the new entries must not count as synced.
 #[test]
 fn overwritten_sync() {
     let mut node = node(2, StoredState::default());
@@ -81,9 +81,9 @@
     assert_eq!(node.durable_index(), Index(2));
 }
 
-// A leader comes back and is elected with an entry of an old term that only now reaches a
-// majority. A voter without it may still be elected by the others, so it is not committed until
-// an entry of the leader's own term stands on a majority after it.
+// A new leader has an entry of an old term that only now reaches a majority. A voter without it
+// could still be elected, so it must not be committed before a later entry of the leader's own term
+// is synced on a majority.
 #[test]
 fn old_term_waits() {
     let stored = StoredState {
@@ -101,20 +101,20 @@
         next: Term(4),
         granted: true,
     };
-    let outputs = node.handle(now, says(2, 1, 3, granted));
+    let outputs = node.handle(now, receive(2, 1, 3, granted));
     let vote_write = last_write(&outputs);
     node.handle(now, Input::Synced { write: vote_write });
-    let outputs = node.handle(now, says(2, 1, 4, Message::Voted { granted: true }));
+    let outputs = node.handle(now, receive(2, 1, 4, Message::Voted { granted: true }));
     assert!(node.is_leader());
-    let office = last_write(&outputs);
-    node.handle(now, Input::Synced { write: office });
+    let first_entry = last_write(&outputs);
+    node.handle(now, Input::Synced { write: first_entry });
     let matched = |index| Message::Matched {
         index: Index(index),
         sent: now,
     };
-    node.handle(now, says(2, 1, 4, matched(2)));
+    node.handle(now, receive(2, 1, 4, matched(2)));
     assert_eq!(node.commit_index(), Index(0));
-    node.handle(now, says(2, 1, 4, matched(3)));
+    node.handle(now, receive(2, 1, 4, matched(3)));
     assert_eq!(node.commit_index(), Index(3));
 }
 
@@ -129,12 +129,12 @@
     }
 }
 
-fn vote(term: u64, last: Position) -> Input {
-    says(3, 2, term, Message::Vote { last })
+fn ask_vote(term: u64, last: Position) -> Input {
+    receive(3, 2, term, Message::Vote { last })
 }
 
-/// Syncs everything and gives the votes that leave then.
-fn votes(node: &mut Node<Ledger>, now: Moment) -> Vec<bool> {
+/// Syncs all writes and returns the votes that are sent then.
+fn sync_and_votes(node: &mut Node<CommandList>, now: Moment) -> Vec<bool> {
     let outputs = node.handle(now, Input::Synced { write: 99 });
     let voted = |o: &Output| match o {
         Output::Send(Envelope {
@@ -146,8 +146,8 @@
     outputs.iter().filter_map(voted).collect()
 }
 
-// A candidate that lacks a committed entry asks for a vote, past its pre-vote. If it were
-// elected, the entry would be overwritten.
+// A candidate that lacks a committed entry asks for a vote after its pre-vote. If it were elected,
+// the entry would be overwritten.
 #[test]
 fn shorter_log() {
     let now = Moment::from_millis(400);
@@ -157,29 +157,29 @@
         (Position::new(Term(2), Index(2)), true),
     ] {
         let mut node = node(2, stored_two());
-        node.handle(now, vote(3, last));
-        assert_eq!(votes(&mut node, now), [granted]);
+        node.handle(now, ask_vote(3, last));
+        assert_eq!(sync_and_votes(&mut node, now), [granted]);
     }
 }
 
-// A follower granted a leader its lease, crashed and is up again at once. It must help nobody
-// to depose that leader before the lease has surely ended.
+// A follower granted a leader its lease, crashed and restarted at once. It must not vote for
+// another leader before the lease has certainly ended.
 #[test]
-fn start_waits() {
+fn restart_delays_vote() {
     let last = Position::new(Term(2), Index(2));
     for (millis, cast) in [(100, Vec::new()), (250, vec![true])] {
         let begun = Moment::from_millis(1_000);
         let mut node = node_at(2, stored_two(), begun);
         let now = begun + Span::from_millis(millis);
-        node.handle(now, vote(3, last));
-        assert_eq!(votes(&mut node, now), cast);
+        node.handle(now, ask_vote(3, last));
+        assert_eq!(sync_and_votes(&mut node, now), cast);
     }
 }
 
-// A follower's disk takes long over an entry. The leader's heartbeats must still be answered,
-// with what is synced, or the leader steps down though everyone hears it.
+// A follower's disk takes long to sync an entry. Heartbeats must still be answered with what is
+// synced; otherwise the leader steps down although everyone hears it.
 #[test]
-fn beat_answered() {
+fn heartbeat_answered() {
     let mut node = node(2, StoredState::default());
     let now = Moment::from_millis(1);
     node.handle(now, append(1, 1, vec![entry(1, 1)]));
@@ -190,7 +190,7 @@
         commit: Index(0),
         sent: now,
     };
-    let outputs = node.handle(now, says(1, 2, 1, message));
+    let outputs = node.handle(now, receive(1, 2, 1, message));
     let answers = |o: &Output| match o {
         Output::Send(envelope) => Some(envelope.message.clone()),
         _ => None,
--- a/crates/control/tests/storage.rs
+++ b/crates/control/tests/storage.rs
@@ -1,4 +1,4 @@
-//! The data folder: crashes, damage, copies, and a majority lost for good.
+//! The data folder: crashes, damage, copies, and the replacement of a lost majority.
 
 mod support;
 
@@ -13,9 +13,9 @@
 };
 use snipemast_core::prelude::*;
 
-use support::{location, voters, Ledger};
+use support::{location, voters, CommandList};
 
-/// A folder that is gone after the test.
+/// A temporary folder that is removed after the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -69,7 +69,7 @@
 }
 
 fn snapshot(index: u64, term: u64) -> Arc<Snapshot> {
-    let state = Ledger::default();
+    let state = CommandList::default();
     Arc::new(Snapshot {
         index: Index(index),
         term: Term(term),
@@ -79,7 +79,7 @@
     })
 }
 
-/// Writes as they come: a vote, entries, some overwritten, another vote.
+/// Returns typical writes: a vote, entries, some of them overwritten, and another vote.
 fn sample() -> Vec<Write> {
     vec![
         hard(1),
@@ -90,7 +90,7 @@
     ]
 }
 
-/// What a disk holds after each write of the sample.
+/// Returns the state of a disk after each write of the sample.
 fn states() -> Vec<StoredState> {
     let mut stored = StoredState::default();
     let mut states = vec![stored.clone()];
@@ -109,17 +109,17 @@
 }
 
 #[test]
-fn writes_return() {
+fn writes_survive() {
     let folder = Folder::new();
     write_sample(&folder);
     assert_eq!(folder.stored(), *states().last().unwrap());
     assert_eq!(folder.open().unwrap().0.identity().starts, 3);
 }
 
-// A host loses power in the middle of a write, at any byte. After the restart the voter has
-// everything that was synced before, and the torn rest is cut.
+// A host loses power in the middle of a write, at any byte. After the restart the voter must have
+// everything that was synced before, and the torn rest is dropped.
 #[test]
-fn cut_anywhere() {
+fn torn_tail_cut() {
     let folder = Folder::new();
     write_sample(&folder);
     let whole = fs::read(folder.file("log")).unwrap();
@@ -133,7 +133,7 @@
     for end in 0..=whole.len() {
         fs::write(folder.file("log"), &whole[..end]).unwrap();
         if end < first {
-            // The file came whole with its first record, so this is no crash's work.
+            // The file was created with its first record, so no crash can have caused this.
             assert!(matches!(folder.open(), Err(StorageError::Damaged { .. })));
             continue;
         }
@@ -141,16 +141,16 @@
         let found = states
             .iter()
             .position(|s| *s == stored)
-            .expect("a whole prefix");
-        assert!(found >= reached, "more bytes never give less");
+            .expect("the state after some write");
+        assert!(found >= reached, "more bytes never restore fewer writes");
         reached = found;
     }
     assert_eq!(reached, states.len() - 1);
 }
 
-// The same crash leaves a stretch that reads as zeros where the last write should be.
+// A host loses power and leaves zeros where the last write should be; they are dropped.
 #[test]
-fn zeros_cut() {
+fn zero_tail_cut() {
     let folder = Folder::new();
     write_sample(&folder);
     let mut bytes = fs::read(folder.file("log")).unwrap();
@@ -160,10 +160,10 @@
     assert_eq!((opened.torn, opened.stored), (700, states().pop().unwrap()));
 }
 
-// A bit of the log turns over on the disk, in any byte, in the last record too. If the voter
-// took it for a torn tail, it would forget what it acknowledged; it must refuse to start.
+// A bit of the log flips on the disk, in any byte, including the last record. If the voter took it
+// for a torn tail, it would lose what it acknowledged; it must refuse to start.
 #[test]
-fn flip_anywhere() {
+fn bit_flips_refused() {
     let folder = Folder::new();
     write_sample(&folder);
     for name in ["log", "identity"] {
@@ -173,7 +173,10 @@
             bytes[byte] ^= bit;
             fs::write(folder.file(name), &bytes).unwrap();
             let refused = matches!(folder.open(), Err(StorageError::Damaged { .. }));
-            assert!(refused, "byte {byte} of {name} turned over unnoticed");
+            assert!(
+                refused,
+                "a flipped bit in byte {byte} of {name} was not noticed"
+            );
         }
         fs::write(folder.file(name), &whole).unwrap();
     }
@@ -181,7 +184,7 @@
 }
 
 #[test]
-fn snapshot_flipped() {
+fn damaged_snapshot_refused() {
     let folder = Folder::new();
     let (mut disk, _) = folder.open().unwrap();
     let stored = StoredState {
@@ -199,8 +202,8 @@
     }
 }
 
-// A process dies after it put a new snapshot in place and before it put the new log in place.
-// The old log must still join the snapshot, and contradicting entries of it must not count.
+// A process dies after it replaced the snapshot and before it replaced the log. The old log must
+// still continue the snapshot, and entries of it that contradict the snapshot must not count.
 #[test]
 fn between_replacements() {
     for (term, kept) in [(2, 3), (9, 2)] {
@@ -224,7 +227,7 @@
             timing: Timing::default(),
             seed: 1,
         };
-        let node = Node::new(boot, Ledger::default(), Moment::ZERO).unwrap();
+        let node = Node::new(boot, CommandList::default(), Moment::ZERO).unwrap();
         assert_eq!(
             (node.log().last_index(), node.commit_index()),
             (Index(kept), Index(2))
@@ -242,8 +245,8 @@
     );
 }
 
-// An operator copies a voter's folder to a new host, or puts back yesterday's copy. The copy
-// forgot what its original voted and acknowledged since; it must not start as that voter.
+// An operator copies a voter's folder to a new host, or restores an old copy. The copy lacks what
+// its original has voted and acknowledged since, so it must not start as that voter.
 #[test]
 fn copies_refused() {
     let folder = Folder::new();
@@ -262,7 +265,7 @@
     assert_eq!(foreign, StorageError::Foreign(location(1, "zone-1").host));
 }
 
-// A wiped folder comes back as somebody else, and half a folder does not come back at all.
+// A wiped folder must return with a new id, and a folder with missing files must be refused.
 #[test]
 fn wiped_folder() {
     let folder = Folder::new();
@@ -284,10 +287,10 @@
     );
 }
 
-// A write fails, and the next one seems to work because the system dropped what it could not
-// write. Nothing may be acknowledged after the first failure.
+// A write fails, and the next one seems to succeed because the operating system dropped what it
+// could not write. Nothing may be acknowledged after the first failure.
 #[test]
-fn failure_ends() {
+fn failed_write_ends() {
     let folder = Folder::new();
     let (mut disk, _) = folder.open().unwrap();
     fs::remove_dir_all(&folder.0).unwrap();
@@ -301,8 +304,8 @@
     assert_eq!(*after.current_context(), StorageError::Ended);
 }
 
-// A majority is lost for good. The operator names the last place of the log that is left and
-// says that later changes may be lost; then this voter alone goes on, above every old term.
+// A majority is lost for good. Once the operator names the last index of the remaining log and
+// confirms that later changes may be lost, this voter continues alone, above every old term.
 #[test]
 fn majority_replaced() {
     let folder = Folder::new();
@@ -336,7 +339,7 @@
         timing: Timing::default(),
         seed: 1,
     };
-    let mut node = Node::new(boot, Ledger::default(), Moment::ZERO).unwrap();
+    let mut node = Node::new(boot, CommandList::default(), Moment::ZERO).unwrap();
     node.handle(Moment::ZERO, Input::Tick);
     node.handle(Moment::ZERO, Input::Synced { write: 9 });
     assert!(node.is_leader() && node.fence().get() > force::TERM_STEP);
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -1,7 +1,8 @@
-//! Voters on fake disks with a bag of messages and a virtual clock, and the invariants.
+//! A simulation of voters with fake disks, messages in flight and a virtual clock, and its
+//! invariants.
 //!
-//! - [`World`]: steps one voter at a time and checks every invariant after each step.
-//! - [`Ledger`]: a state machine that keeps each command once, in order.
+//! - [`Simulation`]: steps one voter at a time and checks all invariants after each step.
+//! - [`CommandList`]: a state machine that stores each command once, in order.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -13,14 +14,14 @@
 };
 use snipemast_core::prelude::*;
 
-/// Keeps each command once; its verdict is the command's place.
+/// Stores each command once; its verdict is the command's position.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Ledger {
+pub struct CommandList {
     pub commands: Vec<Vec<u8>>,
     pub replaced: u64,
 }
 
-impl StateMachine for Ledger {
+impl StateMachine for CommandList {
     fn apply(&mut self, _: Index, command: &[u8]) -> Vec<u8> {
         let known = self.commands.iter().position(|c| c == command);
         let place = known.unwrap_or_else(|| {
@@ -47,39 +48,39 @@
     }
 }
 
-/// A disk: what is synced, and what was written since.
+/// A disk: the synced state, and the writes since.
 #[derive(Debug, Clone, Default, Hash)]
 pub struct Disk {
     pub synced: StoredState,
     pub pending: Vec<(u64, Write)>,
 }
 
-/// One voter, running or not, on its disk.
+/// A host with its disk, and its voter while that runs.
 #[derive(Debug, Clone, Hash)]
-pub struct Place {
-    pub node: Option<Node<Ledger>>,
+pub struct Host {
+    pub node: Option<Node<CommandList>>,
     pub disk: Disk,
     pub start: u64,
-    /// Whether the disk syncs only when it is told to.
-    pub slow: bool,
+    /// Whether the disk syncs only on an explicit call.
+    pub slow_disk: bool,
     first_voters: Voters,
 }
 
-/// Voters, their disks, and the messages between them.
+/// Voters, their disks, and the messages in flight between them.
 #[derive(Debug, Clone, Default)]
-pub struct World {
+pub struct Simulation {
     pub now: Moment,
-    pub places: BTreeMap<VoterId, Place>,
-    pub bag: Vec<Envelope>,
+    pub hosts: BTreeMap<VoterId, Host>,
+    pub in_flight: Vec<Envelope>,
     pub cuts: BTreeSet<(VoterId, VoterId)>,
     pub answers: BTreeMap<Ticket, Result<Vec<u8>, Refusal>>,
-    pub notes: Vec<(VoterId, NodeEvent)>,
+    pub events: Vec<(VoterId, NodeEvent)>,
     pub timing: Option<Timing>,
-    pub asked: BTreeMap<Ticket, Vec<u8>>,
-    /// How far a voter's own clock is ahead of the others'.
-    pub ahead: BTreeMap<VoterId, Span>,
-    /// A clock stood still: a lease is then no promise, and only fencing numbers hold.
-    pub stopped: bool,
+    pub submitted: BTreeMap<Ticket, Vec<u8>>,
+    /// How far a voter's clock is ahead of the others'.
+    pub clock_ahead: BTreeMap<VoterId, Span>,
+    /// Whether a clock has stood still; then leases guarantee nothing, and only fencing numbers do.
+    pub clock_stopped: bool,
     tickets: u64,
     leaders: BTreeMap<Term, VoterId>,
     pub committed: BTreeMap<Index, LogEntry>,
@@ -87,7 +88,7 @@
     fences: BTreeMap<VoterId, Fence>,
 }
 
-/// Short timeouts and small bounds, so that snapshots and pieces occur.
+/// Returns short timeouts and small limits, so that snapshots in several pieces occur.
 pub fn timing() -> Timing {
     Timing {
         heartbeat: Span::from_millis(50),
@@ -109,89 +110,89 @@
     }
 }
 
-/// Voters 1 to n, each in a zone of its own.
+/// Returns voters 1 to n, each in a zone of its own.
 pub fn voters(n: u64) -> Voters {
     let location = |i| (VoterId(i), location(i, &format!("zone-{i}")));
     Voters::new((1..=n).map(location).collect())
 }
 
-impl World {
-    /// So many voters that start now.
+impl Simulation {
+    /// Starts `n` voters.
     pub fn new(n: u64) -> Self {
         Self::with_timing(n, timing())
     }
 
     pub fn with_timing(n: u64, timing: Timing) -> Self {
-        let mut world = Self {
+        let mut sim = Self {
             timing: Some(timing),
             ..Self::default()
         };
         for i in 1..=n {
-            world.add(VoterId(i), voters(n));
+            sim.add(VoterId(i), voters(n));
         }
-        world
+        sim
     }
 
-    /// Adds a process with an empty disk.
+    /// Adds a host with an empty disk and starts its voter.
     pub fn add(&mut self, id: VoterId, first_voters: Voters) {
-        let place = Place {
+        let host = Host {
             node: None,
             disk: Disk::default(),
             start: 0,
-            slow: false,
+            slow_disk: false,
             first_voters,
         };
-        self.places.insert(id, place);
+        self.hosts.insert(id, host);
         self.restart(id);
     }
 
     pub fn restart(&mut self, id: VoterId) {
-        let now = self.now + self.ahead.get(&id).copied().unwrap_or_default();
+        let now = self.now + self.clock_ahead.get(&id).copied().unwrap_or_default();
         let timing = self.timing.unwrap_or_else(timing);
-        let place = self.places.get_mut(&id).unwrap();
-        if place.node.is_some() {
+        let host = self.hosts.get_mut(&id).unwrap();
+        if host.node.is_some() {
             return;
         }
-        place.start += 1;
-        place.disk.pending.clear();
+        host.start += 1;
+        host.disk.pending.clear();
         let boot = NodeParams {
             id,
-            start: place.start,
+            start: host.start,
             cluster: ClusterId(7),
-            first_voters: place.first_voters.clone(),
-            stored: place.disk.synced.clone(),
+            first_voters: host.first_voters.clone(),
+            stored: host.disk.synced.clone(),
             timing,
-            seed: id.get() * 1_000 + place.start,
+            seed: id.get() * 1_000 + host.start,
         };
-        place.node = Some(Node::new(boot, Ledger::default(), now).unwrap());
+        host.node = Some(Node::new(boot, CommandList::default(), now).unwrap());
         self.fences.remove(&id);
     }
 
-    /// The process dies; of what was not synced, the first `kept` writes reached the disk.
+    /// Kills the process; of the unsynced writes, the first `kept` reached the disk.
     pub fn crash(&mut self, id: VoterId, kept: usize) {
-        let place = self.places.get_mut(&id).unwrap();
-        place.node = None;
-        let pending = std::mem::take(&mut place.disk.pending);
+        let host = self.hosts.get_mut(&id).unwrap();
+        host.node = None;
+        let pending = std::mem::take(&mut host.disk.pending);
         for (_, write) in pending.iter().take(kept) {
-            place.disk.synced.apply(write);
+            host.disk.synced.apply(write);
         }
     }
 
-    pub fn node(&self, id: VoterId) -> &Node<Ledger> {
-        self.places[&id].node.as_ref().expect("it runs")
+    pub fn node(&self, id: VoterId) -> &Node<CommandList> {
+        self.hosts[&id].node.as_ref().expect("the voter runs")
     }
 
-    pub fn runs(&self, id: VoterId) -> bool {
-        self.places.get(&id).is_some_and(|p| p.node.is_some())
+    pub fn is_running(&self, id: VoterId) -> bool {
+        self.hosts.get(&id).is_some_and(|p| p.node.is_some())
     }
 
     pub fn ids(&self) -> Vec<VoterId> {
-        self.places.keys().copied().collect()
+        self.hosts.keys().copied().collect()
     }
 
-    /// The leader with the latest term.
+    /// Returns the leader with the latest term.
     pub fn leader(&self) -> Option<VoterId> {
-        let nodes = self.places.values().filter_map(|p| p.node.as_ref());
+        let nodes = self.hosts.values().filter_map(|p| p.node.as_ref());
         nodes
             .filter(|n| n.is_leader())
             .max_by_key(|n| n.term())
@@ -199,49 +200,52 @@
     }
 
     pub fn step(&mut self, id: VoterId, input: Input) {
-        let now = self.now + self.ahead.get(&id).copied().unwrap_or_default();
-        let place = self.places.get_mut(&id).unwrap();
-        let Some(node) = place.node.as_mut() else {
+        let now = self.now + self.clock_ahead.get(&id).copied().unwrap_or_default();
+        let host = self.hosts.get_mut(&id).unwrap();
+        let Some(node) = host.node.as_mut() else {
             return;
         };
         let commit = node.commit_index();
         let outputs = node.handle(now, input);
-        let still = outputs.is_empty() && node.commit_index() == commit;
+        let idle = outputs.is_empty() && node.commit_index() == commit;
         for output in outputs {
             match output {
-                Output::Write { number, write } => place.disk.pending.push((number, write)),
-                Output::Send(envelope) => self.bag.push(envelope),
+                Output::Write { number, write } => host.disk.pending.push((number, write)),
+                Output::Send(envelope) => self.in_flight.push(envelope),
                 Output::Answer { ticket, answer } => {
-                    assert!(self.answers.insert(ticket, answer).is_none(), "one answer");
+                    assert!(
+                        self.answers.insert(ticket, answer).is_none(),
+                        "a caller gets one answer"
+                    );
                 }
-                Output::Event(note) => self.notes.push((id, note)),
+                Output::Event(event) => self.events.push((id, event)),
             }
         }
-        // A step that did nothing can break nothing.
-        if !still {
+        // A step without effect cannot break an invariant.
+        if !idle {
             self.check(id);
         }
     }
 
-    /// Syncs everything that is written.
+    /// Syncs all writes.
     pub fn sync(&mut self, id: VoterId) {
         self.sync_some(id, usize::MAX);
     }
 
-    /// Syncs the first so many writes.
+    /// Syncs the first `count` writes.
     pub fn sync_some(&mut self, id: VoterId, count: usize) {
-        let place = self.places.get_mut(&id).unwrap();
-        if place.node.is_none() {
+        let host = self.hosts.get_mut(&id).unwrap();
+        if host.node.is_none() {
             return;
         }
-        let count = count.min(place.disk.pending.len());
-        let pending: Vec<_> = place.disk.pending.drain(..count).collect();
+        let count = count.min(host.disk.pending.len());
+        let pending: Vec<_> = host.disk.pending.drain(..count).collect();
         let Some((write, _)) = pending.last() else {
             return;
         };
         let write = *write;
         for (_, write) in &pending {
-            place.disk.synced.apply(write);
+            host.disk.synced.apply(write);
         }
         self.step(id, Input::Synced { write });
     }
@@ -249,12 +253,12 @@
     pub fn deliver(&mut self, envelope: Envelope) {
         let (from, to) = (envelope.from, envelope.to);
         let cut = self.cuts.contains(&(from, to));
-        if !cut && self.runs(to) {
+        if !cut && self.is_running(to) {
             self.step(to, Input::Receive(envelope));
         }
     }
 
-    /// Cuts the ids off from all others, both ways.
+    /// Cuts these voters off from all others, in both directions.
     pub fn cut_off(&mut self, ids: &[VoterId]) {
         for a in self.ids() {
             for b in self.ids() {
@@ -265,39 +269,39 @@
         }
     }
 
-    /// Delivers and syncs until nothing moves; slow disks stay as they are.
-    pub fn settle(&mut self) {
+    /// Delivers messages and syncs disks, except slow ones, until nothing is left to do.
+    pub fn deliver_all(&mut self) {
         loop {
             for id in self.ids() {
-                if !self.places[&id].slow {
+                if !self.hosts[&id].slow_disk {
                     self.sync(id);
                 }
             }
-            if self.bag.is_empty() {
+            if self.in_flight.is_empty() {
                 return;
             }
-            for envelope in std::mem::take(&mut self.bag) {
+            for envelope in std::mem::take(&mut self.in_flight) {
                 self.deliver(envelope);
             }
         }
     }
 
-    /// Lets so many milliseconds pass without a fault.
+    /// Lets time pass without a fault.
     pub fn run(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.now = self.now + Span::from_millis(10);
             for id in self.ids() {
                 self.step(id, Input::Tick);
             }
-            self.settle();
+            self.deliver_all();
         }
     }
 
-    pub fn ask(&mut self, id: VoterId, command: &str) -> Ticket {
+    pub fn submit(&mut self, id: VoterId, command: &str) -> Ticket {
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
         let command = command.as_bytes().to_vec();
-        self.asked.insert(ticket, command.clone());
+        self.submitted.insert(ticket, command.clone());
         self.step(id, Input::Propose { ticket, command });
         ticket
     }
@@ -309,10 +313,10 @@
         ticket
     }
 
-    /// Asks the leader, waits, and expects the command to be accepted.
-    pub fn accept(&mut self, command: &str) {
-        let leader = self.leader().expect("somebody leads");
-        let ticket = self.ask(leader, command);
+    /// Submits a command to the leader, waits, and expects it to be accepted.
+    pub fn expect_accepted(&mut self, command: &str) {
+        let leader = self.leader().expect("there is a leader");
+        let ticket = self.submit(leader, command);
         self.run(100);
         assert!(
             matches!(self.answers.get(&ticket), Some(Ok(_))),
@@ -320,15 +324,16 @@
         );
     }
 
-    /// Every fault ends, everybody comes back: the log must go on and hold what was promised.
+    /// Ends all faults and restarts all voters; the log must continue and hold what was
+    /// acknowledged.
     pub fn heal(&mut self) {
         self.cuts.clear();
         for id in self.ids() {
-            self.places.get_mut(&id).unwrap().slow = false;
+            self.hosts.get_mut(&id).unwrap().slow_disk = false;
             self.restart(id);
         }
         self.run(3_000);
-        self.accept("after-all");
+        self.expect_accepted("after-all");
         self.check_promises();
     }
 
@@ -336,7 +341,7 @@
         let node = self.node(id).clone();
         if node.is_leader() {
             let first = *self.leaders.entry(node.term()).or_insert(id);
-            assert_eq!(first, id, "one leader a term");
+            assert_eq!(first, id, "a term has one leader");
         }
         let fence = self.fences.entry(id).or_insert(node.fence());
         assert!(node.fence() >= *fence, "fencing numbers only rise");
@@ -346,63 +351,85 @@
         self.check_lease();
     }
 
-    fn check_entries(&mut self, node: &Node<Ledger>) {
+    fn check_entries(&mut self, node: &Node<CommandList>) {
         for entry in node.log().entries_after(node.log().base(), usize::MAX) {
             let key = (entry.index, entry.term);
             let first = self.written.entry(key).or_insert_with(|| entry.clone());
-            assert_eq!(*first, entry, "logs match");
+            assert_eq!(
+                *first, entry,
+                "entries with the same index and term are equal"
+            );
         }
     }
 
-    /// What is committed stays, and stands on a majority of synced disks when it is committed.
-    fn check_commit(&mut self, node: &Node<Ledger>) {
+    /// A committed entry stays, and is synced on a majority of disks when it is committed.
+    fn check_commit(&mut self, node: &Node<CommandList>) {
         for number in node.log().base().get() + 1..=node.commit_index().get() {
             let Some(entry) = node.log().get(Index(number)).cloned() else {
                 continue;
             };
             if let Some(first) = self.committed.get(&entry.index) {
-                assert_eq!(*first, entry, "committed stays");
+                assert_eq!(*first, entry, "a committed entry stays");
                 continue;
             }
-            let holders = self.places.iter().filter(|(_, p)| holds(&p.disk, &entry));
+            let holders = self.hosts.iter().filter(|(_, p)| stores(&p.disk, &entry));
             let holders: BTreeSet<VoterId> = holders.map(|(id, _)| *id).collect();
             let voters = node.log().voters_at(entry.index);
             let quorum = voters.is_quorum(&holders) || node.voters().is_quorum(&holders);
-            assert!(quorum, "{} is committed on {holders:?}", entry.index);
+            assert!(
+                quorum,
+                "index {} is committed on {holders:?} only",
+                entry.index
+            );
             self.committed.insert(entry.index, entry);
         }
     }
 
     fn check_lease(&self) {
-        let nodes = self.places.values().filter_map(|p| p.node.as_ref());
+        let nodes = self.hosts.values().filter_map(|p| p.node.as_ref());
         let leased = nodes.filter(|n| n.has_lease(self.now)).count();
-        assert!(self.stopped || leased <= 1, "one leader speaks at a time");
+        assert!(
+            self.clock_stopped || leased <= 1,
+            "at most one leader holds a lease"
+        );
     }
 
-    /// Every accepted command stands in the committed log, and every machine agrees.
+    /// Every accepted command is in the committed log, and all state machines agree.
     pub fn check_promises(&self) {
-        let leader = self.leader().expect("somebody leads");
+        let leader = self.leader().expect("there is a leader");
         let commands = &self.node(leader).machine().commands;
         for (ticket, answer) in &self.answers {
-            let Some(command) = self.asked.get(ticket) else {
+            let Some(command) = self.submitted.get(ticket) else {
                 continue;
             };
             if let Ok(verdict) = answer {
                 let place = u64::from_be_bytes(verdict.as_slice().try_into().unwrap());
-                assert_eq!(commands.get(place as usize), Some(command), "one verdict");
+                assert_eq!(
+                    commands.get(place as usize),
+                    Some(command),
+                    "the verdict is the command's position"
+                );
             }
         }
         let distinct: BTreeSet<_> = commands.iter().collect();
-        assert_eq!(distinct.len(), commands.len(), "once each");
+        assert_eq!(
+            distinct.len(),
+            commands.len(),
+            "each command is stored once"
+        );
         for id in self.ids() {
-            if self.runs(id) && self.node(leader).voters().is_member(id) {
-                assert_eq!(&self.node(id).machine().commands, commands, "{id} agrees");
+            if self.is_running(id) && self.node(leader).voters().is_member(id) {
+                assert_eq!(
+                    &self.node(id).machine().commands,
+                    commands,
+                    "the state machine of {id} agrees"
+                );
             }
         }
     }
 }
 
-fn holds(disk: &Disk, entry: &LogEntry) -> bool {
+fn stores(disk: &Disk, entry: &LogEntry) -> bool {
     let covered = disk
         .synced
         .snapshot
