--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -1,4 +1,4 @@
-//! What operators and servers call, and what our own processes call.
+//! The HTTP interface for operators and servers, and for the system's own processes.
 
 use std::sync::Arc;
 
@@ -21,96 +21,100 @@
 use snipemast_registry::{news, rank, Poll, RankUpdate, Standing};
 use snipemast_routes::{check, Fault};
 
-use crate::join::Own;
-use crate::peers::{path, Batch, Done, Join, Joined, Read, Submitted};
+use crate::join::OwnHost;
+use crate::peers::{path, Ack, Batch, JoinAnswer, JoinRequest, ReadAnswer, SubmitAnswer};
 use crate::spread;
 use crate::state::State;
 
-/// The largest body of a call, in bytes: four times the largest configuration that is usual.
-const BODY: usize = 16 << 20;
+/// The largest body of a call in bytes: four times the largest usual configuration.
+const MAX_BODY: usize = 16 << 20;
 
 /// How long a body may take to arrive.
-const BODY_LIMIT: Span = Span::from_secs(5);
+const BODY_TIMEOUT: Span = Span::from_secs(5);
 
-/// How long an acknowledgement waits for gateways to have a change in force: servers wait a second
-/// for theirs, and a gateway that takes longer than this is slow or cut off.
-const IN_FORCE: Span = Span::from_millis(600);
+/// How long an acknowledgement waits until all gateways have a change in force: servers wait a
+/// second for their acknowledgement, and a gateway that takes longer than this is slow or cut off.
+const IN_FORCE_TIMEOUT: Span = Span::from_millis(600);
 
-/// How long the leader may take: a commit on slow disks, below a second so that the caller hears.
-const LEADER: Span = Span::from_millis(950);
+/// How long the leader may take: enough for a commit on slow disks, and below a second so that the
+/// caller still gets an answer.
+const LEADER_TIMEOUT: Span = Span::from_millis(950);
 
 type Answer = Response<Full<Bytes>>;
 
-/// What the handlers need.
+/// The state that the request handlers use.
 #[derive(Debug)]
 pub(crate) struct Api {
     pub(crate) state: Arc<State>,
-    pub(crate) own: Arc<Own>,
+    pub(crate) own: Arc<OwnHost>,
 }
 
 impl Api {
     /// Answers operators and servers.
-    pub(crate) async fn outside(self: Arc<Self>, request: Request<Incoming>) -> Answer {
+    pub(crate) async fn answer_external(self: Arc<Self>, request: Request<Incoming>) -> Answer {
         let call = Call::find(request.method(), request.uri().path());
         match call {
             Some(Call::Put) => match read_body(request).await {
-                Some(body) => self.put(body).await,
-                None => plain(StatusCode::BAD_REQUEST, "the body can't be read"),
+                Some(body) => self.put_config(body).await,
+                None => text_answer(StatusCode::BAD_REQUEST, "the body can't be read"),
             },
-            Some(Call::Read) => self.read().await,
+            Some(Call::Read) => self.read_config().await,
             Some(Call::Announce(id)) => match read_body(request).await {
                 Some(body) => self.announce(&id, &body).await,
-                None => plain(StatusCode::BAD_REQUEST, "the body can't be read"),
+                None => text_answer(StatusCode::BAD_REQUEST, "the body can't be read"),
             },
             Some(Call::Leave(id)) => self.leave(&id).await,
             None if request.uri().path() == METRICS => self.metrics(),
-            None => plain(StatusCode::NOT_FOUND, "no such call"),
+            None => text_answer(StatusCode::NOT_FOUND, "no such call"),
         }
     }
 
-    /// Answers our own processes.
-    pub(crate) async fn inside(self: Arc<Self>, request: Request<Incoming>) -> Answer {
+    /// Answers the system's own processes.
+    pub(crate) async fn answer_internal(self: Arc<Self>, request: Request<Incoming>) -> Answer {
         let at = request.uri().path().to_owned();
         let Some(body) = read_body(request).await else {
-            return plain(StatusCode::BAD_REQUEST, "the body can't be read");
+            return text_answer(StatusCode::BAD_REQUEST, "the body can't be read");
         };
         let answered = match at.as_str() {
-            path::LOG => self.log(&body),
+            path::LOG => self.receive_log(&body),
             path::HELLO => self.hello(&body),
             path::JOIN => self.join(&body),
             path::SUBMIT => self.submit(&body).await,
-            path::READ => Some(rpc::answer(&self.read_here())),
+            path::READ => Some(rpc::answer(&self.read_local())),
             news::PATH => self.news(&body).await,
             rank::PATH => self.rank(&body),
-            _ => return plain(StatusCode::NOT_FOUND, "no such call"),
+            _ => return text_answer(StatusCode::NOT_FOUND, "no such call"),
         };
-        answered.unwrap_or_else(|| plain(StatusCode::BAD_REQUEST, "the message can't be read"))
+        answered
+            .unwrap_or_else(|| text_answer(StatusCode::BAD_REQUEST, "the message can't be read"))
     }
 
-    async fn put(&self, text: Bytes) -> Answer {
+    /// Submits a configuration, and acknowledges it once all gateways have it in force or the wait
+    /// for them is over.
+    async fn put_config(&self, text: Bytes) -> Answer {
         let document = match document::read(&text) {
             Ok(document) => document,
-            Err(fault) => return self.refuse(Version(0), &[fault]),
+            Err(fault) => return self.refuse_config(Version(0), &[fault]),
         };
         let version = document.version;
         let faults = check(&document);
         if !faults.is_empty() {
-            return self.refuse(version, &faults);
+            return self.refuse_config(version, &faults);
         }
         let submission = Submission {
             version,
             text: text.to_vec(),
         };
-        match self.submit_anywhere(submission).await {
+        match self.submit_to_leader(submission).await {
             Some(Verdict::Conflict) => {
-                self.note(
+                self.record(
                     Event::PatchRefused,
                     version,
-                    "other content under its number",
+                    "other content has the same version",
                 );
-                plain(
+                text_answer(
                     StatusCode::CONFLICT,
-                    "other content is in force under this number",
+                    "other content is in force under this version",
                 )
             }
             Some(verdict) => {
@@ -119,93 +123,106 @@
                     let now = s.clock.now();
                     s.pollers.lock().has_version(now, version)
                 };
-                let everywhere = state.wait(IN_FORCE, in_force).await;
+                let everywhere = state.wait_until(IN_FORCE_TIMEOUT, in_force).await;
                 let detail = format!("{verdict:?}, in force everywhere: {everywhere}");
-                self.note(Event::PatchAccepted, version, detail);
+                self.record(Event::PatchAccepted, version, detail);
                 json_answer(StatusCode::OK, &json!({ "version": version.get() }))
             }
             None => {
-                self.note(
+                self.record(
                     Event::PatchRefused,
                     version,
-                    "no verdict: no leader in reach",
+                    "no verdict: no leader can be reached",
                 );
-                plain(StatusCode::SERVICE_UNAVAILABLE, "no leader is in reach")
+                text_answer(StatusCode::SERVICE_UNAVAILABLE, "no leader can be reached")
             }
         }
     }
 
-    fn refuse(&self, version: Version, faults: &[Fault]) -> Answer {
+    fn refuse_config(&self, version: Version, faults: &[Fault]) -> Answer {
         let faults: Vec<String> = faults.iter().map(Fault::to_string).collect();
-        self.note(Event::PatchRefused, version, faults.join("; "));
+        self.record(Event::PatchRefused, version, faults.join("; "));
         json_answer(StatusCode::BAD_REQUEST, &json!({ "faults": faults }))
     }
 
-    fn note(&self, event: Event, version: Version, detail: impl std::fmt::Display) {
+    fn record(&self, event: Event, version: Version, detail: impl std::fmt::Display) {
         let subject = format_args!("version {version}");
         self.state.journal.record(event, subject, detail);
     }
 
-    async fn submit_anywhere(&self, submission: Submission) -> Option<Verdict> {
+    /// Submits a configuration to the leader, here or on another host.
+    async fn submit_to_leader(&self, submission: Submission) -> Option<Verdict> {
         let (leader, own) = self.state.voter.leader()?;
         if own {
             return self.state.voter.submit(&submission).await;
         }
         let client = RpcClient::new(leader);
-        let submitted = client.call(path::SUBMIT, &submission, LEADER).await.ok()?;
+        let submitted = client
+            .call(path::SUBMIT, &submission, LEADER_TIMEOUT)
+            .await
+            .ok()?;
         match submitted {
-            Submitted::Settled(verdict) => Some(verdict),
-            Submitted::Unsettled => None,
+            SubmitAnswer::Settled(verdict) => Some(verdict),
+            SubmitAnswer::Unsettled => None,
         }
     }
 
-    async fn read(&self) -> Answer {
-        let newest = match self.read_here() {
-            Read::Newest(newest) => Some(newest),
-            Read::Unsure => self.read_leader().await,
+    async fn read_config(&self) -> Answer {
+        let newest = match self.read_local() {
+            ReadAnswer::Newest(newest) => Some(newest),
+            ReadAnswer::Unsure => self.read_from_leader().await,
         };
         match newest {
-            Some(newest) => with_type(StatusCode::OK, newest.text.into()),
-            None => plain(
+            Some(newest) => json_body(StatusCode::OK, newest.text.into()),
+            None => text_answer(
                 StatusCode::SERVICE_UNAVAILABLE,
-                "it is not sure which configuration is the newest",
+                "the newest configuration cannot be determined now",
             ),
         }
     }
 
-    fn read_here(&self) -> Read {
-        self.state.voter.read().map_or(Read::Unsure, Read::Newest)
+    /// Returns the newest configuration, if this voter can be sure that it has it.
+    fn read_local(&self) -> ReadAnswer {
+        self.state
+            .voter
+            .read()
+            .map_or(ReadAnswer::Unsure, ReadAnswer::Newest)
     }
 
-    async fn read_leader(&self) -> Option<Submission> {
+    /// Asks the leader for the newest configuration.
+    async fn read_from_leader(&self) -> Option<Submission> {
         let (leader, own) = self.state.voter.leader()?;
         if own {
             return None;
         }
         let client = RpcClient::new(leader);
-        match client.call(path::READ, &Done {}, LEADER).await.ok()? {
-            Read::Newest(newest) => Some(newest),
-            Read::Unsure => None,
+        match client
+            .call(path::READ, &Ack {}, LEADER_TIMEOUT)
+            .await
+            .ok()?
+        {
+            ReadAnswer::Newest(newest) => Some(newest),
+            ReadAnswer::Unsure => None,
         }
     }
 
     async fn announce(&self, id: &str, body: &[u8]) -> Answer {
         let announcement = match heartbeat::read(id, body) {
             Ok(announcement) => announcement,
-            Err(report) => return self.ignore(id, &format!("{report:?}")),
+            Err(report) => return self.refuse_announcement(id, &format!("{report:?}")),
         };
         let (server, standing) = (announcement.id.clone(), announcement.standing());
         let address = announcement.address;
         let known = self.state.table.lock().get(&server).is_some();
-        let (strangers, voter) = (&self.state.strangers, &self.state.voter);
-        if !known && !strangers.has_service(voter, &announcement.service) {
-            let reason = format!("{} is no service", announcement.service);
-            return self.ignore(id, &reason);
+        let (unknown_senders, voter) = (&self.state.unknown_senders, &self.state.voter);
+        if !known && !unknown_senders.has_service(voter, &announcement.service) {
+            let reason = format!("service {} is not configured", announcement.service);
+            return self.refuse_announcement(id, &reason);
         }
         let now = self.state.clock.now();
         if self
             .state
-            .change(|table| table.record_heartbeat(now, announcement))
+            .update_table(|table| table.record_heartbeat(now, announcement))
         {
             let event = match standing {
                 Standing::Draining => Event::MemberDraining,
@@ -214,84 +231,97 @@
             self.state.journal.record(event, &server, address);
         }
         if standing == Standing::Draining {
-            self.spread().await;
+            self.wait_for_gateways().await;
         }
         json_answer(StatusCode::OK, &json!({}))
     }
 
-    /// Answers an announcement that names no server to use.
-    fn ignore(&self, id: &str, reason: &str) -> Answer {
+    /// Refuses an announcement, and records its sender.
+    fn refuse_announcement(&self, id: &str, reason: &str) -> Answer {
         let State {
-            strangers, journal, ..
+            unknown_senders,
+            journal,
+            ..
         } = &*self.state;
-        strangers.note(journal, id, reason);
-        plain(StatusCode::BAD_REQUEST, "this names no server to use")
+        unknown_senders.record(journal, id, reason);
+        text_answer(
+            StatusCode::BAD_REQUEST,
+            "the announcement names no usable server",
+        )
     }
 
     async fn leave(&self, id: &str) -> Answer {
         let id = match heartbeat::read_id(id) {
             Ok(id) => id,
-            Err(report) => return plain(StatusCode::BAD_REQUEST, &report.to_string()),
+            Err(report) => return text_answer(StatusCode::BAD_REQUEST, &report.to_string()),
         };
         let now = self.state.clock.now();
-        if self.state.change(|table| table.record_goodbye(now, &id)) {
+        if self
+            .state
+            .update_table(|table| table.record_goodbye(now, &id))
+        {
             self.state
                 .journal
                 .record(Event::MemberRemoved, &id, "good-bye");
         }
-        self.spread().await;
+        self.wait_for_gateways().await;
         json_answer(StatusCode::OK, &json!({}))
     }
 
-    /// Failure guarded against: a server that leaves gets its acknowledgement, and gateways that
-    /// have not heard yet go on sending there after its time. The acknowledgement waits for
-    /// every connected gateway, within what the server waits.
-    async fn spread(&self) {
+    /// Waits until every connected gateway knows of the change, at most as long as the server
+    /// waits.
+    ///
+    /// Otherwise a leaving server would get its acknowledgement while gateways that do not know yet
+    /// still send requests to it.
+    async fn wait_for_gateways(&self) {
         let cursor = self.state.cursor();
         let everywhere = |s: &State| s.pollers.lock().has_revision(s.clock.now(), cursor);
-        if !self.state.wait(IN_FORCE, everywhere).await {
-            let detail = "a gateway lags behind";
+        if !self.state.wait_until(IN_FORCE_TIMEOUT, everywhere).await {
+            let detail = "a gateway has not confirmed the change";
             let journal = &self.state.journal;
             journal.record(Event::MemberUnreachable, "drain", detail);
         }
     }
 
-    fn log(&self, body: &[u8]) -> Option<Answer> {
-        let batch: Batch = read(body)?;
+    fn receive_log(&self, body: &[u8]) -> Option<Answer> {
+        let batch: Batch = decode(body)?;
         self.state.voter.receive(batch.from, batch.envelopes);
-        Some(rpc::answer(&Done {}))
+        Some(rpc::answer(&Ack {}))
     }
 
     fn hello(&self, body: &[u8]) -> Option<Answer> {
-        let _: Hello = read(body)?;
+        let _: Hello = decode(body)?;
         Some(match self.own.known() {
             Some(known) => rpc::answer(&known),
-            None => plain(StatusCode::SERVICE_UNAVAILABLE, "the folder is not open"),
+            None => text_answer(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "the data folder is not open yet",
+            ),
         })
     }
 
     fn join(&self, body: &[u8]) -> Option<Answer> {
-        let join: Join = read(body)?;
+        let join: JoinRequest = decode(body)?;
         let leader = self.state.voter.join(join.voter, join.location);
-        Some(rpc::answer(&Joined { leader }))
+        Some(rpc::answer(&JoinAnswer { leader }))
     }
 
     async fn submit(&self, body: &[u8]) -> Option<Answer> {
-        let submission: Submission = read(body)?;
+        let submission: Submission = decode(body)?;
         let verdict = self.state.voter.submit(&submission).await;
-        let submitted = verdict.map_or(Submitted::Unsettled, Submitted::Settled);
+        let submitted = verdict.map_or(SubmitAnswer::Unsettled, SubmitAnswer::Settled);
         Some(rpc::answer(&submitted))
     }
 
     async fn news(&self, body: &[u8]) -> Option<Answer> {
-        let poll: Poll = read(body)?;
-        let news = spread::answer(&self.state, poll).await;
+        let poll: Poll = decode(body)?;
+        let news = spread::answer_poll(&self.state, poll).await;
         Some(rpc::answer(&news))
     }
 
     fn rank(&self, body: &[u8]) -> Option<Answer> {
-        let word: RankUpdate = read(body)?;
-        self.state.take_word(word);
+        let update: RankUpdate = decode(body)?;
+        self.state.add_rank_update(update);
         Some(rpc::answer(&RankAck {}))
     }
 
@@ -303,38 +333,38 @@
         let version = state.voter.version();
         text.push_str(&format!("snipemast_gateways {gateways}\n"));
         text.push_str(&format!("snipemast_configuration_version {version}\n"));
-        let (vote, voters) = state.voter.votes();
+        let (vote, voters) = state.voter.vote_counts();
         text.push_str(&format!("snipemast_vote {}\n", u8::from(vote)));
         text.push_str(&format!("snipemast_voters {voters}\n"));
         for (server, count) in state.grants.lock().granted_counts() {
             let line = format!("snipemast_grants_total{{server=\"{server}\"}} {count}\n");
             text.push_str(&line);
         }
-        plain(StatusCode::OK, &text)
+        text_answer(StatusCode::OK, &text)
     }
 }
 
 async fn read_body(request: Request<Incoming>) -> Option<Bytes> {
-    let body = Limited::new(request.into_body(), BODY).collect();
-    let body = within(BODY_LIMIT, body).await?;
+    let body = Limited::new(request.into_body(), MAX_BODY).collect();
+    let body = within(BODY_TIMEOUT, body).await?;
     Some(body.ok()?.to_bytes())
 }
 
-fn read<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
+fn decode<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     rpc::decode(body).ok()
 }
 
-fn plain(status: StatusCode, text: &str) -> Answer {
+fn text_answer(status: StatusCode, text: &str) -> Answer {
     let mut response = Response::new(Full::new(Bytes::copy_from_slice(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
 fn json_answer(status: StatusCode, value: &serde_json::Value) -> Answer {
-    with_type(status, value.to_string().into())
+    json_body(status, value.to_string().into())
 }
 
-fn with_type(status: StatusCode, body: Bytes) -> Answer {
+fn json_body(status: StatusCode, body: Bytes) -> Answer {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
--- a/crates/controller/src/disk.rs
+++ b/crates/controller/src/disk.rs
@@ -8,22 +8,22 @@
 
 use snipemast_control::{DiskStorage, Location, Recovery, Storage, VoterId, Write};
 
-/// How many writes are synced together at most.
-const BATCH: usize = 64;
+/// The largest number of writes that are synced together.
+const MAX_BATCH: usize = 64;
 
-/// What the thread tells.
+/// A report of the disk thread.
 #[derive(Debug)]
 pub(crate) enum Report {
-    /// Everything up to this write is synced.
+    /// All writes up to this number are synced.
     Synced(u64),
-    /// A write failed: what the disk holds is not known.
+    /// A write failed, so the content of the disk is unknown.
     Failed(String),
 }
 
-/// Where writes go.
+/// The queue of numbered writes for the disk thread.
 pub(crate) type Writes = Sender<(u64, Write)>;
 
-/// Opens a data folder, on a thread of its own: a disk may answer nothing for seconds.
+/// Opens a data folder on a thread of its own, because a disk may not answer for seconds.
 pub(crate) async fn open(
     folder: PathBuf,
     location: Location,
@@ -32,7 +32,7 @@
     let (sender, receiver) = async_channel::bounded(1);
     let work = move || {
         let opened = DiskStorage::open(&folder, &location, fresh).map_err(|e| format!("{e:?}"));
-        // Nobody waits any more only where the process ends.
+        // The receiver is gone only if the process ends.
         let _ = sender.send_blocking(opened);
     };
     let started = thread::Builder::new().name("open".into()).spawn(work);
@@ -41,19 +41,24 @@
     opened.unwrap_or_else(|e| Err(e.to_string()))
 }
 
-/// Starts the thread that writes; it ends when nobody writes any more, or after a failure.
+/// Starts the disk thread, which ends when its queue is closed or a write fails.
 pub(crate) fn start(storage: DiskStorage, reports: Reports<Report>) -> std::io::Result<Writes> {
     let (sender, receiver) = channel();
-    let work = move || write(storage, &receiver, &reports);
+    let work = move || run_writes(storage, &receiver, &reports);
     thread::Builder::new().name("disk".into()).spawn(work)?;
     Ok(sender)
 }
 
-fn write(mut storage: DiskStorage, writes: &Receiver<(u64, Write)>, reports: &Reports<Report>) {
+/// Performs writes in batches and reports each batch.
+fn run_writes(
+    mut storage: DiskStorage,
+    writes: &Receiver<(u64, Write)>,
+    reports: &Reports<Report>,
+) {
     while let Ok(first) = writes.recv() {
         let mut last = first.0;
         let mut batch = vec![first.1];
-        while batch.len() < BATCH {
+        while batch.len() < MAX_BATCH {
             let Ok((number, write)) = writes.try_recv() else {
                 break;
             };
--- a/crates/controller/src/join.rs
+++ b/crates/controller/src/join.rs
@@ -1,7 +1,7 @@
-//! Finds the cluster, or forms it on the first start, and runs the voter for as long as it can.
+//! Finds the cluster, or forms it on the first start, and keeps the voter running.
 //!
 //! On the first start the seed with the lowest address forms the cluster, as soon as every seed
-//! has said that it is new. Whoever starts with an empty disk later only learns.
+//! has answered that it is new. A host that starts with an empty disk later joins as a learner.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,46 +17,46 @@
 use snipemast_platform::settings::{self, Settings};
 
 use crate::disk;
-use crate::peers::{path, Join, Joined};
-use crate::voter::{boot, Folder, Voter};
+use crate::peers::{path, JoinAnswer, JoinRequest};
+use crate::voter::{node_params, Folder, Voter};
 
-/// The pause between two rounds of asking others.
-const ROUND: Span = Span::from_millis(150);
+/// The pause between two rounds of calls to other controllers.
+const ROUND_PAUSE: Span = Span::from_millis(150);
 
-/// How long another controller may take to say who it is.
-const LIMIT: Span = Span::from_millis(600);
+/// How long another controller may take to answer.
+const CALL_TIMEOUT: Span = Span::from_millis(600);
 
 /// The pause before a folder that failed is opened again.
-const REOPEN: Span = Span::from_millis(400);
+const REOPEN_PAUSE: Span = Span::from_millis(400);
 
-/// Who this host is, as far as it knows.
+/// The identity of this host, as far as it is known.
 #[derive(Debug, Default)]
-pub(crate) struct Own {
+pub(crate) struct OwnHost {
     known: Mutex<Option<ControlHost>>,
 }
 
-impl Own {
-    /// Who this host is; nothing while its folder is not open.
+impl OwnHost {
+    /// Returns the identity of this host, or `None` while its folder is not open.
     pub(crate) fn known(&self) -> Option<ControlHost> {
         self.known.lock().clone()
     }
 }
 
-/// Opens the folder, finds the cluster and runs the voter, again and again.
+/// Opens the folder, finds the cluster and runs the voter; starts over whenever that fails.
 ///
-/// Failure guarded against: the disk is full or faulty for a while. The voter stops, so that it
-/// promises nothing that is not kept, and starts again from what the disk holds, as after a crash.
-pub(crate) async fn keep_running(
+/// When the disk is full or faulty for a while, the voter stops, so that it promises nothing that
+/// is not stored, and restarts from the state on the disk as after a crash.
+pub(crate) async fn run_voter(
     settings: Settings,
     voter: Arc<Voter>,
-    own: Arc<Own>,
+    own: Arc<OwnHost>,
     journal: Journal,
 ) {
     let Some(folder) = settings.folder.clone() else {
         journal.record(
             Event::StorageRefused,
             &settings.host,
-            "no data folder is set",
+            "the settings name no data folder",
         );
         return;
     };
@@ -65,7 +65,7 @@
         let opened = disk::open(folder.clone(), voter.location().clone(), fresh).await;
         let reason = match opened {
             Ok((storage, opened)) => {
-                let run = prepare(&settings, &voter, &own, storage, opened).await;
+                let run = prepare_voter(&settings, &voter, &own, storage, opened).await;
                 match run {
                     Ok(folder) => voter.run(folder).await,
                     Err(reason) => reason,
@@ -74,7 +74,7 @@
             Err(reason) => reason,
         };
         journal.record(Event::StorageRefused, &settings.host, first_line(&reason));
-        pause(REOPEN).await;
+        pause(REOPEN_PAUSE).await;
     }
 }
 
@@ -82,10 +82,11 @@
     text.lines().next().unwrap_or(text)
 }
 
-async fn prepare(
+/// Joins the cluster that this host belongs to, or finds it first, and returns the folder to run.
+async fn prepare_voter(
     settings: &Settings,
     voter: &Voter,
-    own: &Own,
+    own: &OwnHost,
     mut storage: snipemast_control::DiskStorage,
     opened: snipemast_control::Recovery,
 ) -> Result<Folder, String> {
@@ -100,7 +101,7 @@
     let (cluster, first_voters) = match identity.cluster {
         Some(cluster) => (cluster, identity.first_voters.clone()),
         None => {
-            let found = find(settings, &me).await;
+            let found = find_cluster(settings, &me).await;
             let joined = storage.join(found.0, found.1.clone());
             joined.map_err(|e| format!("{e:?}"))?;
             found
@@ -110,12 +111,12 @@
         (known.cluster, known.first_voters) = (Some(cluster), first_voters.clone());
     }
     let (voter, start) = (identity.voter, identity.starts);
-    let boot = boot(voter, start, cluster, first_voters, opened.stored);
-    Ok(Folder { storage, boot })
+    let params = node_params(voter, start, cluster, first_voters, opened.stored);
+    Ok(Folder { storage, params })
 }
 
-/// Asks the seeds until there is a cluster to belong to.
-async fn find(settings: &Settings, me: &ControlHost) -> (ClusterId, Voters) {
+/// Asks the seeds until there is a cluster to join or form.
+async fn find_cluster(settings: &Settings, me: &ControlHost) -> (ClusterId, Voters) {
     let own = settings.internal_address();
     let mut clients: BTreeMap<SocketAddr, RpcClient> = BTreeMap::new();
     loop {
@@ -127,7 +128,7 @@
                 .or_insert_with(|| RpcClient::new(*seed));
             let hello = Hello { voter: me.voter };
             if let Ok(answer) = client
-                .call::<_, ControlHost>(path::HELLO, &hello, LIMIT)
+                .call::<_, ControlHost>(path::HELLO, &hello, CALL_TIMEOUT)
                 .await
             {
                 known.insert(*seed, answer);
@@ -136,11 +137,11 @@
         if let Some(found) = choose_cluster(settings.first, own, &seeds, &known) {
             return found;
         }
-        pause(ROUND).await;
+        pause(ROUND_PAUSE).await;
     }
 }
 
-/// The seeds that the settings file names now; it may change while this process runs.
+/// Returns the seeds in the settings file, which may change while this process runs.
 fn current_seeds(settings: &Settings) -> Vec<SocketAddr> {
     let fresh = settings::reread();
     let mut seeds = fresh.map_or_else(|_| settings.internal_seeds(), |s| s.internal_seeds());
@@ -149,12 +150,12 @@
     seeds
 }
 
-/// Asks the leader for a vote, for as long as this host has none or hears no leader.
-pub(crate) async fn keep_joining(settings: Settings, voter: Arc<Voter>, own: Arc<Own>) {
+/// Asks the leader to let this host join, as long as it has no vote or hears no leader.
+pub(crate) async fn request_membership(settings: Settings, voter: Arc<Voter>, own: Arc<OwnHost>) {
     let mut clients: BTreeMap<SocketAddr, RpcClient> = BTreeMap::new();
     loop {
-        pause(ROUND.times(2)).await;
-        let Some(known) = own.known().filter(|_| voter.is_outside()) else {
+        pause(ROUND_PAUSE.times(2)).await;
+        let Some(known) = own.known().filter(|_| voter.must_join()) else {
             continue;
         };
         let mut asked = current_seeds(&settings);
@@ -162,7 +163,7 @@
         asked.sort_unstable();
         asked.dedup();
         asked.retain(|a| *a != settings.internal_address());
-        let join = Join {
+        let join = JoinRequest {
             voter: known.voter,
             location: known.location,
         };
@@ -171,8 +172,10 @@
             let client = clients
                 .entry(address)
                 .or_insert_with(|| RpcClient::new(address));
-            let joined = client.call::<_, Joined>(path::JOIN, &join, LIMIT).await;
-            if let Ok(Joined { leader: Some(at) }) = joined {
+            let joined = client
+                .call::<_, JoinAnswer>(path::JOIN, &join, CALL_TIMEOUT)
+                .await;
+            if let Ok(JoinAnswer { leader: Some(at) }) = joined {
                 leader = Some(at);
                 break;
             }
@@ -181,8 +184,10 @@
             let client = clients
                 .entry(address)
                 .or_insert_with(|| RpcClient::new(address));
-            // Whoever was told wrong asks again in the next round.
-            let _ = client.call::<_, Joined>(path::JOIN, &join, LIMIT).await;
+            // If this was not the leader, the next round asks again.
+            let _ = client
+                .call::<_, JoinAnswer>(path::JOIN, &join, CALL_TIMEOUT)
+                .await;
         }
     }
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,13 +1,13 @@
-//! The shell of a control host on the platform: sockets, disk and clock around the decisions.
+//! A controller: the sockets, disk and clock of a control host on the platform.
 //!
-//! - [`process`]: starts everything, and ends when it is told to.
-//! - [`state`]: what the parts share.
-//! - `voter`: runs the replicated log's node, with `disk` and `links` at its sides.
-//! - `join`: finds the cluster, or forms it on the first start.
-//! - `strangers`: who sent announcements that name no server to use.
-//! - `peers`: calls between controllers.
-//! - `api`: what operators and servers call.
-//! - `spread`: what gateways and other controllers poll.
+//! - [`process`]: starts the parts of a controller and stops them.
+//! - [`state`]: the state that the parts share.
+//! - `voter`: runs the node of the replicated log, with `disk` for writes and `links` for messages.
+//! - `join`: finds the cluster, or forms it on the first start, and asks to join it.
+//! - `strangers`: the senders of announcements that are refused.
+//! - `peers`: the messages of calls between controllers.
+//! - `api`: the HTTP interface for operators, servers and the system's own processes.
+//! - `spread`: the answers to polls of gateways and other controllers.
 
 pub mod process;
 pub mod state;
--- a/crates/controller/src/links.rs
+++ b/crates/controller/src/links.rs
@@ -1,4 +1,4 @@
-//! Messages of the replicated log on their way to other voters.
+//! Sending of the replicated log's messages to other voters.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,22 +11,22 @@
 use snipemast_net::exec::{pause, spawn};
 use snipemast_net::RpcClient;
 
-use crate::peers::{path, Batch, Done};
+use crate::peers::{path, Ack, Batch};
 
-/// How many messages may wait for one voter; more are dropped, and the log sends again.
-const BOUND: usize = 256;
+/// The number of messages that may wait for one voter; more are dropped, and the log resends them.
+const QUEUE_LENGTH: usize = 256;
 
 /// How long a voter may take to receive messages: below its election timeout, so that one lost
-/// connection costs no leader its office.
-const LIMIT: Span = Span::from_millis(700);
+/// connection does not depose a leader.
+const SEND_TIMEOUT: Span = Span::from_millis(700);
 
 /// The pause after a call that failed.
-const PAUSE: Span = Span::from_millis(60);
+const RETRY_PAUSE: Span = Span::from_millis(60);
 
-/// One queue and task a voter.
+/// One queue and one task for each voter.
 #[derive(Debug)]
 pub(crate) struct Links {
-    /// Where this host takes answers.
+    /// The address at which this host receives answers.
     own: SocketAddr,
     queues: Mutex<HashMap<SocketAddr, Sender<Envelope>>>,
 }
@@ -43,16 +43,17 @@
     pub(crate) fn send(&self, to: SocketAddr, envelope: Envelope) {
         let (own, mut queues) = (self.own, self.queues.lock());
         let queue = queues.entry(to).or_insert_with(|| {
-            let (sender, receiver) = bounded(BOUND);
-            spawn(carry(own, to, receiver)).detach();
+            let (sender, receiver) = bounded(QUEUE_LENGTH);
+            spawn(send_batches(own, to, receiver)).detach();
             sender
         });
-        // A full queue belongs to a voter that can't be reached: the log sends again.
+        // A full queue means that the voter cannot be reached; the log resends the message.
         let _ = queue.try_send(envelope);
     }
 }
 
-async fn carry(from: SocketAddr, to: SocketAddr, queue: Receiver<Envelope>) {
+/// Sends queued messages to one voter in batches.
+async fn send_batches(from: SocketAddr, to: SocketAddr, queue: Receiver<Envelope>) {
     let client = RpcClient::new(to);
     while let Ok(first) = queue.recv().await {
         let mut envelopes = vec![first];
@@ -61,13 +62,13 @@
         }
         let batch = Batch { from, envelopes };
         if client
-            .call::<_, Done>(path::LOG, &batch, LIMIT)
+            .call::<_, Ack>(path::LOG, &batch, SEND_TIMEOUT)
             .await
             .is_err()
         {
-            // What waited meanwhile is out of date.
+            // The messages that queued up meanwhile are outdated.
             while queue.try_recv().is_ok() {}
-            pause(PAUSE).await;
+            pause(RETRY_PAUSE).await;
         }
     }
 }
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -1,4 +1,4 @@
-//! Calls between controllers.
+//! The paths and messages of calls between controllers.
 
 use std::net::SocketAddr;
 
@@ -10,56 +10,57 @@
 pub(crate) mod path {
     /// Messages of the replicated log: a [`Batch`](super::Batch).
     pub(crate) const LOG: &str = "/log";
-    /// Who are you? [`Hello`](snipemast_control::forming::Hello).
+    /// Asks a controller for its identity: a [`Hello`](snipemast_control::forming::Hello).
     pub(crate) const HELLO: &str = "/hello";
-    /// Let me be a voter: [`Join`](super::Join).
+    /// Asks to become a voter: a [`JoinRequest`](super::JoinRequest).
     pub(crate) const JOIN: &str = "/join";
-    /// A whole configuration for the leader.
+    /// Submits a whole configuration to the leader.
     pub(crate) const SUBMIT: &str = "/submit";
-    /// The newest configuration, from the leader.
+    /// Reads the newest configuration from the leader.
     pub(crate) const READ: &str = "/read";
 }
 
 data! {
-    /// It was taken.
-    pub(crate) struct Done {}
+    /// The message was received.
+    pub(crate) struct Ack {}
 
     /// Messages of the replicated log.
     pub(crate) struct Batch {
-        /// Where the sender takes answers: a voter that learns only does not know the others yet.
+        /// The address at which the sender receives answers; the recipient may be a learner that
+        /// does not know the other members yet.
         pub(crate) from: SocketAddr,
         /// The messages.
         pub(crate) envelopes: Vec<Envelope>,
     }
 
-    /// A voter that is none yet, or hears no leader.
-    pub(crate) struct Join {
-        /// Its voter.
+    /// A request to join, from a host that has no vote yet or hears no leader.
+    pub(crate) struct JoinRequest {
+        /// The sender's voter id.
         pub(crate) voter: VoterId,
-        /// Where it is.
+        /// The sender's location.
         #[serde(rename = "seat")]
         pub(crate) location: Location,
     }
 
-    /// Where to ask instead.
-    pub(crate) struct Joined {
-        /// The leader, where the one that was asked does not lead.
+    /// The answer to a request to join.
+    pub(crate) struct JoinAnswer {
+        /// The address of the leader, if the recipient is not the leader.
         pub(crate) leader: Option<SocketAddr>,
     }
 
-    /// What became of a submission.
-    pub(crate) enum Submitted {
-        /// The leader's log settled it.
+    /// The answer to a submission.
+    pub(crate) enum SubmitAnswer {
+        /// The leader has a verdict.
         Settled(Verdict),
-        /// It has no verdict; it may be sent again.
+        /// There is no verdict; the submission may be sent again.
         Unsettled,
     }
 
-    /// The newest configuration.
-    pub(crate) enum Read {
-        /// This one.
+    /// The answer to a read of the newest configuration.
+    pub(crate) enum ReadAnswer {
+        /// The newest configuration.
         Newest(Submission),
-        /// Whoever was asked can't be sure.
+        /// The recipient cannot be sure that it has the newest one.
         Unsure,
     }
 }
--- a/crates/controller/src/process.rs
+++ b/crates/controller/src/process.rs
@@ -1,4 +1,4 @@
-//! Starts a controller's parts, and runs them until the process is told to end.
+//! Starts the parts of a controller and runs them until the process is told to end.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -17,25 +17,25 @@
 use snipemast_registry::{Pollers, Table};
 
 use crate::api::Api;
-use crate::join::{keep_joining, keep_running, Own};
+use crate::join::{request_membership, run_voter, OwnHost};
 use crate::spread::Peers;
 use crate::state::State;
-use crate::strangers::Strangers;
+use crate::strangers::UnknownSenders;
 use crate::voter::Voter;
 
 /// The result of starting a controller.
 pub type Result<T> = std::result::Result<T, Report<ControllerError>>;
 
-/// How often the settings file is looked at, which may change without a signal.
-const RELOAD: Span = Span::from_secs(2);
+/// The interval at which the settings file is read again, because it may change without a signal.
+const RELOAD_INTERVAL: Span = Span::from_secs(2);
 
-/// How often silent servers and pollers are given up.
-const UPKEEP: Span = Span::from_secs(1);
+/// The interval at which silent servers and pollers are expired.
+const EXPIRY_INTERVAL: Span = Span::from_secs(1);
 
 /// Why a controller can't start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ControllerError {
-    /// The settings name no address for operators and servers.
+    /// The settings name no address at which to serve operators and servers.
     NoAddress,
     /// Another process listens at the address.
     Taken(SocketAddr),
@@ -45,32 +45,32 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoAddress => f.write_str("the settings name no address for control"),
-            Self::Taken(address) => write!(f, "{address} can't be listened at"),
+            Self::Taken(address) => write!(f, "cannot listen on {address}"),
         }
     }
 }
 
 impl std::error::Error for ControllerError {}
 
-/// Runs a controller until the future that ends it is ready.
+/// Runs a controller until the future `end` is ready.
 pub async fn run(
     settings: Settings,
     journal: Journal,
     end: impl std::future::Future<Output = ()>,
 ) -> Result<()> {
     let address = settings.control.ok_or(ControllerError::NoAddress)?;
-    let inside = settings.internal_address();
+    let own_address = settings.internal_address();
     let taken = |a| move || ControllerError::Taken(a);
-    let outside = socket::listen(address).change_context_lazy(taken(address))?;
+    let external = socket::listen(address).change_context_lazy(taken(address))?;
     let bound = settings.internal_listen();
     let internal = socket::listen(bound).change_context_lazy(taken(bound))?;
     let clock = BootClock::new();
-    // A majority must outlive what may be lost at once.
+    // A majority must remain after the loss of as many hosts as may be lost at once.
     let voters = 2 * settings.lost as usize + 1;
     let location = Location {
         host: settings.host.clone(),
         zone: settings.zone.clone(),
-        address: inside,
+        address: own_address,
     };
     let voter = Voter::new(clock, journal.clone(), location, voters);
     let state = Arc::new(State {
@@ -79,38 +79,42 @@
         journal: journal.clone(),
         epoch: rand::random(),
         table: Mutex::new(Table::new()),
-        words: Mutex::default(),
-        strangers: Strangers::default(),
+        rank_updates: Mutex::default(),
+        unknown_senders: UnknownSenders::default(),
         pollers: Mutex::new(Pollers::default()),
         grants: Mutex::default(),
         changed: Signal::new(),
         voter: Arc::clone(&voter),
     });
-    let own = Arc::new(Own::default());
+    let own = Arc::new(OwnHost::default());
     let api = Arc::new(Api {
         state: Arc::clone(&state),
         own: Arc::clone(&own),
     });
     let peers = Peers::new(Arc::clone(&state));
-    let feed = Feed::new(peers, journal.clone(), Some(inside));
-    let (for_outside, for_inside) = (Arc::clone(&api), api);
+    let feed = Feed::new(peers, journal.clone(), Some(own_address));
+    let (for_external, for_internal) = (Arc::clone(&api), api);
     let tasks = [
-        spawn(serve(outside, move |r, _| {
-            Arc::clone(&for_outside).outside(r)
+        spawn(serve(external, move |r, _| {
+            Arc::clone(&for_external).answer_external(r)
         })),
         spawn(serve(internal, move |r, _| {
-            Arc::clone(&for_inside).inside(r)
+            Arc::clone(&for_internal).answer_internal(r)
         })),
-        spawn(keep_running(
+        spawn(run_voter(
             settings.clone(),
             Arc::clone(&voter),
             Arc::clone(&own),
             journal.clone(),
         )),
-        spawn(keep_joining(settings.clone(), Arc::clone(&voter), own)),
-        spawn(pass_on(Arc::clone(&state))),
-        spawn(keep_up(Arc::clone(&state))),
-        spawn(keep_seeds(settings, feed, state)),
+        spawn(request_membership(
+            settings.clone(),
+            Arc::clone(&voter),
+            own,
+        )),
+        spawn(notify_pollers(Arc::clone(&state))),
+        spawn(expire_silent(Arc::clone(&state))),
+        spawn(refresh_seeds(settings, feed, state)),
     ];
     journal.record(Event::ProcessStarted, address, "controller");
     end.await;
@@ -121,29 +125,31 @@
 }
 
 /// Wakes pollers when the configuration or the leader changes.
-async fn pass_on(state: Arc<State>) {
+async fn notify_pollers(state: Arc<State>) {
     loop {
-        let changed = state.voter.changed();
-        state.announce();
+        let changed = state.voter.listen();
+        state.notify_waiters();
         changed.await;
     }
 }
 
-async fn keep_up(state: Arc<State>) {
+/// Expires silent servers and pollers.
+async fn expire_silent(state: Arc<State>) {
     loop {
-        pause(UPKEEP).await;
+        pause(EXPIRY_INTERVAL).await;
         let now = state.clock.now();
         state.pollers.lock().expire(now);
-        state.change(|table| table.expire(now));
+        state.update_table(|table| table.expire(now));
     }
 }
 
-/// Polls the controllers that the settings file names, whatever it names now, and the voters.
-async fn keep_seeds(mut settings: Settings, feed: Arc<Feed<Peers>>, state: Arc<State>) {
+/// Keeps the polled controllers up to date: those in the settings file, which may change, and the
+/// voters.
+async fn refresh_seeds(mut settings: Settings, feed: Arc<Feed<Peers>>, state: Arc<State>) {
     loop {
         feed.set_seeds(settings.internal_seeds());
         feed.set_named(state.controllers());
-        pause(RELOAD).await;
+        pause(RELOAD_INTERVAL).await;
         settings.refresh(&state.journal);
     }
 }
--- a/crates/controller/src/spread.rs
+++ b/crates/controller/src/spread.rs
@@ -1,4 +1,4 @@
-//! What gateways and other controllers poll, and what this controller learns by polling.
+//! Answers to the polls of gateways and other controllers, and this controller's own polls.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,23 +11,23 @@
 
 use crate::state::State;
 
-/// How long a poll of another controller waits for news; with it come the times at which servers
-/// were heard there, so it is below the pause between two heartbeats.
+/// How long a poll of another controller waits for news. The answer also tells when servers were
+/// last heard there, so this is below the interval between two heartbeats.
 const PEER_WAIT: Span = Span::from_millis(800);
 
-/// Answers a poll, as soon as there is news or its wait is over.
-pub(crate) async fn answer(state: &State, poll: Poll) -> News {
+/// Answers a poll as soon as there is news or its wait is over.
+pub(crate) async fn answer_poll(state: &State, poll: Poll) -> News {
     if state.pollers.lock().record(state.clock.now(), &poll) {
-        state.announce();
+        state.notify_waiters();
     }
-    state.take_limits(&poll.host, &poll.demands);
-    state.take_leaving(&poll.host, &poll.leaving);
-    state.wait(poll.wait, |s| has_news(s, &poll)).await;
+    state.merge_limits(&poll.host, &poll.demands);
+    state.merge_leaving_servers(&poll.host, &poll.leaving);
+    state.wait_until(poll.wait, |s| has_news(s, &poll)).await;
     let now = state.clock.now();
     let cursor = state.cursor();
     let after = match (poll.kind, poll.cursor.epoch == state.epoch) {
         (PollerKind::Gateway | PollerKind::Sidecar, true) => poll.cursor.revision,
-        // Controllers learn of every heartbeat, so that none takes a server for silent.
+        // Controllers learn of every heartbeat, so that none considers a server silent.
         _ => 0,
     };
     let version = state.voter.version();
@@ -39,7 +39,7 @@
         PollerKind::Controller | PollerKind::Sidecar => None,
     };
     let pollers = state.pollers.lock();
-    let (flying, age) = match poll.kind {
+    let (in_flight, age) = match poll.kind {
         PollerKind::Gateway => pollers.in_flight(now, &poll.host),
         PollerKind::Controller | PollerKind::Sidecar => Default::default(),
     };
@@ -55,7 +55,7 @@
         slow: pollers.slow_servers(now),
         silent: pollers.silent_servers(now),
         grants,
-        in_flight: flying,
+        in_flight,
         age,
     }
 }
@@ -69,7 +69,7 @@
         || (poll.wants_document && version > poll.version)
 }
 
-/// Learns from the other controllers.
+/// Merges the news of the other controllers.
 #[derive(Debug)]
 pub(crate) struct Peers {
     state: Arc<State>,
@@ -100,8 +100,8 @@
     fn take(&self, controller: SocketAddr, news: News) {
         self.cursors.lock().insert(controller, news.cursor);
         let now = self.state.clock.now();
-        self.state.change(|table| {
-            let place = table.revision();
+        self.state.update_table(|table| {
+            let revision = table.revision();
             for entry in news.entries {
                 let (id, standing) = (entry.announcement.id.clone(), entry.standing);
                 if table.merge_standing(now, entry) {
@@ -112,13 +112,13 @@
                     );
                 }
             }
-            table.revision() > place
+            table.revision() > revision
         });
     }
 
     async fn settle(&self, _: SocketAddr) {
-        /// Two tables that differ tell each other every change; this bounds how fast.
-        const PACE: Span = Span::from_millis(20);
-        pause(PACE).await;
+        /// Two tables that differ send each other every change; this limits how often.
+        const POLL_PAUSE: Span = Span::from_millis(20);
+        pause(POLL_PAUSE).await;
     }
 }
--- a/crates/controller/src/state.rs
+++ b/crates/controller/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a controller share.
+//! The state that the parts of a controller share.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,38 +15,39 @@
     Cursor, Demand, Grant, Grants, LeavingServer, Pollers, RankUpdate, Table,
 };
 
-use crate::strangers::Strangers;
+use crate::strangers::UnknownSenders;
 use crate::voter::Voter;
 
-/// What the parts of a controller share.
+/// The state that the parts of a controller share.
 #[derive(Debug)]
 pub struct State {
-    /// The settings that it was started with.
+    /// The settings with which the process was started.
     pub(crate) settings: Settings,
-    /// Counts suspended time too.
+    /// The clock, which also counts the time while the host is suspended.
     pub(crate) clock: BootClock,
-    /// Where decisions are logged.
+    /// The log of decisions.
     pub(crate) journal: Journal,
-    /// Told apart from the table of an earlier start.
+    /// A random number that distinguishes this table from the one of an earlier start.
     pub(crate) epoch: u64,
-    /// The servers that are known.
+    /// The known servers.
     pub(crate) table: Mutex<Table>,
-    /// What processes beside ranks told, until it is entered into the table.
-    pub(crate) words: Mutex<Vec<RankUpdate>>,
-    /// Who sent announcements that are ignored.
-    pub(crate) strangers: Strangers,
-    /// Who polls.
+    /// Updates from the processes beside ranks that are not yet merged into the table.
+    pub(crate) rank_updates: Mutex<Vec<RankUpdate>>,
+    /// The senders of announcements that are refused.
+    pub(crate) unknown_senders: UnknownSenders,
+    /// The processes that poll this controller.
     pub(crate) pollers: Mutex<Pollers>,
-    /// What was granted of servers' limits.
+    /// The shares of servers' limits that were granted to gateways.
     pub(crate) grants: Mutex<Grants>,
-    /// Wakes who waits for news: of servers, of the configuration, or of what pollers have.
+    /// Notifies tasks that wait for a change of servers, of the configuration, or of what pollers
+    /// have.
     pub(crate) changed: Signal,
-    /// The voter.
+    /// The voter of this host.
     pub(crate) voter: Arc<Voter>,
 }
 
 impl State {
-    /// Where the table stands.
+    /// Returns the current position of the table.
     pub(crate) fn cursor(&self) -> Cursor {
         Cursor {
             epoch: self.epoch,
@@ -54,66 +55,69 @@
         }
     }
 
-    /// Tells everyone who waits that something changed.
-    pub(crate) fn announce(&self) {
+    /// Notifies all waiting tasks that something changed.
+    pub(crate) fn notify_waiters(&self) {
         self.changed.notify(usize::MAX);
     }
 
-    /// Changes the table, and tells everyone who waits where that is news.
-    pub(crate) fn change(&self, change: impl FnOnce(&mut Table) -> bool) -> bool {
-        let news = change(&mut self.table.lock());
-        if news {
-            self.announce();
+    /// Updates the table, and notifies all waiting tasks if `update` returns that something
+    /// changed.
+    pub(crate) fn update_table(&self, update: impl FnOnce(&mut Table) -> bool) -> bool {
+        let changed = update(&mut self.table.lock());
+        if changed {
+            self.notify_waiters();
         }
-        news
+        changed
     }
 
-    /// Takes what the process beside a rank tells, and enters it into the table with what others tell then.
+    /// Collects an update from the process beside a rank, to be merged into the table along with
+    /// others.
     ///
-    /// Load answered: all ranks of a group tell at once that it has stalled or formed. Entered one by one, each
-    /// of them would be an answer of its own to every gateway.
-    pub(crate) fn take_word(self: &Arc<Self>, word: RankUpdate) {
-        const GATHERED: Span = Span::from_millis(20);
-        let mut words = self.words.lock();
-        words.push(word);
-        if words.len() > 1 {
+    /// All ranks of a group report at the same time that it has stalled or formed. Merged one by
+    /// one, each update would cause an answer of its own to every gateway.
+    pub(crate) fn add_rank_update(self: &Arc<Self>, update: RankUpdate) {
+        const GATHER_TIME: Span = Span::from_millis(20);
+        let mut rank_updates = self.rank_updates.lock();
+        rank_updates.push(update);
+        if rank_updates.len() > 1 {
             return;
         }
         let state = Arc::clone(self);
         spawn(async move {
-            pause(GATHERED).await;
-            state.enter_words();
+            pause(GATHER_TIME).await;
+            state.merge_rank_updates();
         })
         .detach();
     }
 
-    fn enter_words(&self) {
-        let words = std::mem::take(&mut *self.words.lock());
+    /// Merges the collected updates into the table.
+    fn merge_rank_updates(&self) {
+        let rank_updates = std::mem::take(&mut *self.rank_updates.lock());
         let now = self.clock.now();
-        self.change(|table| {
+        self.update_table(|table| {
             let mut changed = false;
-            for word in words {
-                changed |= table.record_rank(now, word);
+            for update in rank_updates {
+                changed |= table.record_rank(now, update);
             }
             changed
         });
     }
 
-    /// Takes note of the limits that a gateway knows.
-    pub(crate) fn take_limits(&self, host: &HostId, demands: &[Demand]) {
+    /// Merges the limits that a gateway knows into the table.
+    pub(crate) fn merge_limits(&self, host: &HostId, demands: &[Demand]) {
         if demands.is_empty() {
             return;
         }
         let now = self.clock.now();
-        self.change(|table| {
+        self.update_table(|table| {
             let mut changed = false;
             for Demand { server, limit, .. } in demands {
-                let word = limit.to_update(now);
+                let update = limit.to_update(now);
                 let before = table.limit(server);
-                if table.record_limit(server, word) {
+                if table.record_limit(server, update) {
                     changed = true;
                     let source = format_args!("told by {host}");
-                    let (event, detail) = limit_change_event(before, word.rate, source);
+                    let (event, detail) = limit_change_event(before, update.rate, source);
                     self.journal.record(event, server, detail);
                 }
             }
@@ -121,27 +125,27 @@
         });
     }
 
-    /// Takes note of servers that told a gateway that they leave.
-    pub(crate) fn take_leaving(&self, host: &HostId, leaving: &[LeavingServer]) {
+    /// Merges the servers into the table that told a gateway that they are leaving.
+    pub(crate) fn merge_leaving_servers(&self, host: &HostId, leaving: &[LeavingServer]) {
         if leaving.is_empty() {
             return;
         }
         let now = self.clock.now();
-        self.change(|table| {
+        self.update_table(|table| {
             let mut changed = false;
-            for told in leaving {
-                if table.merge_leaving(now, told) {
+            for entry in leaving {
+                if table.merge_leaving(now, entry) {
                     changed = true;
                     let detail = format_args!("told by {host}");
                     self.journal
-                        .record(Event::LeavingTold, &told.server, detail);
+                        .record(Event::LeavingTold, &entry.server, detail);
                 }
             }
             changed
         });
     }
 
-    /// Grants what a gateway would send; nothing where this controller may not.
+    /// Grants shares of limits to a gateway; `None` if this controller may not grant any.
     pub(crate) fn grant(&self, demands: &[Demand]) -> Option<Vec<Grant>> {
         let term = self.voter.leading_term()?;
         let table = self.table.lock();
@@ -153,7 +157,7 @@
         Some(self.grants.lock().grant(now, term, demands, limit))
     }
 
-    /// Where all controllers take calls of our own processes.
+    /// Returns the internal addresses of all controllers.
     pub(crate) fn controllers(&self) -> Vec<SocketAddr> {
         let mut all = self.voter.addresses();
         all.sort_unstable();
@@ -161,8 +165,8 @@
         all
     }
 
-    /// Waits until a condition holds, at most for the limit; whether it holds.
-    pub(crate) async fn wait(&self, limit: Span, holds: impl Fn(&Self) -> bool) -> bool {
+    /// Waits until a condition holds, at most for `limit`; returns whether it holds.
+    pub(crate) async fn wait_until(&self, limit: Span, holds: impl Fn(&Self) -> bool) -> bool {
         let end = self.clock.now() + limit;
         loop {
             let changed = self.changed.listen();
--- a/crates/controller/src/strangers.rs
+++ b/crates/controller/src/strangers.rs
@@ -1,4 +1,4 @@
-//! Who sent announcements that name no server to use.
+//! The senders of announcements that are refused because they name no usable server.
 
 use std::collections::HashSet;
 
@@ -9,28 +9,29 @@
 
 use crate::voter::Voter;
 
-/// How many senders are remembered, so that each is logged once; what others send is counted only.
-const REMEMBERED: usize = 1_000;
+/// The number of senders that are remembered, so that each is logged once; further ones are only
+/// counted.
+const MAX_REMEMBERED: usize = 1_000;
 
-/// Who sent announcements that name no server to use, and which services do have servers.
+/// The senders of refused announcements, and the configured services.
 #[derive(Debug, Default)]
-pub(crate) struct Strangers {
+pub(crate) struct UnknownSenders {
     logged: Mutex<HashSet<String>>,
     services: Mutex<Services>,
 }
 
-/// The services of a version of the configuration.
+/// The services in one version of the configuration.
 #[derive(Debug, Default)]
 struct Services {
     version: Version,
     names: HashSet<ServiceId>,
 }
 
-impl Strangers {
-    /// Takes note of an announcement that is ignored: logged the first time, counted each time.
-    pub(crate) fn note(&self, journal: &Journal, id: &str, reason: &str) {
+impl UnknownSenders {
+    /// Records a refused announcement: it is logged the first time and counted each time.
+    pub(crate) fn record(&self, journal: &Journal, id: &str, reason: &str) {
         let mut logged = self.logged.lock();
-        let first = logged.len() < REMEMBERED && logged.insert(id.to_owned());
+        let first = logged.len() < MAX_REMEMBERED && logged.insert(id.to_owned());
         drop(logged);
         if first {
             journal.record(Event::AnnouncementIgnored, id, reason);
@@ -40,16 +41,18 @@
         }
     }
 
-    /// Whether the newest configuration has a service; any counts while none is known.
+    /// Whether the newest configuration has a service; always true while no configuration is known.
     ///
-    /// Failure guarded against: an announcement of another writer names a service that does not exist and a
-    /// real server's address; it takes the address over, and that server gets no requests.
+    /// Otherwise an announcement from an unknown sender could name a service that does not exist
+    /// and the address of a real server, take over that address, and keep requests from that
+    /// server.
     pub(crate) fn has_service(&self, voter: &Voter, service: &ServiceId) -> bool {
         let version = voter.version();
         let mut services = self.services.lock();
         if services.version != version {
             let document = voter.document().map(|d| document::read(&d.text));
-            // Whatever was committed was read before; a fault here only means that any service counts.
+            // A committed document was readable when it was submitted. If it is not readable now,
+            // any service is accepted.
             let Some(Ok(document)) = document else {
                 return true;
             };
--- a/crates/controller/src/voter.rs
+++ b/crates/controller/src/voter.rs
@@ -1,4 +1,4 @@
-//! Runs the replicated log's node: time, disk, links and waiting callers around it.
+//! Runs the node of the replicated log with its clock, disk, links and waiting callers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -21,22 +21,23 @@
 use crate::disk::{self, Report, Writes};
 use crate::links::Links;
 
-/// How long a submission may wait for its verdict: below the time after which its operator asks
+/// How long a submission may wait for its verdict: below the time after which an operator tries
 /// another controller.
-const VERDICT: Span = Span::from_millis(900);
+const VERDICT_TIMEOUT: Span = Span::from_millis(900);
 
-/// The longest sleep of the clock's task.
-const SLEEP: Span = Span::from_millis(1_000);
+/// The longest sleep of the clock task.
+const MAX_SLEEP: Span = Span::from_millis(1_000);
 
-/// How often a leader looks after the voters.
-const LOOK: Span = Span::from_millis(200);
+/// The interval at which a leader checks whether a membership change is due.
+const MEMBER_CHECK_INTERVAL: Span = Span::from_millis(200);
 
-/// How long a request to join counts: a few repeats of it.
-const JOINING: Span = Span::from_millis(1_500);
+/// How long a request to join stays valid: long enough for a few repeats.
+const JOIN_LIFETIME: Span = Span::from_millis(1_500);
 
-/// Timeouts on the platform's links: a leader that is gone is replaced within some 1.5 s, and a
-/// lost packet (resent after some 200 ms) costs no office. Snapshots are frequent because
-/// entries hold whole documents and the disk is small: 32 documents of 1 MB fit into a quarter of it.
+/// Timeouts for the platform's links: a lost leader is replaced within some 1.5 s, and a lost
+/// packet, which is resent after some 200 ms, does not depose a leader. Snapshots are frequent
+/// because entries hold whole documents and the disk is small: 32 documents of 1 MB fit into a
+/// quarter of it.
 const TIMING: Timing = Timing {
     heartbeat: Span::from_millis(200),
     election_timeout: Span::from_millis(1_000),
@@ -48,39 +49,39 @@
     max_waiting: 64,
 };
 
-/// The voter of this host, while it has one.
+/// The voter of this host, while one is running.
 #[derive(Debug)]
 pub(crate) struct Voter {
     clock: BootClock,
     journal: Journal,
     location: Location,
-    /// How many voters the cluster is to have.
-    target: usize,
+    /// The number of voters that the cluster should have.
+    target_size: usize,
     links: Links,
     running: Mutex<Option<Running>>,
-    /// Wakes the clock's task, because the node wants to be woken earlier.
-    alarm: Signal,
-    /// Wakes who waits for a change of the configuration or of the leader.
+    /// Wakes the clock task when the next tick is due earlier than before.
+    wake: Signal,
+    /// Notifies tasks that wait for a change of the configuration or of the leader.
     changed: Signal,
 }
 
-/// A node with its disk.
+/// A running node and its callers.
 #[derive(Debug)]
 struct Running {
     node: Node<Documents>,
     writes: Writes,
     tickets: HashMap<Ticket, Sender<Result<Vec<u8>, Refusal>>>,
-    next: Ticket,
+    last_ticket: Ticket,
     joining: BTreeMap<VoterId, (Location, Moment)>,
-    /// Where others said that they take answers.
-    callers: BTreeMap<VoterId, SocketAddr>,
-    wake: Moment,
+    /// The addresses at which other voters receive answers.
+    reply_addresses: BTreeMap<VoterId, SocketAddr>,
+    next_tick: Moment,
 }
 
-/// A voter's data folder and what it holds.
+/// An open data folder and the parameters of the node on it.
 pub(crate) struct Folder {
     pub(crate) storage: DiskStorage,
-    pub(crate) boot: NodeParams,
+    pub(crate) params: NodeParams,
 }
 
 impl Voter {
@@ -88,26 +89,26 @@
         clock: BootClock,
         journal: Journal,
         location: Location,
-        target: usize,
+        target_size: usize,
     ) -> Arc<Self> {
         Arc::new(Self {
             clock,
             journal,
             links: Links::new(location.address),
             location,
-            target,
+            target_size,
             running: Mutex::new(None),
-            alarm: Signal::new(),
+            wake: Signal::new(),
             changed: Signal::new(),
         })
     }
 
-    /// Where this voter is.
+    /// Returns the location of this voter.
     pub(crate) fn location(&self) -> &Location {
         &self.location
     }
 
-    /// Runs a node on a folder until a write fails; why it did.
+    /// Runs a node on a folder until a write fails; returns the reason.
     pub(crate) async fn run(self: &Arc<Self>, folder: Folder) -> String {
         let (sender, reports) = async_channel::unbounded();
         let writes = match disk::start(folder.storage, sender) {
@@ -115,7 +116,7 @@
             Err(e) => return e.to_string(),
         };
         let now = self.clock.now();
-        let node = match Node::new(folder.boot, Documents::new(), now) {
+        let node = match Node::new(folder.params, Documents::new(), now) {
             Ok(node) => node,
             Err(e) => return e.to_string(),
         };
@@ -123,54 +124,56 @@
             node,
             writes,
             tickets: HashMap::new(),
-            next: Ticket(0),
+            last_ticket: Ticket(0),
             joining: BTreeMap::new(),
-            callers: BTreeMap::new(),
-            wake: now,
+            reply_addresses: BTreeMap::new(),
+            next_tick: now,
         });
         let tasks = [
-            spawn(Arc::clone(self).keep_time()),
-            spawn(Arc::clone(self).look_after()),
+            spawn(Arc::clone(self).run_clock()),
+            spawn(Arc::clone(self).manage_members()),
         ];
-        let reason = self.take_reports(&reports).await;
+        let reason = self.process_reports(&reports).await;
         drop(tasks);
-        // Whoever waits for a verdict learns that there is none.
+        // Callers that wait for a verdict learn that there is none.
         self.stop();
         reason
     }
 
-    /// Ends the node and lets its folder go.
+    /// Stops the node and releases its folder.
     pub(crate) fn stop(&self) {
         *self.running.lock() = None;
         self.changed.notify(usize::MAX);
     }
 
-    async fn take_reports(&self, reports: &Receiver<Report>) -> String {
+    /// Passes the reports of the disk thread to the node; returns the reason of a failure.
+    async fn process_reports(&self, reports: &Receiver<Report>) -> String {
         loop {
             match reports.recv().await {
-                Ok(Report::Synced(write)) => self.drive(Input::Synced { write }),
+                Ok(Report::Synced(write)) => self.handle_input(Input::Synced { write }),
                 Ok(Report::Failed(reason)) => return reason,
-                Err(_) => return "the disk's thread ended".into(),
+                Err(_) => return "the disk thread ended".into(),
             }
         }
     }
 
-    async fn keep_time(self: Arc<Self>) {
+    /// Gives the node a tick whenever one is due.
+    async fn run_clock(self: Arc<Self>) {
         loop {
-            let alarm = self.alarm.listen();
+            let woken = self.wake.listen();
             let now = self.clock.now();
-            let wake = self.running.lock().as_ref().map(|r| r.node.next_tick());
-            let left = wake.map_or(SLEEP, |w| now.until(w).min(SLEEP));
+            let next_tick = self.running.lock().as_ref().map(|r| r.node.next_tick());
+            let left = next_tick.map_or(MAX_SLEEP, |w| now.until(w).min(MAX_SLEEP));
             if left == Span::default() {
-                self.drive(Input::Tick);
+                self.handle_input(Input::Tick);
                 continue;
             }
-            futures_lite::future::or(alarm, pause(left)).await;
+            futures_lite::future::or(woken, pause(left)).await;
         }
     }
 
-    /// Gives the node an input and does what it asks for.
-    pub(crate) fn drive(&self, input: Input) {
+    /// Passes an input to the node and carries out its outputs.
+    pub(crate) fn handle_input(&self, input: Input) {
         let mut guard = self.running.lock();
         let Some(running) = guard.as_mut() else {
             return;
@@ -178,95 +181,100 @@
         let before = (running.node.applied_index(), running.node.leader());
         let outputs = running.node.handle(self.clock.now(), input);
         for output in outputs {
-            self.perform(running, output);
+            self.carry_out(running, output);
         }
-        let wake = running.node.next_tick();
-        if wake < running.wake {
-            self.alarm.notify(1);
+        let next_tick = running.node.next_tick();
+        if next_tick < running.next_tick {
+            self.wake.notify(1);
         }
-        running.wake = wake;
+        running.next_tick = next_tick;
         if before != (running.node.applied_index(), running.node.leader()) {
             self.changed.notify(usize::MAX);
         }
     }
 
-    fn perform(&self, running: &mut Running, output: Output) {
+    fn carry_out(&self, running: &mut Running, output: Output) {
         match output {
-            Output::Write { number, write } => self.write(running, number, write),
+            Output::Write { number, write } => self.send_write(running, number, write),
             Output::Send(envelope) => {
-                // A voter that only learns finds the leader by where it was called from.
+                // A learner does not know the leader's location yet, so it answers to the address
+                // from which it was called.
                 let location = running.node.voters().location(envelope.to);
-                let caller = running.callers.get(&envelope.to).copied();
-                if let Some(address) = location.map(|s| s.address).or(caller) {
+                let reply_address = running.reply_addresses.get(&envelope.to).copied();
+                if let Some(address) = location.map(|s| s.address).or(reply_address) {
                     self.links.send(address, envelope);
                 }
             }
             Output::Answer { ticket, answer } => {
                 if let Some(sender) = running.tickets.remove(&ticket) {
-                    // Whoever asked may have stopped waiting.
+                    // The caller may have stopped waiting.
                     let _ = sender.try_send(answer);
                 }
             }
-            Output::Event(note) => self.record(&note),
+            Output::Event(event) => self.record(&event),
         }
     }
 
-    fn write(&self, running: &Running, number: u64, write: Write) {
+    fn send_write(&self, running: &Running, number: u64, write: Write) {
         if running.writes.send((number, write)).is_err() {
-            // The thread said why in its report, which ends this run.
-            self.journal
-                .record(Event::StorageRefused, "disk", "no writes are taken");
+            // The disk thread reports the reason, which ends this run.
+            self.journal.record(
+                Event::StorageRefused,
+                "disk",
+                "the disk thread accepts no writes",
+            );
         }
     }
 
-    /// Takes messages from other voters.
+    /// Receives messages from other voters.
     pub(crate) fn receive(&self, from: SocketAddr, envelopes: Vec<Envelope>) {
         for envelope in envelopes {
             if let Some(running) = self.running.lock().as_mut() {
-                running.callers.insert(envelope.from, from);
+                running.reply_addresses.insert(envelope.from, from);
             }
-            self.drive(Input::Receive(envelope));
+            self.handle_input(Input::Receive(envelope));
         }
     }
 
-    /// Submits a configuration, if this voter leads; the verdict, if there is one.
+    /// Submits a configuration if this voter is the leader; returns the verdict, if there is one.
     pub(crate) async fn submit(&self, submission: &Submission) -> Option<Verdict> {
         if let Some(verdict) = self.known_verdict(submission) {
             return Some(verdict);
         }
         let command = snipemast_net::rpc::encode(submission).to_vec();
-        let answer = self.ask(|ticket| Input::Propose { ticket, command });
-        let answer = within(VERDICT, async { answer?.recv().await.ok() }).await;
+        let answer = self.submit_input(|ticket| Input::Propose { ticket, command });
+        let answer = within(VERDICT_TIMEOUT, async { answer?.recv().await.ok() }).await;
         let verdict = answer.flatten()?.ok()?;
         snipemast_net::rpc::decode(&verdict).ok()
     }
 
-    /// The verdict on what is overtaken already, which needs no place in the log.
+    /// Returns the verdict on a submission that needs no entry in the log, because its version is
+    /// not above the one in force.
     fn known_verdict(&self, submission: &Submission) -> Option<Verdict> {
         let guard = self.running.lock();
         let node = &guard.as_ref()?.node;
         node.machine().known_verdict(submission)
     }
 
-    /// Gives the node an input that has an answer.
-    fn ask(&self, input: impl FnOnce(Ticket) -> Input) -> Option<Receiver<Answer>> {
+    /// Passes an input with a new ticket to the node; returns the receiver of its answer.
+    fn submit_input(&self, input: impl FnOnce(Ticket) -> Input) -> Option<Receiver<Answer>> {
         let (sender, receiver) = bounded(1);
         let ticket = {
             let mut guard = self.running.lock();
             let running = guard.as_mut()?;
-            running.next = running.next.next();
-            running.tickets.insert(running.next, sender);
-            running.next
+            running.last_ticket = running.last_ticket.next();
+            running.tickets.insert(running.last_ticket, sender);
+            running.last_ticket
         };
-        self.drive(input(ticket));
+        self.handle_input(input(ticket));
         Some(receiver)
     }
 
-    /// The newest configuration, if this voter can be sure that it has it.
+    /// Returns the newest configuration, if this voter can be sure that it has it.
     ///
-    /// Failure guarded against: a leader that was cut off or suspended shows what others have
-    /// replaced meanwhile. Within its lease, on a clock that counts suspended time, nobody else can
-    /// have been elected.
+    /// Only a leader within its lease can be sure: by a clock that also counts suspended time, no
+    /// other leader can have been elected. A leader that was cut off or suspended would otherwise
+    /// show a configuration that others have replaced meanwhile.
     pub(crate) fn read(&self) -> Option<Submission> {
         let guard = self.running.lock();
         let node = &guard.as_ref()?.node;
@@ -276,27 +284,27 @@
         node.machine().submission()
     }
 
-    /// The term in which this voter leads, where nobody else can lead now.
+    /// Returns the term in which this voter leads, if no other voter can lead now.
     pub(crate) fn leading_term(&self) -> Option<Term> {
         let guard = self.running.lock();
         let node = &guard.as_ref()?.node;
         node.has_lease(self.clock.now()).then(|| node.term())
     }
 
-    /// The committed version that this voter knows; 0 where it knows none.
+    /// Returns the committed version that this voter knows, or 0 if it knows none.
     pub(crate) fn version(&self) -> Version {
         let guard = self.running.lock();
         let version = guard.as_ref().map(|r| r.node.machine().version());
         version.unwrap_or(Version(0))
     }
 
-    /// The committed document that this voter knows.
+    /// Returns the committed document that this voter knows.
     pub(crate) fn document(&self) -> Option<Submission> {
         let guard = self.running.lock();
         guard.as_ref()?.node.machine().submission()
     }
 
-    /// Where the leader takes calls, and whether that is this host.
+    /// Returns the leader's address, and whether this host is the leader.
     pub(crate) fn leader(&self) -> Option<(SocketAddr, bool)> {
         let guard = self.running.lock();
         let node = &guard.as_ref()?.node;
@@ -305,7 +313,7 @@
         Some((location.address, leader == node.id()))
     }
 
-    /// Where the voters and learners are.
+    /// Returns the addresses of the voters and learners.
     pub(crate) fn addresses(&self) -> Vec<SocketAddr> {
         let guard = self.running.lock();
         let Some(running) = guard.as_ref() else {
@@ -316,8 +324,8 @@
         seats.map(|s| s.address).collect()
     }
 
-    /// Whether this host must still ask to join: it has no vote, or hears no leader.
-    pub(crate) fn is_outside(&self) -> bool {
+    /// Whether this host must ask to join, because it has no vote or hears no leader.
+    pub(crate) fn must_join(&self) -> bool {
         let guard = self.running.lock();
         let Some(running) = guard.as_ref() else {
             return false;
@@ -326,8 +334,8 @@
         !node.voters().is_voter(node.id()) || node.leader().is_none()
     }
 
-    /// Whether this host's vote counts, and how many voters there are, as far as it knows.
-    pub(crate) fn votes(&self) -> (bool, usize) {
+    /// Returns whether this host is a voter, and the number of voters, as far as it knows.
+    pub(crate) fn vote_counts(&self) -> (bool, usize) {
         let guard = self.running.lock();
         let Some(running) = guard.as_ref() else {
             return (false, 0);
@@ -336,12 +344,12 @@
         (voters.is_voter(node.id()), voters.voters.len())
     }
 
-    /// Takes a request to join; where the leader is, if that is elsewhere.
+    /// Handles a request to join; returns the leader's address if this voter is not the leader.
     pub(crate) fn join(&self, voter: VoterId, location: Location) -> Option<SocketAddr> {
         let mut guard = self.running.lock();
         let running = guard.as_mut()?;
         if running.node.is_leader() {
-            let until = self.clock.now() + JOINING;
+            let until = self.clock.now() + JOIN_LIFETIME;
             running.joining.insert(voter, (location, until));
             return None;
         }
@@ -349,18 +357,18 @@
         Some(running.node.voters().location(leader)?.address)
     }
 
-    /// Looks after the voters while it leads, one change after another.
-    async fn look_after(self: Arc<Self>) {
+    /// Makes membership changes while this voter is the leader, one after another.
+    async fn manage_members(self: Arc<Self>) {
         loop {
-            pause(LOOK).await;
+            pause(MEMBER_CHECK_INTERVAL).await;
             let Some(change) = self.next_change() else {
                 continue;
             };
             self.journal
-                .record(Event::VoterChanged, &change, "the leader asks for it");
-            let answer = self.ask(|ticket| Input::Change { ticket, change });
+                .record(Event::VoterChanged, &change, "requested by the leader");
+            let answer = self.submit_input(|ticket| Input::Change { ticket, change });
             if let Some(answer) = answer {
-                within(VERDICT, answer.recv()).await;
+                within(VERDICT_TIMEOUT, answer.recv()).await;
             }
         }
     }
@@ -378,7 +386,7 @@
         let joining = joining.map(|(id, (location, _))| (*id, location.clone()));
         let roster = Roster {
             leader: node.id(),
-            target_size: self.target,
+            target_size: self.target_size,
             voters: node.voters(),
             health: &node.health(now),
             joining: &joining.collect(),
@@ -386,15 +394,15 @@
         roster.next_change()
     }
 
-    /// Waits for a change of the configuration or of the leader.
-    pub(crate) fn changed(&self) -> event_listener::EventListener {
+    /// Returns a listener for the next change of the configuration or of the leader.
+    pub(crate) fn listen(&self) -> event_listener::EventListener {
         self.changed.listen()
     }
 
-    fn record(&self, note: &NodeEvent) {
+    fn record(&self, event: &NodeEvent) {
         let journal = &self.journal;
         let host = &self.location.host;
-        match note {
+        match event {
             NodeEvent::Elected(term) => {
                 journal.record(Event::LeaderElected, host, format_args!("term {term}"))
             }
@@ -411,33 +419,37 @@
             }
             NodeEvent::SnapshotSaved(index) => journal.record(Event::SnapshotWritten, host, index),
             NodeEvent::MajorityReplaced(index) => {
-                let detail = format_args!("alone from {index} on, a majority was lost");
+                let detail = format_args!("alone from index {index} on, a majority was lost");
                 journal.record(Event::VoterChanged, host, detail);
             }
-            NodeEvent::Regressed(peer) => {
-                journal.record(Event::StorageRefused, peer, "it lost what it acknowledged")
-            }
-            NodeEvent::Outdated(peer) => {
-                journal.record(Event::IdentityClash, peer, "an older start speaks")
-            }
+            NodeEvent::Regressed(peer) => journal.record(
+                Event::StorageRefused,
+                peer,
+                "the voter lost entries that it had acknowledged",
+            ),
+            NodeEvent::Outdated(peer) => journal.record(
+                Event::IdentityClash,
+                peer,
+                "an older start of the voter's process sends messages",
+            ),
             NodeEvent::Contradicted(index) => {
-                let detail = format_args!("{index} is committed otherwise");
+                let detail = format_args!("index {index} is committed with another entry");
                 journal.record(Event::StorageRefused, host, detail);
             }
             NodeEvent::SnapshotUnreadable(index) => journal.record(
                 Event::StorageRefused,
                 host,
-                format_args!("snapshot {index}"),
+                format_args!("snapshot {index} cannot be restored"),
             ),
         }
     }
 }
 
-/// The answer to a command or change.
+/// The answer to a command or membership change.
 type Answer = Result<Vec<u8>, Refusal>;
 
-/// What a node on a folder is started with.
-pub(crate) fn boot(
+/// Returns the parameters of the node on a data folder.
+pub(crate) fn node_params(
     id: VoterId,
     start: u64,
     cluster: ClusterId,
