--- a/crates/control/src/change.rs
+++ b/crates/control/src/change.rs
@@ -99,8 +99,8 @@
 
     /// Steps down if a committed change has removed this leader from the voters.
     pub(crate) fn step_down_if_removed(&mut self) {
-        let settled = self.log.voters_index() <= self.applied;
-        if settled && self.is_leader() && !self.log.voters().is_voter(self.id) {
+        let is_applied = self.log.voters_index() <= self.applied;
+        if is_applied && self.is_leader() && !self.log.voters().is_voter(self.id) {
             self.step_down();
         }
     }
--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -65,14 +65,14 @@
 }
 
 impl DiskStorage {
-    /// Opens the data folder of the voter at this location, or creates one with the id `fresh`.
-    pub fn open(folder: &Path, location: &Location, fresh: VoterId) -> Result<(Self, Recovery)> {
+    /// Opens the data folder of the voter at this location, or creates one with the id `new_id`.
+    pub fn open(folder: &Path, location: &Location, new_id: VoterId) -> Result<(Self, Recovery)> {
         fs::create_dir_all(folder).map_err(io_error(folder))?;
         let lock = lock_folder(folder)?;
         let inode = read_inode(&lock, folder)?;
-        let mut identity = load_identity(folder, &location.host, fresh, inode)?;
+        let mut identity = load_identity(folder, &location.host, new_id, inode)?;
         let (mut stored, torn) = read_state(folder, &identity)?;
-        let forced = force::replace_majority(folder, &mut identity, &mut stored, location, fresh)?;
+        let forced = force::replace_majority(folder, &mut identity, &mut stored, location, new_id)?;
         if forced {
             identity.host = location.host.clone();
             identity.inode = inode;
@@ -174,7 +174,7 @@
 }
 
 /// Loads and checks the identity of the folder; a new identity is stored before anything else.
-fn load_identity(folder: &Path, host: &HostId, fresh: VoterId, inode: u64) -> Result<Identity> {
+fn load_identity(folder: &Path, host: &HostId, new_id: VoterId, inode: u64) -> Result<Identity> {
     match Identity::load(folder)? {
         Some(identity) => {
             if !force::is_requested(folder) {
@@ -186,7 +186,7 @@
             Err(Report::new(StorageError::Incomplete(folder.into())))
         }
         None => {
-            let identity = Identity::new(fresh, host.clone(), inode);
+            let identity = Identity::new(new_id, host.clone(), inode);
             identity.save(folder)?;
             Ok(identity)
         }
--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -17,8 +17,8 @@
 impl<M: StateMachine> Node<M> {
     /// Restarts the wait for a leader: one election timeout plus a random jitter.
     pub(crate) fn reset_election_timer(&mut self) {
-        let spread = self.rng.span_below(self.timing.election_jitter);
-        self.election_due = self.now + self.timing.election_timeout + spread;
+        let jitter = self.rng.span_below(self.timing.election_jitter);
+        self.election_due = self.now + self.timing.election_timeout + jitter;
     }
 
     /// Asks the other voters whether they would vote for this one, without raising the term.
--- a/crates/control/src/files.rs
+++ b/crates/control/src/files.rs
@@ -19,8 +19,8 @@
         Err(e) => return Err(io_error(path)(e)),
     };
     // The file was synced before it got its name, so a torn record means damage too.
-    let whole = record::scan(&bytes).ok().filter(|s| s.end == bytes.len());
-    let body = whole.and_then(|s| s.bodies.first().copied());
+    let complete = record::scan(&bytes).ok().filter(|s| s.end == bytes.len());
+    let body = complete.and_then(|s| s.bodies.first().copied());
     let value = body.and_then(|b| rmp_serde::from_slice(b).ok());
     value.map(Some).ok_or_else(|| damage_error(path, 0))
 }
@@ -37,11 +37,11 @@
 /// The new file is synced before it takes the name, and the folder is synced after. Otherwise a
 /// crash could leave half a file, or a name that points to nothing.
 pub(crate) fn replace_file(folder: &Path, name: &str, bytes: &[u8]) -> Result<()> {
-    let fresh = folder.join(format!("{name}.new"));
-    let mut file = File::create(&fresh).map_err(io_error(&fresh))?;
-    file.write_all(bytes).map_err(io_error(&fresh))?;
-    file.sync_all().map_err(io_error(&fresh))?;
-    fs::rename(&fresh, folder.join(name)).map_err(io_error(&fresh))?;
+    let temporary = folder.join(format!("{name}.new"));
+    let mut file = File::create(&temporary).map_err(io_error(&temporary))?;
+    file.write_all(bytes).map_err(io_error(&temporary))?;
+    file.sync_all().map_err(io_error(&temporary))?;
+    fs::rename(&temporary, folder.join(name)).map_err(io_error(&temporary))?;
     sync_folder(folder)
 }
 
--- a/crates/control/src/force.rs
+++ b/crates/control/src/force.rs
@@ -56,7 +56,7 @@
     identity: &mut Identity,
     stored: &mut StoredState,
     location: &Location,
-    fresh: VoterId,
+    new_id: VoterId,
 ) -> Result<bool> {
     let path = folder.join(REQUEST_FILE);
     let text = match fs::read_to_string(&path) {
@@ -68,9 +68,9 @@
     if text.trim() != format!("{last} {CONFIRMATION}") {
         return Err(Report::new(StorageError::Unforced(path)));
     }
-    identity.voter = fresh;
-    identity.cluster = Some(ClusterId(fresh.get()));
-    let voters = Voters::new([(fresh, location.clone())].into());
+    identity.voter = new_id;
+    identity.cluster = Some(ClusterId(new_id.get()));
+    let voters = Voters::new([(new_id, location.clone())].into());
     stored.hard.term = Term(stored.hard.term.get() + TERM_STEP);
     stored.hard.vote = None;
     stored.entries.push(LogEntry {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -566,8 +566,8 @@
         self.outputs.0.push(Output::Answer { ticket, answer });
     }
 
-    pub(crate) fn emit(&mut self, note: NodeEvent) {
-        self.outputs.0.push(Output::Event(note));
+    pub(crate) fn emit(&mut self, event: NodeEvent) {
+        self.outputs.0.push(Output::Event(event));
     }
 
     pub(crate) fn leader_state(&mut self) -> Option<&mut LeaderState> {
--- a/crates/control/src/replicate.rs
+++ b/crates/control/src/replicate.rs
@@ -169,12 +169,12 @@
             return self.send_mismatched(from, hint, sent);
         }
         let last = Index(previous.index.get() + entries.len() as u64);
-        let bare = entries.is_empty();
+        let is_heartbeat = entries.is_empty();
         if !self.append_new(entries) {
             return;
         }
         self.commit = self.commit.max(commit.min(last));
-        if bare {
+        if is_heartbeat {
             self.answer_heartbeat(from, last, sent);
         } else {
             self.acknowledge(from, last, sent);
@@ -226,14 +226,14 @@
         let Some(first) = entries.iter().position(differs) else {
             return true;
         };
-        let fresh = entries[first..].to_vec();
-        let index = fresh[0].index;
+        let new_entries = entries[first..].to_vec();
+        let index = new_entries[0].index;
         if index <= self.commit {
             self.emit(NodeEvent::Contradicted(index));
             return false;
         }
-        self.log.append(fresh.clone());
-        self.write(Write::Append(fresh));
+        self.log.append(new_entries.clone());
+        self.write(Write::Append(new_entries));
         true
     }
 
--- a/crates/control/tests/steps.rs
+++ b/crates/control/tests/steps.rs
@@ -16,7 +16,7 @@
 }
 
 fn node_at(id: u64, stored: StoredState, now: Moment) -> Node<CommandList> {
-    let boot = NodeParams {
+    let params = NodeParams {
         id: VoterId(id),
         start: 1,
         cluster: ClusterId(7),
@@ -25,7 +25,7 @@
         timing: timing(),
         seed: 1,
     };
-    Node::new(boot, CommandList::default(), now).unwrap()
+    Node::new(params, CommandList::default(), now).unwrap()
 }
 
 fn entry(index: u64, term: u64) -> LogEntry {
--- a/crates/control/tests/storage.rs
+++ b/crates/control/tests/storage.rs
@@ -47,8 +47,8 @@
     }
 }
 
-fn open(path: &Path, host: u64, fresh: u64) -> Result<(DiskStorage, Recovery), StorageError> {
-    let opened = DiskStorage::open(path, &location(host, "zone-1"), VoterId(fresh));
+fn open(path: &Path, host: u64, new_id: u64) -> Result<(DiskStorage, Recovery), StorageError> {
+    let opened = DiskStorage::open(path, &location(host, "zone-1"), VoterId(new_id));
     opened.map_err(|report| report.current_context().clone())
 }
 
@@ -122,7 +122,7 @@
 fn torn_tail_cut() {
     let folder = Folder::new();
     write_sample(&folder);
-    let whole = fs::read(folder.file("log")).unwrap();
+    let intact = fs::read(folder.file("log")).unwrap();
     let states = states();
     let first = {
         let empty = Folder::new();
@@ -130,8 +130,8 @@
         fs::read(empty.file("log")).unwrap().len()
     };
     let mut reached = 0;
-    for end in 0..=whole.len() {
-        fs::write(folder.file("log"), &whole[..end]).unwrap();
+    for end in 0..=intact.len() {
+        fs::write(folder.file("log"), &intact[..end]).unwrap();
         if end < first {
             // The file was created with its first record, so no crash can have caused this.
             assert!(matches!(folder.open(), Err(StorageError::Damaged { .. })));
@@ -167,9 +167,9 @@
     let folder = Folder::new();
     write_sample(&folder);
     for name in ["log", "identity"] {
-        let whole = fs::read(folder.file(name)).unwrap();
-        for (byte, bit) in (0..whole.len()).flat_map(|byte| [(byte, 1), (byte, 128)]) {
-            let mut bytes = whole.clone();
+        let intact = fs::read(folder.file(name)).unwrap();
+        for (byte, bit) in (0..intact.len()).flat_map(|byte| [(byte, 1), (byte, 128)]) {
+            let mut bytes = intact.clone();
             bytes[byte] ^= bit;
             fs::write(folder.file(name), &bytes).unwrap();
             let refused = matches!(folder.open(), Err(StorageError::Damaged { .. }));
@@ -178,7 +178,7 @@
                 "a flipped bit in byte {byte} of {name} was not noticed"
             );
         }
-        fs::write(folder.file(name), &whole).unwrap();
+        fs::write(folder.file(name), &intact).unwrap();
     }
     assert_eq!(folder.stored(), states().pop().unwrap());
 }
@@ -193,9 +193,9 @@
     };
     disk.write(&[Write::Replace(Box::new(stored))]).unwrap();
     drop(disk);
-    let whole = fs::read(folder.file("snapshot")).unwrap();
-    for byte in 0..whole.len() {
-        let mut bytes = whole.clone();
+    let intact = fs::read(folder.file("snapshot")).unwrap();
+    for byte in 0..intact.len() {
+        let mut bytes = intact.clone();
         bytes[byte] ^= 4;
         fs::write(folder.file("snapshot"), &bytes).unwrap();
         assert!(matches!(folder.open(), Err(StorageError::Damaged { .. })));
@@ -218,7 +218,7 @@
         disk.write(&[Write::Replace(Box::new(stored))]).unwrap();
         drop(disk);
         fs::write(folder.file("log"), &log).unwrap();
-        let boot = NodeParams {
+        let params = NodeParams {
             id: VoterId(1),
             start: 1,
             cluster: ClusterId(1),
@@ -227,7 +227,7 @@
             timing: Timing::default(),
             seed: 1,
         };
-        let node = Node::new(boot, CommandList::default(), Moment::ZERO).unwrap();
+        let node = Node::new(params, CommandList::default(), Moment::ZERO).unwrap();
         assert_eq!(
             (node.log().last_index(), node.commit_index()),
             (Index(kept), Index(2))
@@ -272,11 +272,11 @@
     write_sample(&folder);
     assert_eq!(folder.open().unwrap().0.identity().voter, VoterId(11));
     for name in ["identity", "log"] {
-        let whole = fs::read(folder.file(name)).unwrap();
+        let intact = fs::read(folder.file(name)).unwrap();
         fs::remove_file(folder.file(name)).unwrap();
         let refused = folder.open().unwrap_err();
         assert_eq!(refused, StorageError::Incomplete(folder.0.clone()));
-        fs::write(folder.file(name), whole).unwrap();
+        fs::write(folder.file(name), intact).unwrap();
     }
     fs::remove_dir_all(&folder.0).unwrap();
     let (disk, opened) = open(&folder.0, 1, 12).unwrap();
@@ -330,7 +330,7 @@
     let (identity, stored) = (disk.identity().clone(), opened.stored);
     drop(disk);
     assert_eq!(open(&folder.0, 1, 98).unwrap().1.stored, stored);
-    let boot = NodeParams {
+    let params = NodeParams {
         id: identity.voter,
         start: identity.starts,
         cluster: identity.cluster.unwrap(),
@@ -339,7 +339,7 @@
         timing: Timing::default(),
         seed: 1,
     };
-    let mut node = Node::new(boot, CommandList::default(), Moment::ZERO).unwrap();
+    let mut node = Node::new(params, CommandList::default(), Moment::ZERO).unwrap();
     node.handle(Moment::ZERO, Input::Tick);
     node.handle(Moment::ZERO, Input::Synced { write: 9 });
     assert!(node.is_leader() && node.fence().get() > force::TERM_STEP);
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -24,11 +24,11 @@
 impl StateMachine for CommandList {
     fn apply(&mut self, _: Index, command: &[u8]) -> Vec<u8> {
         let known = self.commands.iter().position(|c| c == command);
-        let place = known.unwrap_or_else(|| {
+        let ordinal = known.unwrap_or_else(|| {
             self.commands.push(command.to_vec());
             self.commands.len() - 1
         });
-        (place as u64).to_be_bytes().to_vec()
+        (ordinal as u64).to_be_bytes().to_vec()
     }
 
     fn snapshot(&self) -> Vec<u8> {
@@ -155,7 +155,7 @@
         }
         host.start += 1;
         host.disk.pending.clear();
-        let boot = NodeParams {
+        let params = NodeParams {
             id,
             start: host.start,
             cluster: ClusterId(7),
@@ -164,7 +164,7 @@
             timing,
             seed: id.get() * 1_000 + host.start,
         };
-        host.node = Some(Node::new(boot, CommandList::default(), now).unwrap());
+        host.node = Some(Node::new(params, CommandList::default(), now).unwrap());
         self.fences.remove(&id);
     }
 
@@ -403,9 +403,9 @@
                 continue;
             };
             if let Ok(verdict) = answer {
-                let place = u64::from_be_bytes(verdict.as_slice().try_into().unwrap());
+                let ordinal = u64::from_be_bytes(verdict.as_slice().try_into().unwrap());
                 assert_eq!(
-                    commands.get(place as usize),
+                    commands.get(ordinal as usize),
                     Some(command),
                     "the verdict is the command's position"
                 );
--- a/crates/controller/src/disk.rs
+++ b/crates/controller/src/disk.rs
@@ -27,11 +27,11 @@
 pub(crate) async fn open(
     folder: PathBuf,
     location: Location,
-    fresh: VoterId,
+    new_id: VoterId,
 ) -> Result<(DiskStorage, Recovery), String> {
     let (sender, receiver) = async_channel::bounded(1);
     let work = move || {
-        let opened = DiskStorage::open(&folder, &location, fresh).map_err(|e| format!("{e:?}"));
+        let opened = DiskStorage::open(&folder, &location, new_id).map_err(|e| format!("{e:?}"));
         // The receiver is gone only if the process ends.
         let _ = sender.send_blocking(opened);
     };
--- a/crates/controller/src/join.rs
+++ b/crates/controller/src/join.rs
@@ -61,8 +61,8 @@
         return;
     };
     loop {
-        let fresh = VoterId(rand::random());
-        let opened = disk::open(folder.clone(), voter.location().clone(), fresh).await;
+        let new_id = VoterId(rand::random());
+        let opened = disk::open(folder.clone(), voter.location().clone(), new_id).await;
         let reason = match opened {
             Ok((storage, opened)) => {
                 let run = prepare_voter(&settings, &voter, &own, storage, opened).await;
@@ -143,8 +143,8 @@
 
 /// Returns the seeds in the settings file, which may change while this process runs.
 fn current_seeds(settings: &Settings) -> Vec<SocketAddr> {
-    let fresh = settings::reread();
-    let mut seeds = fresh.map_or_else(|_| settings.internal_seeds(), |s| s.internal_seeds());
+    let current = settings::reread();
+    let mut seeds = current.map_or_else(|_| settings.internal_seeds(), |s| s.internal_seeds());
     seeds.sort_unstable();
     seeds.dedup();
     seeds
