--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,8 +1,8 @@
-//! One voter of the replicated log, as a plain state machine.
+//! One voter of the replicated log, as a state machine without I/O.
 //!
-//! Time, chance, identity, disk and wire stand outside: [`Node::handle`] takes one [`Input`] and
-//! returns what is to be done. Nothing that promises durability leaves before the disk has
-//! said so with [`Input::Synced`].
+//! Time, randomness, identity, disk and network stay outside: [`Node::handle`] takes one [`Input`]
+//! and returns the resulting [`Output`]s. A message that promises durability is sent only after the
+//! disk has confirmed the writes with [`Input::Synced`].
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -13,55 +13,55 @@
 use snipemast_core::prelude::*;
 
 use crate::apply::{self, StateMachine};
-use crate::entry::{Hard, LogEntry, Payload, Snapshot, StoredState, Write};
+use crate::entry::{HardState, LogEntry, Payload, Snapshot, StoredState, Write};
 use crate::log::Log;
 use crate::message::{Envelope, Message};
-use crate::role::{Office, Role};
+use crate::role::{LeaderState, Role};
 use crate::roster::Health;
 use crate::timing::{SplitMix64, Timing};
 use crate::voters::{ChangeError, ClusterId, VoterChange, VoterId, Voters};
 
 number_ids! {
-    /// A caller's number for a command or change, which its answer carries.
+    /// A number that a caller gives to a command or change and that the answer carries.
     Ticket;
 }
 
-/// What a voter is started with.
+/// The parameters with which a voter is started.
 #[derive(Debug, Clone)]
 pub struct NodeParams {
-    /// Its id, from its data folder.
+    /// The voter's id, from its data folder.
     pub id: VoterId,
-    /// Which start of its data folder this is.
+    /// The number of times that a process has started on the data folder, this one included.
     pub start: u64,
-    /// Its cluster.
+    /// The cluster that it belongs to.
     pub cluster: ClusterId,
-    /// The voters that the cluster was formed with, or none for a learner.
+    /// The voters that the cluster was formed with, or none if this voter joined as a learner.
     pub first_voters: Voters,
-    /// What its disk holds.
+    /// The state that its disk holds.
     pub stored: StoredState,
-    /// Timeouts and bounds.
+    /// Timeouts and limits.
     pub timing: Timing,
-    /// Seeds its chance.
+    /// The seed of its random number generator.
     pub seed: u64,
 }
 
-/// What happens to a voter.
+/// An input to a voter.
 #[derive(Debug, Clone)]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// A message has come.
+    /// A message has arrived.
     Receive(Envelope),
-    /// A command is submitted.
+    /// A caller submits a command.
     Propose {
-        /// The caller's number.
+        /// The caller's ticket.
         ticket: Ticket,
         /// The command.
         command: Vec<u8>,
     },
-    /// A change of the voters is submitted.
+    /// A caller submits a membership change.
     Change {
-        /// The caller's number.
+        /// The caller's ticket.
         ticket: Ticket,
         /// The change.
         change: VoterChange,
@@ -73,26 +73,26 @@
     },
 }
 
-/// What a voter wants done.
+/// An action that a voter requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
     /// Write to the disk, in this order, and sync.
     Write {
         /// The write's number.
         number: u64,
-        /// What to write.
+        /// The content of the write.
         write: Write,
     },
     /// Send a message; it may be lost.
     Send(Envelope),
     /// Answer a caller.
     Answer {
-        /// The caller's number.
+        /// The caller's ticket.
         ticket: Ticket,
-        /// The verdict, or why there is none.
+        /// The verdict, or the reason why there is none.
         answer: Result<Vec<u8>, Refusal>,
     },
-    /// Note an event.
+    /// Report an event.
     Event(NodeEvent),
 }
 
@@ -100,55 +100,56 @@
     /// Why a command or change has no verdict.
     #[derive(Hash)]
     pub enum Refusal {
-        /// This voter does not lead; nothing was accepted.
+        /// This voter is not the leader; nothing was accepted.
         NotLeader {
-            /// Who leads, if that is known.
+            /// The leader, if it is known.
             leader: Option<VoterId>,
         },
-        /// No majority is in reach; nothing was accepted.
+        /// No majority can be reached; nothing was accepted.
         NoQuorum,
-        /// Too many commands wait; nothing was accepted.
+        /// Too many commands are waiting; nothing was accepted.
         Busy,
-        /// The leader lost its office first: a resend under the same id learns the verdict.
+        /// The leader stepped down before the verdict was known; a resend under the same id gets
+        /// it.
         Unknown,
-        /// The voters can't be changed so.
+        /// The membership change is not allowed.
         Change(ChangeError),
     }
 }
 
-/// Something worth an event.
+/// An event that a voter reports for the log of events.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NodeEvent {
     /// This voter was elected.
     Elected(Term),
-    /// Its office is in the log: it may give orders with this fencing number.
+    /// The first entry of its term is committed, so it may issue this fencing number.
     LeaderReady(Fence),
-    /// Its term of office ended.
+    /// This voter stopped leading in this term.
     SteppedDown(Term),
-    /// The voters changed.
+    /// A membership change was committed.
     VotersChanged(Voters),
     /// A snapshot was taken or installed.
     SnapshotSaved(Index),
     /// An operator replaced a lost majority.
     MajorityReplaced(Index),
-    /// A voter lost what it had said was synced; it counts for nothing any more.
+    /// A voter lost entries that it had acknowledged as synced; it is no longer counted.
     Regressed(VoterId),
-    /// Two processes speak under one id; the one that started first is not heard.
+    /// Two processes use the same voter id; messages of the one that started first are dropped.
     Outdated(VoterId),
-    /// A leader contradicts what is committed; its message was dropped.
+    /// A leader sent an entry that contradicts a committed one; its message was dropped.
     Contradicted(Index),
-    /// A snapshot that the machine can't read was dropped.
+    /// A snapshot that the state machine cannot restore was dropped.
     SnapshotUnreadable(Index),
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotLeader { leader: Some(id) } => write!(f, "{id} leads"),
+            Self::NotLeader { leader: Some(id) } => write!(f, "voter {id} is the leader"),
             Self::NotLeader { leader: None } => f.write_str("no leader is known"),
-            Self::NoQuorum => f.write_str("no majority of the voters is in reach"),
-            Self::Busy => f.write_str("too many patches wait for their verdict"),
-            Self::Unknown => f.write_str("the leader changed: send it again under the same id"),
+            Self::NoQuorum => f.write_str("no majority of the voters can be reached"),
+            Self::Busy => f.write_str("too many patches are waiting for their verdict"),
+            Self::Unknown => f.write_str("the leader changed; resend it under the same id"),
             Self::Change(e) => write!(f, "{e}"),
         }
     }
@@ -156,16 +157,16 @@
 
 impl std::error::Error for Refusal {}
 
-/// One voter or learner.
+/// A voter or learner of the replicated log.
 #[derive(Debug, Clone, Hash)]
 pub struct Node<M> {
     pub(crate) id: VoterId,
     pub(crate) start: u64,
     pub(crate) cluster: ClusterId,
     pub(crate) timing: Timing,
-    pub(crate) chance: SplitMix64,
+    pub(crate) rng: SplitMix64,
     pub(crate) now: Moment,
-    pub(crate) hard: Hard,
+    pub(crate) hard: HardState,
     pub(crate) log: Log,
     pub(crate) machine: M,
     pub(crate) commit: Index,
@@ -173,24 +174,30 @@
     pub(crate) fence: Fence,
     pub(crate) role: Role,
     pub(crate) leader: Option<VoterId>,
-    /// When a leader was last heard, or when this process started.
-    pub(crate) heard: Moment,
-    /// When it stands for election.
-    pub(crate) alarm: Moment,
-    /// A snapshot that is arriving.
-    pub(crate) incoming: Option<crate::install::Incoming>,
-    pub(crate) starts: BTreeMap<VoterId, u64>,
-    writes: u64,
-    synced: u64,
-    /// The last write of a term or vote.
-    sworn: u64,
+    /// When a message from a leader last arrived, or when this process started.
+    pub(crate) last_heard: Moment,
+    /// When it starts an election unless it hears a leader.
+    pub(crate) election_due: Moment,
+    /// A snapshot that has arrived in part.
+    pub(crate) incoming: Option<crate::install::IncomingSnapshot>,
+    /// The highest start count seen from each peer.
+    pub(crate) peer_starts: BTreeMap<VoterId, u64>,
+    /// The number of the last write that was issued.
+    last_write: u64,
+    /// The number of the last write that is synced.
+    last_synced: u64,
+    /// The number of the last write that contained a term or vote.
+    vote_write: u64,
+    /// The last index that is synced.
     durable: Index,
-    pending: VecDeque<(u64, Index)>,
-    held: VecDeque<(u64, Envelope)>,
+    /// Unsynced writes of entries, each with the last index that it makes durable.
+    unsynced: VecDeque<(u64, Index)>,
+    /// Messages that wait until a write is synced.
+    held_back: VecDeque<(u64, Envelope)>,
     outputs: Outbox,
 }
 
-/// Outputs of the step under way: empty between steps, so they count for no hash.
+/// The outputs of the current step. Empty between steps, so they are left out of the hash.
 #[derive(Debug, Clone, Default)]
 struct Outbox(Vec<Output>);
 
@@ -199,192 +206,197 @@
 }
 
 impl<M: StateMachine> Node<M> {
-    /// Starts a voter from what its disk holds.
+    /// Starts a voter from the state that its disk holds.
     ///
-    /// Failure guarded against: a follower granted a leader its lease, crashed, and votes for
-    /// another right after its restart, so that two leaders speak at once. A start counts as
-    /// having heard a leader, so no vote is given for one election timeout.
-    pub fn new(boot: NodeParams, mut machine: M, now: Moment) -> apply::Result<Self> {
-        let hard = boot.stored.hard;
-        let log = Log::new(boot.stored, boot.first_voters);
+    /// A start counts as having heard a leader, so no vote is granted for one election timeout.
+    /// Otherwise a follower that granted a leader its lease could crash, restart and vote for
+    /// another leader while the first one still holds its lease.
+    pub fn new(params: NodeParams, mut machine: M, now: Moment) -> apply::Result<Self> {
+        let hard = params.stored.hard;
+        let log = Log::new(params.stored, params.first_voters);
         let mut fence = Fence(0);
         if let Some(snapshot) = log.snapshot() {
             machine.restore(&snapshot.state)?;
             fence = snapshot.fence;
         }
         let mut node = Self {
-            id: boot.id,
-            start: boot.start,
-            cluster: boot.cluster,
-            timing: boot.timing,
-            chance: SplitMix64::new(boot.seed),
+            id: params.id,
+            start: params.start,
+            cluster: params.cluster,
+            timing: params.timing,
+            rng: SplitMix64::new(params.seed),
             now,
             hard,
-            commit: log.covered(),
-            applied: log.covered(),
+            commit: log.snapshot_index(),
+            applied: log.snapshot_index(),
             durable: log.last_index(),
             log,
             machine,
             fence,
             role: Role::Follower,
             leader: None,
-            heard: now,
-            alarm: now,
+            last_heard: now,
+            election_due: now,
             incoming: None,
-            starts: BTreeMap::new(),
-            writes: 0,
-            synced: 0,
-            sworn: 0,
-            pending: VecDeque::new(),
-            held: VecDeque::new(),
+            peer_starts: BTreeMap::new(),
+            last_write: 0,
+            last_synced: 0,
+            vote_write: 0,
+            unsynced: VecDeque::new(),
+            held_back: VecDeque::new(),
             outputs: Outbox::default(),
         };
-        if !node.is_alone() {
-            node.rest();
+        if !node.is_only_voter() {
+            node.reset_election_timer();
         }
         Ok(node)
     }
 
-    /// Takes one input at a moment and returns what is to be done, in order.
+    /// Handles one input at a moment and returns the resulting outputs, in order.
     pub fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
-        self.pass_time();
+        self.check_timers();
         match input {
             Input::Tick => {}
             Input::Receive(envelope) => self.receive(envelope),
             Input::Propose { ticket, command } => self.propose(ticket, command),
             Input::Change { ticket, change } => self.change(ticket, change),
-            Input::Synced { write } => self.synced(write),
+            Input::Synced { write } => self.on_synced(write),
         }
         self.apply_committed();
         self.take_snapshot();
         std::mem::take(&mut self.outputs.0)
     }
 
-    /// When [`Input::Tick`] is due.
+    /// Returns when the next [`Input::Tick`] is due.
     pub fn next_tick(&self) -> Moment {
         match &self.role {
-            Role::Leader(office) => office.beat,
-            _ if self.log.voters().is_voter(self.id) => self.alarm,
+            Role::Leader(state) => state.next_heartbeat,
+            _ if self.log.voters().is_voter(self.id) => self.election_due,
             _ => Moment::NEVER,
         }
     }
 
-    /// Its id.
+    /// Returns its id.
     pub fn id(&self) -> VoterId {
         self.id
     }
 
-    /// Its term.
+    /// Returns its term.
     pub fn term(&self) -> Term {
         self.hard.term
     }
 
-    /// Who leads, as far as it knows.
+    /// Returns the leader, as far as it knows.
     pub fn leader(&self) -> Option<VoterId> {
         self.leader
     }
 
-    /// Whether it leads.
+    /// Whether it is the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether it leads and may speak for the cluster without asking: no other leader can
-    /// have been elected yet.
+    /// Whether it is the leader and holds a lease, so that no other leader can have been elected
+    /// yet and it may answer for the cluster without asking the others.
     pub fn has_lease(&self, now: Moment) -> bool {
         self.lease_end().is_some_and(|end| now < end)
     }
 
-    /// Until when it may speak for the cluster, if it leads.
+    /// Returns when its lease ends, if it is a ready leader.
     pub fn lease_end(&self) -> Option<Moment> {
         match &self.role {
-            Role::Leader(office) if office.ready => {
-                self.contact(office).map(|c| c + self.timing.lease)
+            Role::Leader(state) if state.ready => {
+                self.quorum_contact(state).map(|c| c + self.timing.lease)
             }
             _ => None,
         }
     }
 
-    /// The state machine.
+    /// Returns the state machine.
     pub fn machine(&self) -> &M {
         &self.machine
     }
 
-    /// The log.
+    /// Returns the log.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// How far the log is committed, as far as it knows.
+    /// Returns the last index that it knows to be committed.
     pub fn commit_index(&self) -> Index {
         self.commit
     }
 
-    /// How far the log is applied to the machine.
+    /// Returns the last index that is applied to the state machine.
     pub fn applied_index(&self) -> Index {
         self.applied
     }
 
-    /// The highest fencing number in the committed log.
+    /// Returns the highest fencing number in the committed log.
     pub fn fence(&self) -> Fence {
         self.fence
     }
 
-    /// The voters in force.
+    /// Returns the voters and learners in force.
     pub fn voters(&self) -> &Voters {
         self.log.voters()
     }
 
-    /// Whether it leads and its first entry is committed, so that it may change the voters.
-    pub fn is_settled(&self) -> bool {
-        matches!(&self.role, Role::Leader(office) if office.ready)
+    /// Whether it is the leader and the first entry of its term is committed, so that it may change
+    /// the voters.
+    pub fn is_ready_leader(&self) -> bool {
+        matches!(&self.role, Role::Leader(state) if state.ready)
     }
 
-    /// How the other voters and learners are, if it leads.
+    /// Returns the health of the other voters and learners; empty unless it is the leader.
     pub fn health(&self, now: Moment) -> BTreeMap<VoterId, Health> {
-        let Role::Leader(office) = &self.role else {
+        let Role::Leader(state) = &self.role else {
             return BTreeMap::new();
         };
-        let peers = office.peers.iter();
+        let peers = state.peers.iter();
         peers
             .map(|(id, p)| {
-                let silent = now.since(p.acked.unwrap_or(p.since));
-                let current = p.matched >= self.commit && !p.regressed;
-                (*id, Health { silent, current })
+                let silence = now.since(p.last_acked.unwrap_or(p.tracked_since));
+                let caught_up = p.matched >= self.commit && !p.regressed;
+                (*id, Health { silence, caught_up })
             })
             .collect()
     }
 
-    /// How far its own disk is synced.
+    /// Returns the last index that is synced on its own disk.
     pub fn durable_index(&self) -> Index {
         self.durable
     }
 
-    /// What its disk must hold once every write is synced.
+    /// Returns the state that its disk holds once every write is synced.
     pub fn to_stored(&self) -> StoredState {
         self.log.to_stored(self.hard)
     }
 
-    /// Failure guarded against: a leader that was cut off or stopped for long wakes up and goes
-    /// on as if it led. Time is looked at before each input, so it steps down first.
-    fn pass_time(&mut self) {
+    /// Handles timeouts; runs before each input.
+    ///
+    /// So a leader that was cut off or suspended for long steps down before it handles anything
+    /// else, instead of continuing as if it still led.
+    fn check_timers(&mut self) {
         if self.is_leader() {
             self.check_quorum();
         }
         if self.is_leader() {
-            self.beat();
-        } else if self.now >= self.alarm && self.log.voters().is_voter(self.id) {
-            self.stand();
+            self.send_heartbeats();
+        } else if self.now >= self.election_due && self.log.voters().is_voter(self.id) {
+            self.start_pre_vote();
         }
     }
 
     /// Whether it is the only voter.
-    pub(crate) fn is_alone(&self) -> bool {
+    pub(crate) fn is_only_voter(&self) -> bool {
         let voters = self.log.voters();
         voters.voters.len() == 1 && voters.is_voter(self.id)
     }
 
+    /// Handles a message; drops it if it is for another cluster or recipient, or from an outdated
+    /// process.
     fn receive(&mut self, envelope: Envelope) {
         let Envelope {
             cluster, from, to, ..
@@ -393,10 +405,10 @@
             return;
         }
         if self.is_outdated(from, envelope.start) {
-            self.note(NodeEvent::Outdated(from));
+            self.emit(NodeEvent::Outdated(from));
             return;
         }
-        if !self.meet_term(&envelope) {
+        if !self.adopt_term(&envelope) {
             return;
         }
         let Envelope { term, message, .. } = envelope;
@@ -429,23 +441,25 @@
         }
     }
 
-    /// Failure guarded against: a data folder was put back from an older copy and its process
-    /// speaks with what it forgot. Its count of starts is lower than one already heard.
+    /// Whether the sender's start count is lower than one already seen from the same voter.
+    ///
+    /// That happens when a data folder was restored from an older copy; its process would act on
+    /// state that lacks what it has promised since.
     fn is_outdated(&mut self, from: VoterId, start: u64) -> bool {
-        let seen = self.starts.entry(from).or_insert(start);
+        let seen = self.peer_starts.entry(from).or_insert(start);
         let outdated = start < *seen;
         *seen = (*seen).max(start);
         outdated
     }
 
-    /// Adopts a later term where the message proves one; false where it is to be dropped.
-    fn meet_term(&mut self, envelope: &Envelope) -> bool {
+    /// Adopts a later term if the message proves one; returns false if the message must be dropped.
+    fn adopt_term(&mut self, envelope: &Envelope) -> bool {
         if envelope.term <= self.hard.term {
             return true;
         }
         match envelope.message {
             Message::PreVote { .. } | Message::PreVoted { granted: true, .. } => true,
-            Message::Vote { .. } if self.is_sheltered() => false,
+            Message::Vote { .. } if self.hears_leader() => false,
             _ => {
                 self.follow(envelope.term, None);
                 true
@@ -453,49 +467,54 @@
         }
     }
 
+    /// Issues a write to the disk.
     pub(crate) fn write(&mut self, write: Write) {
-        self.writes += 1;
+        self.last_write += 1;
         match &write {
-            Write::Hard(_) => self.sworn = self.writes,
+            Write::Hard(_) => self.vote_write = self.last_write,
             Write::Append(entries) => {
                 if let Some(first) = entries.first() {
-                    self.forget_from(first.index);
+                    self.mark_unsynced_from(first.index);
                 }
-                self.pending.push_back((self.writes, self.log.last_index()));
+                self.unsynced
+                    .push_back((self.last_write, self.log.last_index()));
             }
             Write::Replace(_) => {
-                self.sworn = self.writes;
-                self.pending.push_back((self.writes, self.log.last_index()));
+                self.vote_write = self.last_write;
+                self.unsynced
+                    .push_back((self.last_write, self.log.last_index()));
             }
         }
-        let number = self.writes;
+        let number = self.last_write;
         self.outputs.0.push(Output::Write { number, write });
     }
 
-    /// Failure guarded against: entries that were overwritten count as synced because an
-    /// earlier write of their places was. What is overwritten leaves the count at once.
-    pub(crate) fn forget_from(&mut self, from: Index) {
+    /// Stops counting entries from an index on as synced, because they are overwritten.
+    ///
+    /// Otherwise the new entries would count as synced once an earlier write of the same indices
+    /// was synced.
+    pub(crate) fn mark_unsynced_from(&mut self, from: Index) {
         let last = Index(from.get().saturating_sub(1));
         self.durable = self.durable.min(last);
-        for (_, index) in &mut self.pending {
+        for (_, index) in &mut self.unsynced {
             *index = (*index).min(last);
         }
     }
 
-    fn synced(&mut self, write: u64) {
-        self.synced = self.synced.max(write);
-        while let Some((number, index)) = self.pending.front().copied() {
-            if number > self.synced {
+    fn on_synced(&mut self, write: u64) {
+        self.last_synced = self.last_synced.max(write);
+        while let Some((number, index)) = self.unsynced.front().copied() {
+            if number > self.last_synced {
                 break;
             }
-            self.pending.pop_front();
+            self.unsynced.pop_front();
             self.durable = self.durable.max(index);
         }
-        while let Some((number, _)) = self.held.front() {
-            if *number > self.synced {
+        while let Some((number, _)) = self.held_back.front() {
+            if *number > self.last_synced {
                 break;
             }
-            if let Some((_, envelope)) = self.held.pop_front() {
+            if let Some((_, envelope)) = self.held_back.pop_front() {
                 self.outputs.0.push(Output::Send(envelope));
             }
         }
@@ -504,16 +523,17 @@
         }
     }
 
-    /// Whether the term and vote are on the disk.
-    pub(crate) fn is_sworn(&self) -> bool {
-        self.synced >= self.sworn
+    /// Whether the term and vote are synced.
+    pub(crate) fn is_vote_synced(&self) -> bool {
+        self.last_synced >= self.vote_write
     }
 
-    /// Whether everything is on the disk.
+    /// Whether every write is synced.
     pub(crate) fn is_synced(&self) -> bool {
-        self.synced >= self.writes
+        self.last_synced >= self.last_write
     }
 
+    /// Sends a message at once.
     pub(crate) fn send(&mut self, to: VoterId, message: Message) {
         let envelope = self.envelope(to, message);
         self.outputs.0.push(Output::Send(envelope));
@@ -521,14 +541,14 @@
 
     /// Sends a message once everything written so far is synced.
     ///
-    /// Failure guarded against: a vote or an acknowledgement leaves, the process dies before
-    /// its disk has it, and the voter comes back having forgotten what it promised.
-    pub(crate) fn send_synced(&mut self, to: VoterId, message: Message) {
+    /// Otherwise a vote or acknowledgement could be sent, the process could die before the disk has
+    /// it, and the voter would restart without what it promised.
+    pub(crate) fn send_after_sync(&mut self, to: VoterId, message: Message) {
         if self.is_synced() {
             return self.send(to, message);
         }
         let envelope = self.envelope(to, message);
-        self.held.push_back((self.writes, envelope));
+        self.held_back.push_back((self.last_write, envelope));
     }
 
     fn envelope(&self, to: VoterId, message: Message) -> Envelope {
@@ -546,13 +566,13 @@
         self.outputs.0.push(Output::Answer { ticket, answer });
     }
 
-    pub(crate) fn note(&mut self, note: NodeEvent) {
-        self.outputs.0.push(Output::Event(note));
+    pub(crate) fn emit(&mut self, event: NodeEvent) {
+        self.outputs.0.push(Output::Event(event));
     }
 
-    pub(crate) fn office(&mut self) -> Option<&mut Office> {
+    pub(crate) fn leader_state(&mut self) -> Option<&mut LeaderState> {
         match &mut self.role {
-            Role::Leader(office) => Some(office),
+            Role::Leader(state) => Some(state),
             _ => None,
         }
     }
@@ -577,33 +597,37 @@
         let verdict = match payload {
             Payload::Office { .. } => {
                 self.fence = self.fence.max(Fence(term.get()));
-                self.settle_office(term);
+                self.mark_ready(term);
                 Vec::new()
             }
             Payload::Command(command) => self.machine.apply(index, &command),
             Payload::Voters(voters) => {
-                self.settle_voters(voters);
+                self.apply_voters(voters);
                 Vec::new()
             }
             Payload::Replaced(_) => {
                 self.machine.majority_replaced(index);
-                self.note(NodeEvent::MajorityReplaced(index));
+                self.emit(NodeEvent::MajorityReplaced(index));
                 Vec::new()
             }
         };
-        let ticket = self.office().and_then(|o| o.waiting.remove(&index));
+        let ticket = self.leader_state().and_then(|s| s.waiting.remove(&index));
         if let Some(ticket) = ticket {
             self.answer(ticket, Ok(verdict));
         }
-        self.leave_if_removed();
+        self.step_down_if_removed();
     }
 
+    /// Takes a snapshot once enough entries have been applied since the last one.
     fn take_snapshot(&mut self) {
-        let since = self.applied.get() - self.log.covered().get();
+        let since = self.applied.get() - self.log.snapshot_index().get();
         if since < self.timing.snapshot_entries {
             return;
         }
-        let term = self.log.term_at(self.applied).expect("it was just applied");
+        let term = self
+            .log
+            .term_at(self.applied)
+            .expect("the last applied entry is kept");
         let snapshot = Arc::new(Snapshot {
             index: self.applied,
             term,
@@ -614,6 +638,6 @@
         self.log.compact(snapshot, self.timing.retained_entries);
         let stored = Box::new(self.to_stored());
         self.write(Write::Replace(stored));
-        self.note(NodeEvent::SnapshotSaved(self.applied));
+        self.emit(NodeEvent::SnapshotSaved(self.applied));
     }
 }
--- a/crates/control/src/record.rs
+++ b/crates/control/src/record.rs
@@ -1,29 +1,30 @@
-//! Records of the log file: a checked header, a checked body.
+//! Records of the log file, with checksums over header and body.
 //!
-//! Each record is 12 bytes of header (length, CRC-32 of the body, CRC-32 of the eight bytes
-//! before) and the body. [`scan`] tells a torn tail, which a crash leaves, from damage.
+//! Each record is a header of 12 bytes (length, CRC-32 of the body, CRC-32 of the eight bytes
+//! before) followed by the body. [`scan`] distinguishes a torn tail, which a crash leaves, from
+//! damage.
 
 use std::fmt;
 
-/// The length of a record's header.
-pub const HEADER: usize = 12;
+/// The length of a record's header in bytes.
+pub const HEADER_LENGTH: usize = 12;
 
-/// The unit in which a disk writes whole or not at all.
-const SECTOR: usize = 512;
+/// The number of bytes that a disk writes as a whole or not at all.
+const SECTOR_SIZE: usize = 512;
 
-/// What a log file holds.
+/// The records of a log file.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Scanned<'a> {
-    /// The bodies of the whole records.
+pub struct Scan<'a> {
+    /// The bodies of the complete records.
     pub bodies: Vec<&'a [u8]>,
-    /// Where the last whole record ends; what follows was torn by a crash.
+    /// The offset at which the last complete record ends; what follows was torn by a crash.
     pub end: usize,
 }
 
-/// A record that no crash can have left so.
+/// A record is damaged in a way that no crash can have caused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Damage {
-    /// Where the record begins.
+    /// The offset at which the record begins.
     pub offset: usize,
 }
 
@@ -35,76 +36,78 @@
 
 impl std::error::Error for Damage {}
 
-/// Adds a record to a buffer.
-pub fn push(buffer: &mut Vec<u8>, body: &[u8]) {
+/// Appends a record to a buffer.
+pub fn append_record(buffer: &mut Vec<u8>, body: &[u8]) {
     let length = (body.len() as u32).to_be_bytes();
     let checksum = crc32fast::hash(body).to_be_bytes();
     let mut header = [length, checksum].concat();
-    let seal = crc32fast::hash(&header).to_be_bytes();
-    header.extend_from_slice(&seal);
+    let header_checksum = crc32fast::hash(&header).to_be_bytes();
+    header.extend_from_slice(&header_checksum);
     buffer.extend_from_slice(&header);
     buffer.extend_from_slice(body);
 }
 
-/// Reads every record.
+/// Reads all records.
 ///
-/// Failure guarded against: a damaged record is taken for the end of the log, so that what
-/// was acknowledged is silently forgotten. A crash leaves the last write short, or with whole
-/// sectors that were never written and read as zeros; anything else is damage and refused.
-pub fn scan(bytes: &[u8]) -> Result<Scanned<'_>, Damage> {
+/// A crash leaves the last write short, or with whole sectors that were never written and read as
+/// zeros. Anything else is damage and refused: if a damaged record were taken for the end of the
+/// log, acknowledged entries would be lost silently.
+pub fn scan(bytes: &[u8]) -> Result<Scan<'_>, Damage> {
     let mut bodies = Vec::new();
     let mut offset = 0;
     while offset < bytes.len() {
-        match read(&bytes[offset..]) {
-            Found::Whole(body) => {
+        match parse_record(&bytes[offset..]) {
+            Parsed::Whole(body) => {
                 bodies.push(body);
-                offset += HEADER + body.len();
+                offset += HEADER_LENGTH + body.len();
             }
-            Found::Torn => break,
-            Found::Damaged => return Err(Damage { offset }),
+            Parsed::Torn => break,
+            Parsed::Damaged => return Err(Damage { offset }),
         }
     }
-    Ok(Scanned {
+    Ok(Scan {
         bodies,
         end: offset,
     })
 }
 
-enum Found<'a> {
+enum Parsed<'a> {
     Whole(&'a [u8]),
     Torn,
     Damaged,
 }
 
-fn read(rest: &[u8]) -> Found<'_> {
-    if rest.len() < HEADER || rest.iter().all(|b| *b == 0) {
-        return Found::Torn;
+fn parse_record(rest: &[u8]) -> Parsed<'_> {
+    if rest.len() < HEADER_LENGTH || rest.iter().all(|b| *b == 0) {
+        return Parsed::Torn;
     }
-    let (header, after) = rest.split_at(HEADER);
-    if number(&header[8..]) != crc32fast::hash(&header[..8]) {
-        return Found::Damaged;
+    let (header, after) = rest.split_at(HEADER_LENGTH);
+    if read_u32(&header[8..]) != crc32fast::hash(&header[..8]) {
+        return Parsed::Damaged;
     }
-    let length = number(header) as usize;
+    let length = read_u32(header) as usize;
     if after.len() < length {
-        return Found::Torn;
+        return Parsed::Torn;
     }
     let body = &after[..length];
-    if number(&header[4..]) == crc32fast::hash(body) {
-        return Found::Whole(body);
+    if read_u32(&header[4..]) == crc32fast::hash(body) {
+        return Parsed::Whole(body);
     }
-    if after.len() == length && has_hole(body) {
-        Found::Torn
+    if after.len() == length && has_unwritten_part(body) {
+        Parsed::Torn
     } else {
-        Found::Damaged
+        Parsed::Damaged
     }
 }
 
-/// Whether a stretch as long as a sector was never written.
-fn has_hole(body: &[u8]) -> bool {
-    body.chunks(SECTOR / 2)
-        .any(|c| c.len() == SECTOR / 2 && c.iter().all(|b| *b == 0))
+/// Whether a sector within the body was never written and reads as zeros.
+///
+/// Any sector covers at least one whole chunk of half its size.
+fn has_unwritten_part(body: &[u8]) -> bool {
+    body.chunks(SECTOR_SIZE / 2)
+        .any(|c| c.len() == SECTOR_SIZE / 2 && c.iter().all(|b| *b == 0))
 }
 
-fn number(bytes: &[u8]) -> u32 {
+fn read_u32(bytes: &[u8]) -> u32 {
     u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]])
 }
