--- a/crates/agent/src/orders/desk.rs
+++ b/crates/agent/src/orders/desk.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use trillium::{async_trait, Conn, Handler};
 
-use snipemast_config::{Census, Config, Delta, Follower, Standing};
+use snipemast_config::{Census, Config, Delta, Follower, ProcessVersion};
 use snipemast_core::prelude::*;
 use snipemast_servers::orders::{Carried, EngineOrder, OrderClient};
 use snipemast_settings::AgentSettings;
@@ -118,7 +118,7 @@
 
     /// Follows the configuration of the seeds.
     pub async fn follow_forever(self: Arc<Self>) {
-        let seed = snipemast_config::KeyHash::of(&self.process.to_string()).prefix();
+        let seed = snipemast_config::KeyHash::from_key(&self.process.to_string()).prefix();
         let seeds = &self.settings.seeds;
         let follower = Follower::new(seeds.len(), self.config(), seed);
         snipemast_wire::follow_forever(self.as_ref(), seeds, follower).await;
@@ -130,13 +130,13 @@
         &self.clock
     }
 
-    fn standing(&self) -> (Standing, Census) {
+    fn standing(&self) -> (ProcessVersion, Census) {
         let now = self.clock.now();
         let age = self.age.lock().map(|(then, age)| {
             let later = now.since(then).as_micros();
             Span::from_micros(age.as_micros() + later)
         });
-        let standing = Standing {
+        let standing = ProcessVersion {
             process: self.process.clone(),
             zone: self.settings.zone.clone(),
             version: self.config.load().version,
--- a/crates/benches/benches/control.rs
+++ b/crates/benches/benches/control.rs
@@ -48,7 +48,7 @@
     let mut machine = ConfigMachine::default();
     let workspaces = (0..WORKSPACES).map(|i| {
         let name = format!("w-{i}");
-        let workspace = json!({ "keys": [KeyHash::of(&name)], "weight": i % 9 + 1 });
+        let workspace = json!({ "keys": [KeyHash::from_key(&name)], "weight": i % 9 + 1 });
         (name, workspace)
     });
     let models = (0..MODELS).map(|i| (format!("m-{i}"), json!({ "version": "1" })));
--- a/crates/benches/src/config_costs.rs
+++ b/crates/benches/src/config_costs.rs
@@ -47,7 +47,10 @@
 fn whole(weight: usize) -> Value {
     let workspaces: Map<String, Value> = (0..WORKSPACES)
         .map(|n| {
-            let keys = [KeyHash::of(&format!("a{n}")), KeyHash::of(&format!("b{n}"))];
+            let keys = [
+                KeyHash::from_key(&format!("a{n}")),
+                KeyHash::from_key(&format!("b{n}")),
+            ];
             let limits = json!({ "requests": "50/s", "tokens": "20000/s", "concurrency": 64 });
             let entry = json!({ "keys": keys, "weight": weight, "limits": limits });
             (format!("workspace-{n}"), entry)
@@ -90,7 +93,7 @@
         assert!(matches!(verdict, Verdict::Accepted { .. }), "{verdict:?}");
         let config = Arc::clone(machine.config());
         // Requests look keys up in each version, as in a process that serves.
-        black_box(config.workspace_of(&KeyHash::of("a0")));
+        black_box(config.workspace_of(&KeyHash::from_key("a0")));
         (took, config)
     };
     submit(0, whole(1));
@@ -119,7 +122,7 @@
 
 fn measure_lookup(figures: &mut Figures, config: &Config) {
     let keys: Vec<KeyHash> = (0..1_000)
-        .map(|n| KeyHash::of(&format!("b{}", n * 2)))
+        .map(|n| KeyHash::from_key(&format!("b{}", n * 2)))
         .collect();
     let start = Instant::now();
     for key in &keys {
--- a/crates/benches/src/voters.rs
+++ b/crates/benches/src/voters.rs
@@ -198,7 +198,7 @@
 
 /// The command of a small patch: one workspace's weight.
 pub fn command(id: &str, base: Version) -> Vec<u8> {
-    let keys = [KeyHash::of("bench")];
+    let keys = [KeyHash::from_key("bench")];
     let weight = base.get() % 7 + 1;
     let patch = Patch {
         id: id.parse().expect("a valid name"),
--- a/crates/callers/src/ask.rs
+++ b/crates/callers/src/ask.rs
@@ -129,7 +129,7 @@
         .and_then(|h| h.strip_prefix("Bearer "))
         .map(str::trim);
     key.filter(|k| !k.is_empty())
-        .map(KeyHash::of)
+        .map(KeyHash::from_key)
         .ok_or(AskError::KeyMissing)
 }
 
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -80,7 +80,7 @@
 async fn run(stay: bool) -> Result<()> {
     let mut fleet = Fleet::start().await?;
     fleet.patch(json!({
-        "workspaces": { "cordillera": { "keys": [KeyHash::of(KEY)] } },
+        "workspaces": { "cordillera": { "keys": [KeyHash::from_key(KEY)] } },
         "models": { "lector-1": { "version": "1" }, "lector-2": { "version": "1" } },
         "services": {
             "lector": { "kind": "model", "model": "lector-1" },
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -79,7 +79,7 @@
         eprintln!("snipemast: usage: snipemast hash, with the key on standard input");
         return ExitCode::from(exit::USAGE);
     }
-    println!("{}", KeyHash::of(key.trim()));
+    println!("{}", KeyHash::from_key(key.trim()));
     ExitCode::SUCCESS
 }
 
--- a/crates/config/src/census.rs
+++ b/crates/config/src/census.rs
@@ -13,7 +13,7 @@
 
 data! {
     /// What one process has in force.
-    pub struct Standing {
+    pub struct ProcessVersion {
         /// The process.
         pub process: ProcessId,
         /// Its availability zone.
@@ -30,7 +30,7 @@
         /// Processes by version; the oldest versions are counted together.
         pub versions: BTreeMap<Version, u32>,
         /// Those that are furthest behind, the oldest version first.
-        pub lagging: Vec<Standing>,
+        pub lagging: Vec<ProcessVersion>,
     }
 }
 
@@ -38,7 +38,7 @@
 ///
 /// A process that changes its source is counted at both until the first forgets it.
 #[derive(Debug)]
-pub struct Roll {
+pub struct CensusTracker {
     keep: Span,
     known: BTreeMap<ProcessId, Known>,
 }
@@ -46,11 +46,11 @@
 #[derive(Debug)]
 struct Known {
     noted: Moment,
-    standing: Standing,
+    standing: ProcessVersion,
     below: Census,
 }
 
-impl Roll {
+impl CensusTracker {
     /// An empty roll that forgets whoever has not asked for this long.
     pub fn new(keep: Span) -> Self {
         Self {
@@ -60,7 +60,7 @@
     }
 
     /// Notes who asked, and what it knows of those that ask it.
-    pub fn note(&mut self, now: Moment, standing: Standing, below: Census) {
+    pub fn record(&mut self, now: Moment, standing: ProcessVersion, below: Census) {
         let process = standing.process.clone();
         self.forget(now);
         if self.known.len() >= REMEMBERED && !self.known.contains_key(&process) {
@@ -77,14 +77,14 @@
     }
 
     /// Everyone that is known of, with the process itself.
-    pub fn census(&mut self, now: Moment, own: &Standing) -> Census {
-        let mut census = self.below(now, own.version);
+    pub fn census(&mut self, now: Moment, own: &ProcessVersion) -> Census {
+        let mut census = self.census_below(now, own.version);
         census.count(own.version, 1);
         census
     }
 
     /// Everyone that is known of beside the process itself, which has this version.
-    pub fn below(&mut self, now: Moment, newest: Version) -> Census {
+    pub fn census_below(&mut self, now: Moment, newest: Version) -> Census {
         self.forget(now);
         let mut census = Census::default();
         for known in self.known.values() {
@@ -97,7 +97,7 @@
         }
         census.lagging.retain(|s| s.version < newest);
         census.lagging.sort_by(|a, b| {
-            let key = |s: &Standing| (s.version, std::cmp::Reverse(s.age));
+            let key = |s: &ProcessVersion| (s.version, std::cmp::Reverse(s.age));
             key(a).cmp(&key(b)).then_with(|| a.process.cmp(&b.process))
         });
         census.lagging.truncate(NAMED);
--- a/crates/config/src/delta.rs
+++ b/crates/config/src/delta.rs
@@ -195,7 +195,7 @@
     /// compared first, and the result is a new value: nobody sees it half done.
     pub fn apply(&self, config: &Config) -> Result<Config> {
         let mut next = config.clone();
-        self.advance(&mut next)?;
+        self.apply_in_place(&mut next)?;
         let names = self.workspaces.names();
         next.owners = config
             .owners
@@ -204,7 +204,7 @@
     }
 
     /// Brings a configuration that nobody else reads forward in place.
-    pub fn advance(&self, config: &mut Config) -> Result<()> {
+    pub fn apply_in_place(&self, config: &mut Config) -> Result<()> {
         if self.from != config.version {
             return Err(DeltaError::Gap {
                 have: config.version,
@@ -250,7 +250,7 @@
 
     /// One delta out of several that follow each other, from a version on; nothing where none
     /// of them starts there.
-    pub fn joined<'a>(deltas: impl Iterator<Item = &'a Self>, from: Version) -> Option<Self> {
+    pub fn combined<'a>(deltas: impl Iterator<Item = &'a Self>, from: Version) -> Option<Self> {
         let mut later = deltas.skip_while(|d| d.from < from);
         let mut joined = later.next().filter(|d| d.from == from)?.clone();
         for delta in later {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -31,7 +31,7 @@
 pub mod wall;
 pub mod wishes;
 
-pub use census::{Census, Roll, Standing};
+pub use census::{Census, CensusTracker, ProcessVersion};
 pub use check::{Fault, FaultKind};
 pub use delta::{Changes, Delta, DeltaError};
 pub use document::{
--- a/crates/config/src/news.rs
+++ b/crates/config/src/news.rs
@@ -175,6 +175,6 @@
 
     /// One delta from a version to the newest, or nothing where the version fell out.
     pub fn since(&self, version: Version) -> Option<Delta> {
-        Delta::joined(self.deltas.iter(), version)
+        Delta::combined(self.deltas.iter(), version)
     }
 }
--- a/crates/config/src/secret.rs
+++ b/crates/config/src/secret.rs
@@ -16,7 +16,7 @@
 
 impl KeyHash {
     /// Hashes a key.
-    pub fn of(key: &str) -> Self {
+    pub fn from_key(key: &str) -> Self {
         Self(*blake3::hash(key.as_bytes()).as_bytes())
     }
 
--- a/crates/config/src/wishes.rs
+++ b/crates/config/src/wishes.rs
@@ -48,7 +48,7 @@
 ///
 /// Servers don't announce their role, so that a role is asked for whenever one is configured;
 /// its order's id keeps it from being carried out twice.
-pub fn wishes(config: &Config, info: &ServerInfo) -> Vec<Action> {
+pub fn pending_actions(config: &Config, info: &ServerInfo) -> Vec<Action> {
     let Some(server) = config.servers.get(&info.server) else {
         return Vec::new();
     };
--- a/crates/config/tests/deltas.rs
+++ b/crates/config/tests/deltas.rs
@@ -11,7 +11,7 @@
 fn patch(config: &Config, choice: u8) -> Patch {
     let (kind, n, off) = (choice % 5, choice / 5 % 4, choice > 200);
     let value = |value: Value| if off { Value::Null } else { value };
-    let key = KeyHash::of(&(choice % 23).to_string());
+    let key = KeyHash::from_key(&(choice % 23).to_string());
     let set = match kind {
         0 => json!({ "workspaces": { format!("w{n}"): value(json!({ "keys": [key] })) } }),
         1 => json!({ "models": { format!("m{n}"): value(json!({ "version": n.to_string() })) } }),
@@ -39,7 +39,7 @@
     for choice in choices {
         let last = versions.last().expect("never empty");
         // The index is filled as in a process that serves requests.
-        let _ = last.workspace_of(&KeyHash::of("0"));
+        let _ = last.workspace_of(&KeyHash::from_key("0"));
         if let Ok(next) = patch(last, *choice).apply(last) {
             versions.push(next);
         }
@@ -108,7 +108,7 @@
     fn property(choices: Vec<u8>) -> bool {
         versions(&choices).iter().all(|config| {
             (0..23).all(|n| {
-                let key = KeyHash::of(&n.to_string());
+                let key = KeyHash::from_key(&n.to_string());
                 let scan = config
                     .workspaces
                     .iter()
--- a/crates/config/tests/follower.rs
+++ b/crates/config/tests/follower.rs
@@ -99,7 +99,7 @@
         let names = 0..if n == 1 { 700 } else { 3 };
         let entries: BTreeMap<String, _> = names
             .map(|k| {
-                let entry = json!({ "keys": [KeyHash::of(&format!("{k}"))], "weight": n });
+                let entry = json!({ "keys": [KeyHash::from_key(&format!("{k}"))], "weight": n });
                 (format!("workspace-{k}"), entry)
             })
             .collect();
--- a/crates/config/tests/patches.rs
+++ b/crates/config/tests/patches.rs
@@ -17,8 +17,8 @@
 
 fn base() -> Config {
     let set = json!({
-        "operators": { "ana": { "key": KeyHash::of("ana"), "role": "write" } },
-        "workspaces": { "cordillera": { "keys": [KeyHash::of("c")] } },
+        "operators": { "ana": { "key": KeyHash::from_key("ana"), "role": "write" } },
+        "workspaces": { "cordillera": { "keys": [KeyHash::from_key("c")] } },
         "models": { "lector-1": { "version": "1", "adapters": ["es"] } },
         "services": { "lector": { "kind": "model", "model": "lector-1", "adapter": "es" } },
         "keepers": [["a", "b", "c"], ["b", "c", "d"]],
@@ -40,7 +40,7 @@
     let found = faults(json!({
         "workspaces": {
             "bad name": {},
-            "w": { "keys": ["zz", KeyHash::of("c")], "wight": 3, "limits": { "tokens": -1 } },
+            "w": { "keys": ["zz", KeyHash::from_key("c")], "wight": 3, "limits": { "tokens": -1 } },
             "x": {},
         },
         "services": { "lector": { "adapter": "fr" }, "mesa": { "kind": "plane" } },
@@ -83,7 +83,7 @@
 fn doubled_keys() {
     // Two customers are given one key; whoever calls with it would be billed to, and read the
     // answers of, whichever comes first by name.
-    let key = KeyHash::of("c");
+    let key = KeyHash::from_key("c");
     assert_eq!(
         faults(json!({ "workspaces": { "a": { "keys": [key] } } })),
         ["workspaces.a.keys.0: also stands at workspaces.cordillera.keys.0"]
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -120,7 +120,7 @@
             let mut next = history.newest().as_ref().clone();
             entry
                 .delta
-                .advance(&mut next)
+                .apply_in_place(&mut next)
                 .map_err(|_| HistoryError::Broken {
                     version: entry.version,
                 })?;
--- a/crates/control/src/machine/history.rs
+++ b/crates/control/src/machine/history.rs
@@ -199,7 +199,7 @@
                 let broken = |_| HistoryError::Broken {
                     version: entry.version,
                 };
-                entry.delta.advance(&mut config).map_err(broken)?;
+                entry.delta.apply_in_place(&mut config).map_err(broken)?;
             }
         }
         Ok(Arc::new(config))
@@ -215,6 +215,6 @@
 
     /// Returns the delta from a version to the newest, or `None` if the version is no longer kept.
     pub fn delta_since(&self, version: Version) -> Option<Delta> {
-        Delta::joined(self.entries.iter().map(|e| &e.delta), version)
+        Delta::combined(self.entries.iter().map(|e| &e.delta), version)
     }
 }
--- a/crates/control/src/machine/verdicts.rs
+++ b/crates/control/src/machine/verdicts.rs
@@ -38,7 +38,7 @@
             set,
         } = patch;
         let text = format!("{id}\n{author}\n{base}\n{}\n{reason}\n{set}", reason.len());
-        Self(KeyHash::of(&text))
+        Self(KeyHash::from_key(&text))
     }
 }
 
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -165,7 +165,7 @@
 
 /// A number that no other process has: hosts differ by name, starts of a host by incarnation.
 fn fresh_number(shared: &Shared) -> u64 {
-    let hash = snipemast_config::KeyHash::of(&shared.process.to_string());
+    let hash = snipemast_config::KeyHash::from_key(&shared.process.to_string());
     hash.prefix()
 }
 
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use snipemast_config::{Census, Config, Delta, Follower, Standing};
+use snipemast_config::{Census, Config, Delta, Follower, ProcessVersion};
 use snipemast_core::prelude::*;
 use snipemast_wire::Sink;
 
@@ -24,8 +24,8 @@
         self.spread.clock()
     }
 
-    fn standing(&self) -> (Standing, Census) {
-        let standing = Standing {
+    fn standing(&self) -> (ProcessVersion, Census) {
+        let standing = ProcessVersion {
             process: self.process.clone(),
             zone: self.settings.zone.clone(),
             version: self.config().version,
--- a/crates/entry/src/orders.rs
+++ b/crates/entry/src/orders.rs
@@ -4,7 +4,7 @@
 
 use futures_lite::stream::{self, StreamExt};
 
-use snipemast_config::wishes::{wishes, Action};
+use snipemast_config::wishes::{pending_actions, Action};
 use snipemast_config::KeyHash;
 use snipemast_core::prelude::*;
 use snipemast_wire::order::{path, FenceAsk, FenceReport, Order, OrderAnswer, OrderId, Told};
@@ -38,7 +38,7 @@
             .map(|member| {
                 let (shared, config) = (Arc::clone(&shared), Arc::clone(&config));
                 spawn(async move {
-                    for action in wishes(&config, &member.announce.info) {
+                    for action in pending_actions(&config, &member.announce.info) {
                         order(&shared, &member, config.version, action).await;
                     }
                 })
@@ -78,7 +78,7 @@
 /// The same order in the same version has the same id, whichever leader gives it.
 fn order_id(member: &Member, version: Version, action: &Action) -> OrderId {
     let text = format!("{} {version} {action:?}", member.announce.agent);
-    let hash = KeyHash::of(&text).to_string();
+    let hash = KeyHash::from_key(&text).to_string();
     format!("v{version}-{}", &hash[..16])
         .parse()
         .expect("digits and letters make a name")
--- a/crates/entry/src/spread.rs
+++ b/crates/entry/src/spread.rs
@@ -8,7 +8,7 @@
 use parking_lot::Mutex;
 
 use snipemast_config::{
-    Ask, Census, Config, Delta, DeltaLog, News, Reply, Roll, Snapshot, Standing,
+    Ask, Census, CensusTracker, Config, Delta, DeltaLog, News, ProcessVersion, Reply, Snapshot,
 };
 use snipemast_core::prelude::*;
 
@@ -34,7 +34,7 @@
     config: Arc<Config>,
     log: DeltaLog,
     snapshots: VecDeque<Snapshot>,
-    roll: Roll,
+    roll: CensusTracker,
     link: Link,
 }
 
@@ -60,7 +60,7 @@
             config,
             log: DeltaLog::new(DELTAS),
             snapshots: VecDeque::new(),
-            roll: Roll::new(KEEP),
+            roll: CensusTracker::new(KEEP),
             link: Link {
                 linked: false,
                 confirmed: None,
@@ -142,18 +142,21 @@
     }
 
     /// Notes who asked.
-    pub fn note_asker(&self, standing: Standing, below: Census) {
+    pub fn note_asker(&self, standing: ProcessVersion, below: Census) {
         let now = self.clock.now();
-        self.inner.lock().roll.note(now, standing, below);
+        self.inner.lock().roll.record(now, standing, below);
     }
 
     /// Everyone that is known of beside the process itself.
-    pub fn census_below(&self, own: &Standing) -> Census {
-        self.inner.lock().roll.below(self.clock.now(), own.version)
+    pub fn census_below(&self, own: &ProcessVersion) -> Census {
+        self.inner
+            .lock()
+            .roll
+            .census_below(self.clock.now(), own.version)
     }
 
     /// Everyone that is known of, with the process itself.
-    pub fn census(&self, own: &Standing) -> Census {
+    pub fn census(&self, own: &ProcessVersion) -> Census {
         self.inner.lock().roll.census(self.clock.now(), own)
     }
 
--- a/crates/entry/tests/voters.rs
+++ b/crates/entry/tests/voters.rs
@@ -189,7 +189,7 @@
 }
 
 fn patch(id: &str, base: Version) -> Vec<u8> {
-    let keys = [KeyHash::of(id)];
+    let keys = [KeyHash::from_key(id)];
     let patch = Patch {
         id: id.parse().unwrap(),
         base,
--- a/crates/operators/src/answer.rs
+++ b/crates/operators/src/answer.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 
-use snipemast_config::{Census, Fault, Refusal, Standing, Verdict};
+use snipemast_config::{Census, Fault, ProcessVersion, Refusal, Verdict};
 use snipemast_core::prelude::*;
 use snipemast_routing::LimitStatus;
 
@@ -64,7 +64,7 @@
     /// What a host knows.
     pub struct StatusReport {
         /// What this process has in force.
-        pub standing: Standing,
+        pub standing: ProcessVersion,
         /// Whether a source of the configuration answers it.
         pub linked: bool,
         /// The highest fencing number that it heard of.
--- a/crates/operators/tests/routes.rs
+++ b/crates/operators/tests/routes.rs
@@ -36,8 +36,8 @@
 #[test]
 fn roles_hold() {
     let set = json!({ "operators": {
-        "ana": { "key": KeyHash::of("ana"), "role": "write" },
-        "bea": { "key": KeyHash::of("bea"), "role": "read" },
+        "ana": { "key": KeyHash::from_key("ana"), "role": "write" },
+        "bea": { "key": KeyHash::from_key("bea"), "role": "read" },
     } });
     let patch = Patch {
         id: "p".parse().expect("a name"),
@@ -46,7 +46,7 @@
         set,
     };
     let config = patch.apply(&Config::default()).expect("no faults");
-    let ask = |key: &str, role| authorize(&config, None, &KeyHash::of(key), role);
+    let ask = |key: &str, role| authorize(&config, None, &KeyHash::from_key(key), role);
     let ana = "ana".parse().expect("a name");
     assert_eq!(ask("ana", Role::Write), Ok(Author::Operator(ana)));
     assert!(ask("bea", Role::Read).is_ok());
@@ -55,7 +55,7 @@
 }
 
 fn write(config: &Config, first: Option<&KeyHash>, key: &str) -> Result<Author, Denied> {
-    authorize(config, first, &KeyHash::of(key), Role::Write)
+    authorize(config, first, &KeyHash::from_key(key), Role::Write)
 }
 
 #[test]
@@ -63,13 +63,13 @@
     // A control host is new and has no operators. A stranger who finds its address first makes
     // itself the one operator.
     let empty = Config::default();
-    let first = KeyHash::of("first");
+    let first = KeyHash::from_key("first");
     assert_eq!(write(&empty, None, "eve"), Err(Denied::Unknown));
     assert_eq!(write(&empty, Some(&first), "eve"), Err(Denied::Unknown));
     assert_eq!(write(&empty, Some(&first), "first"), Ok(Author::First));
     let mut named = empty;
     let operator = snipemast_config::Operator {
-        key: KeyHash::of("ana"),
+        key: KeyHash::from_key("ana"),
         role: Role::Write,
     };
     named
--- a/crates/wire/src/config.rs
+++ b/crates/wire/src/config.rs
@@ -1,6 +1,6 @@
 //! The messages that spread the configuration.
 
-use snipemast_config::{Ask, Census, Standing, Verdict};
+use snipemast_config::{Ask, Census, ProcessVersion, Verdict};
 use snipemast_control::machine::Submission;
 use snipemast_core::prelude::*;
 
@@ -11,7 +11,7 @@
         /// The question.
         pub ask: Ask,
         /// What the asker has in force.
-        pub standing: Standing,
+        pub standing: ProcessVersion,
         /// What those that ask the asker have in force.
         pub below: Census,
     }
--- a/crates/wire/src/follow.rs
+++ b/crates/wire/src/follow.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use snipemast_config::follower::{Input, Output};
-use snipemast_config::{Census, Config, Delta, Follower, Reply, Standing};
+use snipemast_config::{Census, Config, Delta, Follower, ProcessVersion, Reply};
 use snipemast_core::prelude::*;
 
 use crate::config::ConfigPoll;
@@ -18,7 +18,7 @@
     fn clock(&self) -> &Clock;
 
     /// What the process has in force, and those that ask it.
-    fn standing(&self) -> (Standing, Census);
+    fn standing(&self) -> (ProcessVersion, Census);
 
     /// Brings a later version into force.
     fn bring(&self, config: Arc<Config>, delta: Option<Delta>);
--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -78,7 +78,7 @@
             fakes: Vec::new(),
             patches: 0,
         };
-        let keys = [KeyHash::of(KEY)];
+        let keys = [KeyHash::from_key(KEY)];
         fleet.patch(json!({ "workspaces": { "cordillera": { "keys": keys } } }));
         fleet
     }
--- a/tests/src/zones.rs
+++ b/tests/src/zones.rs
@@ -57,7 +57,7 @@
     }
 
     async fn configure(&self, mut set: Value) {
-        set["workspaces"] = json!({ "cordillera": { "keys": [KeyHash::of(KEY)] } });
+        set["workspaces"] = json!({ "cordillera": { "keys": [KeyHash::from_key(KEY)] } });
         set["keepers"] = json!([["entry-0", "entry-1", "entry-2"]]);
         let patch = Patch {
             id: id("patch-1"),
--- a/tests/tests/callers.rs
+++ b/tests/tests/callers.rs
@@ -169,7 +169,7 @@
 fn keys_apart() {
     smol::block_on(async {
         let mut fleet = fleet().await;
-        let keys = [snipemast_config::KeyHash::of("other-key")];
+        let keys = [snipemast_config::KeyHash::from_key("other-key")];
         fleet.patch(json!({ "workspaces": { "vandermeulen": { "keys": keys } } }));
         for key in [
             "Bearer",
--- a/tests/tests/operators.rs
+++ b/tests/tests/operators.rs
@@ -14,7 +14,7 @@
 async fn pair() -> (Entry, Entry) {
     let mut settings = entry_settings("control-0");
     let control = settings.control.as_mut().expect("a control role");
-    control.operator = Some(KeyHash::of("first"));
+    control.operator = Some(KeyHash::from_key("first"));
     let control = start(settings).await;
     let settings = EntrySettings {
         seeds: vec![control.own()],
@@ -23,9 +23,9 @@
     };
     let edge = start(settings).await;
     let set = json!({ "operators": {
-        "ana": { "key": KeyHash::of("ana"), "role": "write" },
-        "bea": { "key": KeyHash::of("bea"), "role": "write" },
-        "carl": { "key": KeyHash::of("carl"), "role": "read" },
+        "ana": { "key": KeyHash::from_key("ana"), "role": "write" },
+        "bea": { "key": KeyHash::from_key("bea"), "role": "write" },
+        "carl": { "key": KeyHash::from_key("carl"), "role": "read" },
     } });
     let body = patch("operators", 0, set);
     let (status, verdict) = ask(&control, "first", "POST", "/patches", Some(body)).await;
