--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -1,8 +1,8 @@
 //! The gate for orders: what reaches the backend server, whether or not it checks by itself.
 //!
-//! - [`desk`]: the shell around the gate.
+//! - [`service`]: the shell around the gate.
 
-pub mod desk;
+pub mod service;
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/agent/src/orders/desk.rs
+++ b/crates/agent/src/orders/service.rs
@@ -18,7 +18,7 @@
 use super::{Decision, Interval, OrderGate};
 
 /// Longer than the lease of any control leader, with room for clocks that run apart.
-pub const HOLD: Span = Span::from_secs(5);
+pub const FENCE_HOLD: Span = Span::from_secs(5);
 /// The shortest time between two loads from the weight store.
 const LOAD_INTERVAL: Span = Span::from_secs(2);
 /// How often control hosts are asked for fencing numbers until a majority answered.
@@ -30,7 +30,7 @@
 
 /// Takes orders and keeps what the agent knows of the configuration.
 #[derive(Debug)]
-pub struct OrderDesk {
+pub struct OrderService {
     process: ProcessId,
     settings: AgentSettings,
     journal: Journal,
@@ -41,12 +41,12 @@
     age: Mutex<Option<(Moment, Span)>>,
 }
 
-impl OrderDesk {
+impl OrderService {
     /// A desk in front of the settings' backend server.
     pub fn new(process: ProcessId, settings: AgentSettings, journal: Journal) -> Self {
         let clock = Clock::new();
         let rate = Interval::new(LOAD_INTERVAL);
-        let gate = OrderGate::new(process.clone(), clock.now(), HOLD, rate);
+        let gate = OrderGate::new(process.clone(), clock.now(), FENCE_HOLD, rate);
         Self {
             client: OrderClient::new(settings.server),
             process,
@@ -70,7 +70,7 @@
     }
 
     /// Decides on an order and passes it on.
-    pub async fn take(&self, order: Order) -> OrderAnswer {
+    pub async fn handle_order(&self, order: Order) -> OrderAnswer {
         let decision = self.gate.lock().take(self.clock.now(), &order);
         match decision {
             Decision::Done => OrderAnswer::Done,
@@ -125,7 +125,7 @@
     }
 }
 
-impl Sink for OrderDesk {
+impl Sink for OrderService {
     fn clock(&self) -> &Clock {
         &self.clock
     }
@@ -161,12 +161,12 @@
 /// Serves the desk to the system's own processes; other paths go on to the next handler.
 #[derive(Debug)]
 pub struct OrderHandler {
-    desk: Arc<OrderDesk>,
+    desk: Arc<OrderService>,
 }
 
 impl OrderHandler {
     /// Serves this desk.
-    pub fn new(desk: Arc<OrderDesk>) -> Self {
+    pub fn new(desk: Arc<OrderService>) -> Self {
         Self { desk }
     }
 }
@@ -180,6 +180,6 @@
         let Some(order) = message::<Order>(&mut conn).await else {
             return malformed(conn);
         };
-        reply(conn, &self.desk.take(order).await)
+        reply(conn, &self.desk.handle_order(order).await)
     }
 }
--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -16,7 +16,7 @@
 use crate::announce::Announcing;
 use crate::gate::{Gate, GateHandler};
 use crate::metrics::report_forever;
-use crate::orders::desk::{OrderDesk, OrderHandler};
+use crate::orders::service::{OrderHandler, OrderService};
 use crate::rank::{RankHandler, RankShell};
 
 /// How long entries may take to hear of a drain before the agent looks whether it is idle.
@@ -56,7 +56,7 @@
     gate: Arc<Gate>,
     listening: Listening,
     announcing: Announcing,
-    orders: Arc<OrderDesk>,
+    orders: Arc<OrderService>,
     learning: Vec<Task<()>>,
     shutdown: Span,
     reporting: Option<Task<()>>,
@@ -70,11 +70,11 @@
         incarnation: Incarnation,
         journal: Journal,
     ) -> Result<Self> {
-        Self::start_behind(settings, incarnation, journal, None).await
+        Self::start_advertised(settings, incarnation, journal, None).await
     }
 
     /// Starts an agent that others reach at another address than the one it binds.
-    pub async fn start_behind(
+    pub async fn start_advertised(
         settings: AgentSettings,
         incarnation: Incarnation,
         journal: Journal,
@@ -87,7 +87,7 @@
             .change_context(AgentError::Server(settings.server))?;
         let process = ProcessId::new(settings.host.clone(), incarnation);
         let gate = Arc::new(Gate::new(process, engine, settings.limits.clone(), journal));
-        let desk = OrderDesk::new(
+        let desk = OrderService::new(
             gate.process().clone(),
             settings.clone(),
             gate.journal().clone(),
@@ -150,7 +150,7 @@
     }
 
     /// The gate for orders, and what the agent knows of the configuration.
-    pub fn orders(&self) -> &Arc<OrderDesk> {
+    pub fn orders(&self) -> &Arc<OrderService> {
         &self.orders
     }
 
--- a/crates/agent/src/rank.rs
+++ b/crates/agent/src/rank.rs
@@ -89,7 +89,7 @@
     }
 
     /// The map that the rank committed last.
-    pub fn standing(&self) -> Option<ActiveMap> {
+    pub fn committed_map(&self) -> Option<ActiveMap> {
         let machines = self.machines.lock();
         machines.as_ref().and_then(|m| m.rank.active_map().cloned())
     }
--- a/crates/controller/src/spread.rs
+++ b/crates/controller/src/spread.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use snipemast_core::prelude::*;
-use snipemast_feed::Sink;
+use snipemast_feed::FeedHandler;
 use snipemast_net::exec::pause;
 use snipemast_registry::news::RawDocument;
 use snipemast_registry::{Cursor, News, Poll, PollerKind};
@@ -85,8 +85,8 @@
     }
 }
 
-impl Sink for Peers {
-    fn poll(&self, controller: SocketAddr) -> Poll {
+impl FeedHandler for Peers {
+    fn next_poll(&self, controller: SocketAddr) -> Poll {
         let cursor = self.cursors.lock().get(&controller).copied();
         Poll {
             version: Version(u64::MAX),
@@ -97,7 +97,7 @@
         }
     }
 
-    fn take(&self, controller: SocketAddr, news: News) {
+    fn handle_news(&self, controller: SocketAddr, news: News) {
         self.cursors.lock().insert(controller, news.cursor);
         let now = self.state.clock.now();
         self.state.change(|table| {
@@ -116,7 +116,7 @@
         });
     }
 
-    async fn settle(&self, _: SocketAddr) {
+    async fn wait_after_news(&self, _: SocketAddr) {
         /// Two tables that differ tell each other every change; this bounds how fast.
         const PACE: Span = Span::from_millis(20);
         pause(PACE).await;
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -1,7 +1,7 @@
 //! Polls every controller that is known for news, each in a task of its own.
 //!
 //! The controllers are those that the settings name as seeds and those that the last news named.
-//! What a poll says and what becomes of news is up to the [`Sink`].
+//! What a poll says and what becomes of news is up to the [`FeedHandler`].
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -23,18 +23,21 @@
 const LONGEST_PAUSE: Span = Span::from_millis(1_000);
 
 /// Makes polls and takes news.
-pub trait Sink: Send + Sync + 'static {
+pub trait FeedHandler: Send + Sync + 'static {
     /// The next poll to a controller.
-    fn poll(&self, controller: SocketAddr) -> Poll;
+    fn next_poll(&self, controller: SocketAddr) -> Poll;
 
     /// Takes a controller's news.
-    fn take(&self, controller: SocketAddr, news: News);
+    fn handle_news(&self, controller: SocketAddr, news: News);
 
     /// What must be waited for before the controller is polled again.
-    fn settle(&self, controller: SocketAddr) -> impl std::future::Future<Output = ()> + Send;
+    fn wait_after_news(
+        &self,
+        controller: SocketAddr,
+    ) -> impl std::future::Future<Output = ()> + Send;
 
     /// A controller answers no more.
-    fn lost(&self, _controller: SocketAddr) {}
+    fn handle_loss(&self, _controller: SocketAddr) {}
 }
 
 /// Polls every controller that is known.
@@ -53,7 +56,7 @@
     tasks: HashMap<SocketAddr, Task<()>>,
 }
 
-impl<S: Sink> Feed<S> {
+impl<S: FeedHandler> Feed<S> {
     /// A feed that polls nobody yet; a controller never polls its own address.
     pub fn new(sink: Arc<S>, journal: Journal, own: Option<SocketAddr>) -> Arc<Self> {
         let state = State {
@@ -115,7 +118,7 @@
         let mut delay = PAUSE;
         let mut answers = None;
         loop {
-            let poll = self.sink.poll(address);
+            let poll = self.sink.next_poll(address);
             let limit = Span::from_micros(poll.wait.as_micros() + SLACK.as_micros());
             let news = client.call::<_, News>(news::PATH, &poll, limit).await;
             if answers != Some(news.is_ok()) {
@@ -126,9 +129,9 @@
                 Ok(news) => {
                     delay = PAUSE;
                     let named = news.controllers.clone();
-                    self.sink.take(address, news);
+                    self.sink.handle_news(address, news);
                     self.set_named_later(named);
-                    self.sink.settle(address).await;
+                    self.sink.wait_after_news(address).await;
                 }
                 Err(_) => {
                     pause(delay).await;
@@ -142,7 +145,7 @@
         let event = if answers {
             Event::MemberJoined
         } else {
-            self.sink.lost(address);
+            self.sink.handle_loss(address);
             Event::MemberUnreachable
         };
         self.journal.record(event, address, "controller");
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 
 use snipemast_core::prelude::*;
-use snipemast_feed::Sink;
+use snipemast_feed::FeedHandler;
 use snipemast_net::exec::pause;
 use snipemast_placement::choice::AnnouncedServer;
 use snipemast_placement::outage::ReportedChange;
@@ -211,8 +211,8 @@
     }
 }
 
-impl Sink for NewsReader {
-    fn poll(&self, controller: SocketAddr) -> Poll {
+impl FeedHandler for NewsReader {
+    fn next_poll(&self, controller: SocketAddr) -> Poll {
         let version = self.state.version();
         let mut known = self.known.lock();
         let leads = known.leader == Some(controller);
@@ -234,7 +234,7 @@
         }
     }
 
-    fn take(&self, controller: SocketAddr, mut news: News) {
+    fn handle_news(&self, controller: SocketAddr, mut news: News) {
         if let Some(document) = news.document.take() {
             self.apply_document(&document.0);
         }
@@ -268,7 +268,7 @@
 
     /// Waits until a version that a controller reported is in force, so that the next poll says so.
     /// Asks this controller for the document if no other one delivers it.
-    async fn settle(&self, controller: SocketAddr) {
+    async fn wait_after_news(&self, controller: SocketAddr) {
         let lags = || self.known.lock().reported_version(controller) > self.state.version();
         // Twice, so that a second controller is asked if the first one does not answer.
         for _ in 0..2 {
@@ -286,7 +286,7 @@
         }
     }
 
-    fn lost(&self, controller: SocketAddr) {
+    fn handle_loss(&self, controller: SocketAddr) {
         let mut known = self.known.lock();
         if known.leader == Some(controller) {
             known.leader = None;
--- a/crates/sidecar/src/news.rs
+++ b/crates/sidecar/src/news.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 
 use snipemast_core::prelude::*;
-use snipemast_feed::Sink;
+use snipemast_feed::FeedHandler;
 use snipemast_net::exec::pause;
 use snipemast_net::BootClock;
 use snipemast_platform::document;
@@ -123,8 +123,8 @@
     }
 }
 
-impl Sink for Reader {
-    fn poll(&self, controller: SocketAddr) -> Poll {
+impl FeedHandler for Reader {
+    fn next_poll(&self, controller: SocketAddr) -> Poll {
         let known = self.known.lock();
         let wanted = known.engines.is_empty();
         let version = if wanted {
@@ -143,7 +143,7 @@
         }
     }
 
-    fn take(&self, controller: SocketAddr, news: News) {
+    fn handle_news(&self, controller: SocketAddr, news: News) {
         let now = self.clock.now();
         let mut known = self.known.lock();
         known.cursors.insert(controller, news.cursor);
@@ -164,7 +164,7 @@
         }
     }
 
-    async fn settle(&self, _: SocketAddr) {
+    async fn wait_after_news(&self, _: SocketAddr) {
         pause(PAUSE).await;
     }
 }
--- a/tests/src/wired.rs
+++ b/tests/src/wired.rs
@@ -80,7 +80,7 @@
         let settings = agent_settings(name, fake.address(), self.fleet.entry.own());
         let journal = journal(&settings.host);
         let reached = Some(wire.address());
-        let agent = Agent::start_behind(settings, Incarnation::new(1), journal, reached).await;
+        let agent = Agent::start_advertised(settings, Incarnation::new(1), journal, reached).await;
         let agent = agent.expect("an agent starts on port 0");
         wire.aim(agent.address());
         self.agents.push(Behind {
--- a/tests/tests/groups.rs
+++ b/tests/tests/groups.rs
@@ -101,7 +101,7 @@
     }
 
     fn versions(&self) -> Vec<u64> {
-        let standing = |a: &Agent| a.rank().and_then(|r| r.standing());
+        let standing = |a: &Agent| a.rank().and_then(|r| r.committed_map());
         let version = |a: &Agent| standing(a).map_or(0, |s| s.version.get());
         self.agents.iter().map(version).collect()
     }
--- a/tests/tests/orders.rs
+++ b/tests/tests/orders.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 
-use snipemast_agent::orders::desk::HOLD;
+use snipemast_agent::orders::service::FENCE_HOLD;
 use snipemast_agent::Agent;
 use snipemast_config::wishes::Action;
 use snipemast_config::ServerRole;
@@ -79,7 +79,7 @@
             action: Action::Role { role },
         };
         loop {
-            match agent.orders().take(order.clone()).await {
+            match agent.orders().handle_order(order.clone()).await {
                 OrderAnswer::Refused(OrderRefusal::Learning { .. }) => pause(20).await,
                 answer => {
                     let refusal = OrderRefusal::Old { current };
@@ -110,8 +110,8 @@
                 role: ServerRole::Whole,
             },
         };
-        let answer = agent.orders().take(order).await;
-        let learning = OrderAnswer::Refused(OrderRefusal::Learning { left: HOLD });
+        let answer = agent.orders().handle_order(order).await;
+        let learning = OrderAnswer::Refused(OrderRefusal::Learning { left: FENCE_HOLD });
         assert_eq!(
             std::mem::discriminant(&answer),
             std::mem::discriminant(&learning)
@@ -122,5 +122,5 @@
 #[test]
 fn hold_outlasts_lease() {
     // An agent that waits for less than a leader's lease passes a deposed leader's order on.
-    assert!(HOLD.as_micros() > 2 * Timing::default().lease.as_micros());
+    assert!(FENCE_HOLD.as_micros() > 2 * Timing::default().lease.as_micros());
 }
