--- a/crates/benches/src/voters.rs
+++ b/crates/benches/src/voters.rs
@@ -18,7 +18,7 @@
 use snipemast_control::machine::{Command, Reply, Submission};
 use snipemast_control::{ConfigMachine, Location, Timing};
 use snipemast_core::prelude::*;
-use snipemast_entry::voter::{LogPlace, SubmitError, Voter, VoterOptions};
+use snipemast_entry::voter::{LogStorage, SubmitError, Voter, VoterOptions};
 use snipemast_wire::{listen, spawn, Listening};
 
 /// How long a submission may take.
@@ -63,11 +63,11 @@
             address,
         };
         let options = VoterOptions {
-            place: LogPlace::Folder(root.join(seat.host.as_str())),
-            seat,
+            log: LogStorage::Folder(root.join(seat.host.as_str())),
+            location: seat,
             voters: Vec::new(),
             timing,
-            fresh: number,
+            unique_id: number,
         };
         Self {
             slot,
@@ -86,7 +86,7 @@
                 version.store(machine.config().version.get(), Ordering::Release);
             };
             let machine = ConfigMachine::default();
-            let journal = journal(&self.options.seat.host);
+            let journal = journal(&self.options.location.host);
             if let Ok(voter) = Voter::start(self.options.clone(), machine, journal, watch) {
                 *self.slot.0.lock() = Some(Arc::new(voter));
                 return;
@@ -134,7 +134,7 @@
         for number in 1..=count {
             hosts.push(VoterHost::new(number, &root, timing).await);
         }
-        let voters: Vec<_> = hosts.iter().map(|h| h.options.seat.address).collect();
+        let voters: Vec<_> = hosts.iter().map(|h| h.options.location.address).collect();
         for host in &mut hosts {
             host.options.voters = voters.clone();
             host.start().await;
--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -122,7 +122,7 @@
     }
 
     /// The loads that control should order, within the platform's budget.
-    pub fn orders(&self) -> Vec<Wish> {
+    pub fn due_loads(&self) -> Vec<Wish> {
         self.wishes.lock().due_loads(self.clock.now())
     }
 
@@ -257,7 +257,7 @@
 
     fn settle(&self) {
         self.demands.lock().set_aside_silent(self.clock.now());
-        for wish in self.orders() {
+        for wish in self.due_loads() {
             if self.chooser.capacity(&wish.wanted).is_some() {
                 self.wishes.lock().mark_loaded(&wish.wanted);
             }
@@ -290,7 +290,7 @@
         let now = self.clock.now();
         let mut status = LimitStatus {
             ejected: self.chooser.ejected(),
-            wishes: self.orders(),
+            wishes: self.due_loads(),
             ..LimitStatus::default()
         };
         for shard in &self.accounts {
--- a/crates/entry/src/admit/tell.rs
+++ b/crates/entry/src/admit/tell.rs
@@ -24,7 +24,7 @@
     loop {
         let entries = shared
             .gossip
-            .look(|_, node| node.table().rows().len())
+            .with_node(|_, node| node.table().rows().len())
             .unwrap_or_default();
         let pace = pace(entries as u64);
         admission.set_pace(pace);
@@ -49,7 +49,7 @@
     }
     // Only a zone buries its own entries: one that is merely cut off keeps its part.
     let buried = |_, node: &gossip::Node| node.table().tombstones().keys().cloned().collect();
-    let gone: Vec<HostId> = shared.gossip.look(buried).unwrap_or_default();
+    let gone: Vec<HostId> = shared.gossip.with_node(buried).unwrap_or_default();
     for host in gone {
         shared.admission.forget(&host);
     }
--- a/crates/entry/src/choose.rs
+++ b/crates/entry/src/choose.rs
@@ -54,7 +54,7 @@
 /// The entry's seat: its place by name among the entries of its zone that membership knows.
 fn seat(shared: &Shared) -> Option<Subset> {
     let zone = &shared.settings.zone;
-    let number = shared.gossip.look(|_, node| {
+    let number = shared.gossip.with_node(|_, node| {
         let rows = node.table().rows().values();
         let here = rows.filter(|row| row.card.zone == *zone);
         here.map(|row| &row.card.process.host)
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -18,7 +18,7 @@
 use snipemast_wire::Peer;
 
 use crate::shared::Shared;
-use crate::voter::{LogPlace, SubmitError, Voter, VoterError, VoterOptions};
+use crate::voter::{LogStorage, SubmitError, Voter, VoterError, VoterOptions};
 
 /// The result of submitting a patch.
 pub type Result<T> = std::result::Result<T, ControlError>;
@@ -98,15 +98,15 @@
         address: SocketAddr,
     ) -> std::result::Result<Self, Report<VoterError>> {
         let options = VoterOptions {
-            place: place(settings)?,
-            seat: Location {
+            log: place(settings)?,
+            location: Location {
                 host: shared.settings.host.clone(),
                 zone: shared.settings.zone.clone(),
                 address,
             },
             voters: settings.voters.clone(),
             timing: Timing::default(),
-            fresh: fresh_number(shared),
+            unique_id: fresh_number(shared),
         };
         let machine = Held::default();
         let process: Weak<Shared> = Arc::downgrade(shared);
@@ -154,11 +154,11 @@
 /// Failure guarded against: a control host whose settings lost the line of its data folder. It
 /// would vote, forget at its next restart, and let accepted versions be lost. To forget has to
 /// be asked for, and a voter among others may not.
-fn place(settings: &ControlSettings) -> std::result::Result<LogPlace, Report<VoterError>> {
+fn place(settings: &ControlSettings) -> std::result::Result<LogStorage, Report<VoterError>> {
     let alone = settings.voters.len() <= 1;
     match &settings.data {
-        Some(folder) => Ok(LogPlace::Folder(folder.clone())),
-        None if settings.forgetful && alone => Ok(LogPlace::Memory),
+        Some(folder) => Ok(LogStorage::Folder(folder.clone())),
+        None if settings.forgetful && alone => Ok(LogStorage::Memory),
         None => Err(Report::new(VoterError::Storage("(no data folder)".into()))),
     }
 }
@@ -231,7 +231,7 @@
     }
     let before = Version::new(version.get().saturating_sub(1));
     // A host that lags says so in its status; the verdict stands either way.
-    shared.spread.wait_after(before, CATCH_UP).await;
+    shared.distributor.wait_after(before, CATCH_UP).await;
 }
 
 fn record(shared: &Shared, submission: &Submission, verdict: &Verdict) {
@@ -261,9 +261,9 @@
             let longest = timing.election_timeout.as_micros() + timing.election_jitter.as_micros();
             (true, Some(Span::from_micros(longest)))
         } else {
-            (false, shared.spread.age())
+            (false, shared.distributor.age())
         };
-        shared.spread.note(linked, age, status.fence);
+        shared.distributor.note(linked, age, status.fence);
         smol::Timer::after(ATTEST.as_duration()).await;
     }
 }
--- a/crates/entry/src/copy.rs
+++ b/crates/entry/src/copy.rs
@@ -127,7 +127,7 @@
 pub async fn keep_forever(shared: Arc<Shared>, copy: Copy) {
     let mut kept = shared.config().version;
     loop {
-        if !shared.spread.wait_after(kept, RECHECK).await {
+        if !shared.distributor.wait_after(kept, RECHECK).await {
             continue;
         }
         let config = shared.config();
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -171,7 +171,7 @@
     fn status(&self) -> StatusReport {
         let shared = &self.shared;
         let (standing, _) = shared.standing();
-        let link = shared.spread.link();
+        let link = shared.distributor.link();
         let members = shared.registry.members();
         let member = |m: &Arc<crate::registry::Member>| MemberLine {
             agent: m.announce.agent.to_string(),
@@ -182,7 +182,7 @@
             load: m.announce.load,
         };
         StatusReport {
-            census: shared.spread.census(&standing),
+            census: shared.distributor.census(&standing),
             standing,
             linked: link.linked,
             fence: link.fence,
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -21,7 +21,7 @@
 
 impl Sink for Shared {
     fn clock(&self) -> &Clock {
-        self.spread.clock()
+        self.distributor.clock()
     }
 
     fn standing(&self) -> (Standing, Census) {
@@ -29,9 +29,9 @@
             process: self.process.clone(),
             zone: self.settings.zone.clone(),
             version: self.config().version,
-            age: self.spread.age(),
+            age: self.distributor.age(),
         };
-        let below = self.spread.census_below(&standing);
+        let below = self.distributor.census_below(&standing);
         (standing, below)
     }
 
@@ -40,6 +40,6 @@
     }
 
     fn note(&self, linked: bool, age: Option<Span>, fence: Fence) {
-        self.spread.note(linked, age, fence);
+        self.distributor.note(linked, age, fence);
     }
 }
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -66,7 +66,7 @@
     }
 
     /// Looks at the state machine, where membership has begun.
-    pub fn look<T>(&self, look: impl FnOnce(Moment, &Node) -> T) -> Option<T> {
+    pub fn with_node<T>(&self, look: impl FnOnce(Moment, &Node) -> T) -> Option<T> {
         let node = self.node.get()?;
         Some(look(self.clock.now(), &node.lock()))
     }
@@ -82,7 +82,7 @@
             let values = node.piggyback().values(topic);
             values.map(|(s, v)| (s.clone(), v.to_vec())).collect()
         };
-        self.look(read).unwrap_or_default()
+        self.with_node(read).unwrap_or_default()
     }
 
     /// Tells the others that this process is on its way out.
@@ -218,7 +218,7 @@
     }
 
     fn wake(&self) -> Span {
-        let left = self.look(|now, node| now.until(node.next_tick()));
+        let left = self.with_node(|now, node| now.until(node.next_tick()));
         left.unwrap_or(LOADS).min(LOADS)
     }
 }
@@ -248,7 +248,7 @@
             let _ = gossip.woken.1.recv().await;
         };
         sleep.or(woken).await;
-        let due = gossip.look(|now, node| now >= node.next_tick());
+        let due = gossip.with_node(|now, node| now >= node.next_tick());
         if due == Some(true) {
             gossip.handle(&shared, Input::Tick);
         }
--- a/crates/entry/src/keys.rs
+++ b/crates/entry/src/keys.rs
@@ -324,7 +324,7 @@
             .map(|(host, row)| (host.clone(), row.card.address))
             .collect()
     };
-    shared.gossip.look(read).unwrap_or_default()
+    shared.gossip.with_node(read).unwrap_or_default()
 }
 
 /// Keeps the share in step with the table, copies what is missing and forgets what has run out.
--- a/crates/entry/src/own.rs
+++ b/crates/entry/src/own.rs
@@ -63,8 +63,8 @@
             standing,
             below,
         } = poll;
-        self.shared.spread.note_asker(standing, below);
-        let answer = self.shared.spread.answer(ask).await;
+        self.shared.distributor.note_asker(standing, below);
+        let answer = self.shared.distributor.answer(ask).await;
         reply(conn, &answer)
     }
 
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -163,7 +163,7 @@
             tasks,
         } = self;
         shared.drain();
-        shared.spread.close();
+        shared.distributor.close();
         smol::Timer::after(shared.settings.limits.notice.as_duration()).await;
         shared.close();
         let bound = shared.settings.limits.shutdown;
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -19,7 +19,7 @@
 use crate::gossip::Gossip;
 use crate::keys::Keys;
 use crate::registry::Registry;
-use crate::spread::Spread;
+use crate::spread::Distributor;
 
 /// Retries that may come at once, before the share of traffic bounds them.
 const RETRY_RESERVE: u64 = 100;
@@ -48,7 +48,7 @@
     /// Keys and suspicions.
     pub keys: Keys,
     /// What passes the configuration on.
-    pub spread: Spread,
+    pub distributor: Distributor,
     config: ArcSwap<Config>,
     control: OnceLock<Control>,
     counter: AtomicU64,
@@ -60,7 +60,7 @@
 impl Shared {
     /// The state of a process that starts now.
     pub fn new(settings: EntrySettings, process: ProcessId, journal: Journal) -> Self {
-        let spread = Spread::new(Arc::default());
+        let distributor = Distributor::new(Arc::default());
         let place = Location {
             zone: settings.zone.clone(),
             region: settings.region.clone(),
@@ -80,7 +80,7 @@
             admission: Arc::new(admission),
             clock: Clock::new(),
             retries: Mutex::new(RetryBudget::new(RETRY_RESERVE)),
-            spread,
+            distributor,
             config: ArcSwap::from_pointee(Config::default()),
             control: OnceLock::new(),
             counter: AtomicU64::new(0),
@@ -117,7 +117,7 @@
         if version > previous.version {
             self.journal.record(Event::VersionApplied, version, "");
         }
-        self.spread.advance(&config, delta);
+        self.distributor.advance(&config, delta);
     }
 
     /// The control role, on hosts that have it.
--- a/crates/entry/src/spread.rs
+++ b/crates/entry/src/spread.rs
@@ -23,7 +23,7 @@
 
 /// Passes the configuration on.
 #[derive(Debug)]
-pub struct Spread {
+pub struct Distributor {
     clock: Clock,
     bell: Bell,
     inner: Mutex<Inner>,
@@ -53,7 +53,7 @@
     closed: bool,
 }
 
-impl Spread {
+impl Distributor {
     /// Passes on this configuration, before anything was heard of another.
     pub fn new(config: Arc<Config>) -> Self {
         let inner = Inner {
--- a/crates/entry/src/timeline.rs
+++ b/crates/entry/src/timeline.rs
@@ -171,7 +171,7 @@
             .map(|card| (card.address, card.process.clone()))
             .collect()
     };
-    for (address, process) in shared.gossip.look(rows).unwrap_or_default() {
+    for (address, process) in shared.gossip.with_node(rows).unwrap_or_default() {
         let peer = Arc::new(Peer::new(address));
         known.insert(address, (process.to_string(), peer));
     }
--- a/crates/entry/src/voter.rs
+++ b/crates/entry/src/voter.rs
@@ -101,7 +101,7 @@
 
 /// Where the log is kept.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum LogPlace {
+pub enum LogStorage {
     /// In a folder on a disk.
     Folder(PathBuf),
     /// Nowhere: a single voter that forgets, for tests and demonstrations.
@@ -112,15 +112,15 @@
 #[derive(Debug, Clone)]
 pub struct VoterOptions {
     /// Where the log is kept.
-    pub place: LogPlace,
+    pub log: LogStorage,
     /// Where this host is.
-    pub seat: Location,
+    pub location: Location,
     /// The `own` addresses of every voter at the first start; none means this one alone.
     pub voters: Vec<SocketAddr>,
     /// Timeouts and bounds.
     pub timing: Timing,
     /// A number that no other process has: the id of a new data folder, and the seed of chance.
-    pub fresh: u64,
+    pub unique_id: u64,
 }
 
 /// A handle on the control role of this host.
@@ -159,13 +159,14 @@
         journal: Journal,
         watch: impl FnMut(&M) + Send + 'static,
     ) -> Result<Self> {
-        match options.place.clone() {
-            LogPlace::Memory => {
+        match options.log.clone() {
+            LogStorage::Memory => {
                 let start = form::Start::in_memory(&options);
                 Self::run(options, start, MemoryStorage, machine, journal, watch)
             }
-            LogPlace::Folder(folder) => {
-                let opened = DiskStorage::open(&folder, &options.seat, VoterId(options.fresh));
+            LogStorage::Folder(folder) => {
+                let opened =
+                    DiskStorage::open(&folder, &options.location, VoterId(options.unique_id));
                 let refused = || VoterError::Storage(folder.clone());
                 let (storage, opened) = opened
                     .inspect_err(|e| journal.record(Event::StorageRefused, folder.display(), e))
@@ -185,7 +186,7 @@
         watch: impl FnMut(&M) + Send + 'static,
     ) -> Result<Self> {
         let (inputs, requests) = sync_channel(INPUTS);
-        let shared = Arc::new(VoterShared::new(inputs, &start, &options.seat, journal));
+        let shared = Arc::new(VoterShared::new(inputs, &start, &options.location, journal));
         let links = Arc::new(Links::new(start.voter, Arc::clone(&shared)));
         let engine = Engine::new(Arc::clone(&shared), Arc::clone(&links), requests, watch);
         let form = form::begin(options, start, storage, machine, engine)?;
--- a/crates/entry/src/voter/form.rs
+++ b/crates/entry/src/voter/form.rs
@@ -66,7 +66,7 @@
 impl Start {
     pub(super) fn in_memory(options: &VoterOptions) -> Self {
         Self {
-            voter: VoterId(options.fresh),
+            voter: VoterId(options.unique_id),
             cluster: None,
             formed: Voters::default(),
             start: 1,
@@ -114,10 +114,10 @@
     S: Joins,
     F: FnMut(&M) + Send + 'static,
 {
-    let own = options.seat.address;
+    let own = options.location.address;
     let alone = options.voters.iter().all(|a| *a == own);
     if start.cluster.is_none() && alone {
-        let formed = Voters::new([(start.voter, options.seat.clone())].into());
+        let formed = Voters::new([(start.voter, options.location.clone())].into());
         (start.cluster, start.formed) = (Some(ClusterId(start.voter.get())), formed.clone());
         let joined = storage.join(ClusterId(start.voter.get()), formed);
         joined.map_err(|e| e.change_context(VoterError::Storage(Default::default())))?;
@@ -136,7 +136,7 @@
             launch(&options, start, storage, machine, engine).map_err(|e| e.to_string())
         });
         if let Err(reason) = launched {
-            journal.record(Event::StorageRefused, options.seat.host, reason);
+            journal.record(Event::StorageRefused, options.location.host, reason);
         }
     };
     Ok(Some(task(work)))
@@ -163,7 +163,7 @@
         first_voters: start.formed.clone(),
         stored: start.stored,
         timing: options.timing,
-        seed: options.fresh,
+        seed: options.unique_id,
     };
     {
         let mut known = shared.known.lock();
@@ -185,7 +185,7 @@
 
 /// Asks the other hosts until there is a cluster to belong to.
 async fn form(options: &VoterOptions, shared: &VoterShared) -> (ClusterId, Voters) {
-    let own = options.seat.address;
+    let own = options.location.address;
     let mut addresses = options.voters.clone();
     addresses.push(own);
     addresses.sort_unstable();
--- a/crates/entry/tests/spread.rs
+++ b/crates/entry/tests/spread.rs
@@ -6,15 +6,15 @@
 
 use snipemast_config::{Ask, Config, News};
 use snipemast_core::prelude::*;
-use snipemast_entry::spread::Spread;
+use snipemast_entry::spread::Distributor;
 
 const POLL: Ask = Ask::Poll {
     after: Version::new(0),
     wait: Span::from_secs(30),
 };
 
-fn linked() -> Spread {
-    let spread = Spread::new(Arc::default());
+fn linked() -> Distributor {
+    let spread = Distributor::new(Arc::default());
     spread.note(true, Some(Span::default()), Fence::new(3));
     spread
 }
--- a/crates/entry/tests/voters.rs
+++ b/crates/entry/tests/voters.rs
@@ -15,7 +15,7 @@
 use snipemast_control::machine::{Command, Reply, Submission};
 use snipemast_control::{ConfigMachine, Location, Timing, VoterChange};
 use snipemast_core::prelude::*;
-use snipemast_entry::voter::{LogPlace, SubmitError, Voter, VoterOptions};
+use snipemast_entry::voter::{LogStorage, SubmitError, Voter, VoterOptions};
 use snipemast_wire::{listen, spawn, Listening};
 
 const PATIENCE: Span = Span::from_secs(10);
@@ -60,11 +60,11 @@
             address: listening.address(),
         };
         let options = VoterOptions {
-            place: LogPlace::Folder(root.join(seat.host.as_str())),
-            seat,
+            log: LogStorage::Folder(root.join(seat.host.as_str())),
+            location: seat,
             voters: Vec::new(),
             timing: timing(),
-            fresh: number,
+            unique_id: number,
         };
         Self {
             slot,
@@ -82,7 +82,7 @@
                 let entries = machine.history().entries();
                 *history.lock() = entries.map(|e| (e.version, e.patch.clone())).collect();
             };
-            let journal = journal(&self.options.seat.host);
+            let journal = journal(&self.options.location.host);
             if let Ok(voter) = Voter::start(
                 self.options.clone(),
                 ConfigMachine::default(),
@@ -125,7 +125,7 @@
         for number in 1..=count {
             hosts.push(Host::new(number, &root).await);
         }
-        let voters: Vec<_> = hosts.iter().map(|h| h.options.seat.address).collect();
+        let voters: Vec<_> = hosts.iter().map(|h| h.options.location.address).collect();
         for host in &mut hosts {
             host.options.voters = voters.clone();
             host.start().await;
@@ -301,11 +301,11 @@
 fn host_replaced() {
     smol::block_on(async {
         let mut cluster = Cluster::start("host-replaced", 3).await;
-        let leader = cluster.leader().await.options.seat.host.clone();
+        let leader = cluster.leader().await.options.location.host.clone();
         let at = |c: &Cluster| {
             c.hosts
                 .iter()
-                .position(|h| h.options.seat.host == leader)
+                .position(|h| h.options.location.host == leader)
                 .unwrap()
         };
         let lead = at(&cluster);
@@ -314,16 +314,16 @@
         submit(&voter, "before", Version::default()).await.unwrap();
         let old = cluster.hosts[lost].slot.voter().unwrap().status().voter;
         cluster.hosts[lost].kill();
-        let LogPlace::Folder(folder) = cluster.hosts[lost].options.place.clone() else {
+        let LogStorage::Folder(folder) = cluster.hosts[lost].options.log.clone() else {
             panic!("it has a folder");
         };
         while std::fs::remove_dir_all(&folder).is_err() {
             pause(10).await;
         }
-        cluster.hosts[lost].options.fresh = 77;
+        cluster.hosts[lost].options.unique_id = 77;
         cluster.hosts[lost].start().await;
         let id = snipemast_control::VoterId(77);
-        let seat = cluster.hosts[lost].options.seat.clone();
+        let seat = cluster.hosts[lost].options.location.clone();
         voter
             .change(VoterChange::Learn { id, location: seat }, PATIENCE)
             .await
--- a/tests/src/zones.rs
+++ b/tests/src/zones.rs
@@ -79,7 +79,7 @@
     pub async fn keepers_ready(&self) {
         for entry in &self.entries {
             let shared = entry.shared();
-            let known = || shared.gossip.look(|_, node| node.table().rows().len());
+            let known = || shared.gossip.with_node(|_, node| node.table().rows().len());
             while !shared.keys.is_ready(shared) || known() < Some(3) {
                 pause(20).await;
             }
--- a/tests/tests/configuration.rs
+++ b/tests/tests/configuration.rs
@@ -190,7 +190,7 @@
         let mut total = 0;
         for _ in 0..3_000 {
             let (standing, _) = snipemast_wire::Sink::standing(control.shared().as_ref());
-            total = control.shared().spread.census(&standing).total();
+            total = control.shared().distributor.census(&standing).total();
             if total == 3 {
                 return;
             }
--- a/tests/tests/limits.rs
+++ b/tests/tests/limits.rs
@@ -70,7 +70,7 @@
         let (status, outcome, retry, _) = ask(&fleet, 4).await;
         assert_eq!((status, outcome.as_deref()), (503, Some("not-run")));
         assert!(retry.is_some_and(|s| s >= 2), "{retry:?}");
-        assert_eq!(fleet.entry.shared().admission.orders().len(), 1);
+        assert_eq!(fleet.entry.shared().admission.due_loads().len(), 1);
     });
 }
 
