--- a/crates/agent/src/orders/desk.rs
+++ b/crates/agent/src/orders/desk.rs
@@ -9,7 +9,7 @@
 
 use snipemast_config::{Census, Config, Delta, Follower, Standing};
 use snipemast_core::prelude::*;
-use snipemast_servers::orders::{Carried, EngineOrder, OrderClient};
+use snipemast_servers::orders::{EngineOrder, OrderClient, OrderOutcome};
 use snipemast_settings::AgentSettings;
 use snipemast_wire::order::{path, FenceAsk, FenceReport, Order, OrderAnswer};
 use snipemast_wire::serve::{malformed, message, reply};
@@ -90,8 +90,8 @@
             fence: order.fence,
             action: order.action.clone(),
         };
-        let carried = self.client.pass(&engine, order.left).await;
-        let done = matches!(carried, Ok(Carried::Done));
+        let carried = self.client.forward(&engine, order.left).await;
+        let done = matches!(carried, Ok(OrderOutcome::Done));
         self.gate.lock().finish(order, done);
         if done {
             OrderAnswer::Done
--- a/crates/backing/src/metrics.rs
+++ b/crates/backing/src/metrics.rs
@@ -13,7 +13,7 @@
 pub type Result<T> = std::result::Result<T, Report<MetricsError>>;
 
 /// How often a process reports.
-pub const INTERVAL: Span = Span::from_secs(1);
+pub const REPORT_INTERVAL: Span = Span::from_secs(1);
 
 /// The way to the metrics sink can't be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/callers/src/ask.rs
+++ b/crates/callers/src/ask.rs
@@ -12,7 +12,7 @@
 use crate::problem::{Problem, ProblemKind};
 
 /// The result of reading what a caller asks.
-pub type Result<T> = std::result::Result<T, AskError>;
+pub type Result<T> = std::result::Result<T, RequestError>;
 
 /// Where a prompt is completed.
 const COMPLETIONS: &str = "/v1/completions";
@@ -21,7 +21,7 @@
 
 /// A request to a service, read and checked.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct ServiceRequest {
     /// What is asked for.
     pub target: Target,
     /// The HTTP method.
@@ -29,7 +29,7 @@
     /// The path and query towards the backend server.
     pub path: String,
     /// The content type of the body, where there is one.
-    pub content: Option<String>,
+    pub content_type: Option<String>,
     /// The body.
     pub body: Vec<u8>,
     /// The caller's key for a non-idempotent request.
@@ -64,7 +64,7 @@
 
 /// Why a request can't be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AskError {
+pub enum RequestError {
     /// There is no bearer key.
     KeyMissing,
     /// Nothing stands at this path.
@@ -85,7 +85,7 @@
     HeaderWrong(String),
 }
 
-impl fmt::Display for AskError {
+impl fmt::Display for RequestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::KeyMissing => f.write_str("the Authorization header holds no bearer key"),
@@ -101,27 +101,27 @@
     }
 }
 
-impl std::error::Error for AskError {}
+impl std::error::Error for RequestError {}
 
-impl From<AskError> for Problem {
-    fn from(error: AskError) -> Self {
+impl From<RequestError> for Problem {
+    fn from(error: RequestError) -> Self {
         let kind = match error {
-            AskError::KeyMissing => ProblemKind::Unauthorized,
-            AskError::PathUnknown => ProblemKind::NotFound,
-            AskError::MethodWrong => ProblemKind::Method,
-            AskError::BodyTooLarge(_) => ProblemKind::TooLarge,
-            AskError::BodyCut
-            | AskError::PathMalformed
-            | AskError::BodyMalformed(_)
-            | AskError::FieldWrong(_)
-            | AskError::HeaderWrong(_) => ProblemKind::Malformed,
+            RequestError::KeyMissing => ProblemKind::Unauthorized,
+            RequestError::PathUnknown => ProblemKind::NotFound,
+            RequestError::MethodWrong => ProblemKind::Method,
+            RequestError::BodyTooLarge(_) => ProblemKind::TooLarge,
+            RequestError::BodyCut
+            | RequestError::PathMalformed
+            | RequestError::BodyMalformed(_)
+            | RequestError::FieldWrong(_)
+            | RequestError::HeaderWrong(_) => ProblemKind::Malformed,
         };
         Problem::new(kind, error)
     }
 }
 
 /// The hash of the bearer key that a request carries.
-pub fn bearer(conn: &Conn) -> Result<KeyHash> {
+pub fn read_bearer_key(conn: &Conn) -> Result<KeyHash> {
     let header = conn
         .request_headers()
         .get_str(KnownHeaderName::Authorization);
@@ -130,10 +130,10 @@
         .map(str::trim);
     key.filter(|k| !k.is_empty())
         .map(KeyHash::of)
-        .ok_or(AskError::KeyMissing)
+        .ok_or(RequestError::KeyMissing)
 }
 
-impl Ask {
+impl ServiceRequest {
     /// Reads a request to a service.
     pub async fn read(conn: &mut Conn, limit: Size) -> Result<Self> {
         let path = conn.path().to_string();
@@ -158,11 +158,11 @@
         key: Option<RequestKey>,
     ) -> Result<Self> {
         if conn.method() != Method::Post {
-            return Err(AskError::MethodWrong);
+            return Err(RequestError::MethodWrong);
         }
-        let document: Value =
-            serde_json::from_slice(&body).map_err(|e| AskError::BodyMalformed(e.to_string()))?;
-        let wrong = |field: &str| AskError::FieldWrong(field.into());
+        let document: Value = serde_json::from_slice(&body)
+            .map_err(|e| RequestError::BodyMalformed(e.to_string()))?;
+        let wrong = |field: &str| RequestError::FieldWrong(field.into());
         let name = document["model"].as_str().ok_or_else(|| wrong("model"))?;
         let service = name.parse().map_err(|_| wrong("model"))?;
         if !is_asked(&path, &document) {
@@ -182,7 +182,7 @@
             target,
             method: Method::Post,
             path,
-            content,
+            content_type: content,
             body,
             key,
         })
@@ -204,7 +204,7 @@
             target: Target::Plain { service },
             method: conn.method(),
             path,
-            content,
+            content_type: content,
             body,
             key,
         }
@@ -236,11 +236,11 @@
     // The header is a quoted string in the draft standard; most callers send it bare.
     let key = text.trim_matches('"').parse();
     key.map(Some)
-        .map_err(|_| AskError::HeaderWrong("idempotency-key".into()))
+        .map_err(|_| RequestError::HeaderWrong("idempotency-key".into()))
 }
 
 async fn body(conn: &mut Conn, limit: Size) -> Result<Vec<u8>> {
-    let too_large = AskError::BodyTooLarge(limit);
+    let too_large = RequestError::BodyTooLarge(limit);
     let announced = conn
         .request_headers()
         .get_str(KnownHeaderName::ContentLength);
@@ -257,6 +257,6 @@
     match body {
         Ok(bytes) => Ok(bytes),
         Err(trillium::Error::ReceivedBodyTooLong(_)) => Err(too_large),
-        Err(_) => Err(AskError::BodyCut),
+        Err(_) => Err(RequestError::BodyCut),
     }
 }
--- a/crates/callers/src/lib.rs
+++ b/crates/callers/src/lib.rs
@@ -8,5 +8,5 @@
 mod path;
 pub mod problem;
 
-pub use ask::{Ask, AskError, Target};
+pub use ask::{RequestError, ServiceRequest, Target};
 pub use problem::{Problem, ProblemKind};
--- a/crates/callers/src/path.rs
+++ b/crates/callers/src/path.rs
@@ -2,7 +2,7 @@
 
 use snipemast_core::prelude::*;
 
-use crate::ask::{AskError, Result};
+use crate::ask::{RequestError, Result};
 
 /// Where plain services stand on an entry host.
 const SERVICES: &str = "/services/";
@@ -18,24 +18,26 @@
 /// of them would change is refused, and the first segment is compared as the most lenient would
 /// read it.
 pub(crate) fn service_path(path: &str) -> Result<(ServiceId, String)> {
-    let rest = path.strip_prefix(SERVICES).ok_or(AskError::PathUnknown)?;
+    let rest = path
+        .strip_prefix(SERVICES)
+        .ok_or(RequestError::PathUnknown)?;
     let (name, rest) = rest.split_once('/').unwrap_or((rest, ""));
-    let service = name.parse().map_err(|_| AskError::PathUnknown)?;
+    let service = name.parse().map_err(|_| RequestError::PathUnknown)?;
     let plain = |b: u8| b.is_ascii_graphic() && !matches!(b, b'\\' | b'#' | b'"' | b'<' | b'>');
     if !rest.bytes().all(plain) {
-        return Err(AskError::PathMalformed);
+        return Err(RequestError::PathMalformed);
     }
     let segments: Vec<String> = rest
         .split('/')
         .map(decoded)
         .collect::<Option<_>>()
-        .ok_or(AskError::PathMalformed)?;
+        .ok_or(RequestError::PathMalformed)?;
     if segments.iter().any(|s| matches!(s.as_str(), "." | "..")) {
-        return Err(AskError::PathMalformed);
+        return Err(RequestError::PathMalformed);
     }
     let first = segments.iter().find(|s| !s.is_empty());
     if first.is_some_and(|s| s.eq_ignore_ascii_case(RESERVED)) {
-        return Err(AskError::PathUnknown);
+        return Err(RequestError::PathUnknown);
     }
     Ok((service, format!("/{rest}")))
 }
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -13,7 +13,7 @@
 
 use snipemast_config::Delta;
 use snipemast_core::prelude::*;
-use snipemast_operators::{Dry, HistoryLine, StatusReport, VerdictAnswer};
+use snipemast_operators::{DryRunAnswer, HistoryLine, StatusReport, VerdictAnswer};
 
 use crate::args::{ConfigArgs, DeskArgs, HistoryArgs, PatchArgs};
 use crate::{exit, tables};
@@ -83,7 +83,7 @@
     };
     if args.dry_run {
         let answer = desk.post("/patches?dry-run=true", body)?;
-        return desk.show(answer, |dry: &Dry| tables::dry(dry));
+        return desk.show(answer, |dry: &DryRunAnswer| tables::dry(dry));
     }
     let answer = desk.post("/patches", body)?;
     let accepted = answer.is_success();
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -17,7 +17,7 @@
 use snipemast_entry::timeline::collect;
 use snipemast_entry::Entry;
 use snipemast_fakes::{FakeEngine, FakeService};
-use snipemast_operators::timeline::Asked;
+use snipemast_operators::timeline::TimelineQuery;
 use snipemast_settings::agent::AgentLimits;
 use snipemast_settings::entry::EntryLimits;
 use snipemast_settings::{AgentSettings, ControlSettings, EntrySettings};
@@ -214,7 +214,7 @@
 
     /// Where a request went, out of its events.
     async fn print_route(&self, answer: &Answer) {
-        let asked = Asked {
+        let asked = TimelineQuery {
             request: Some(answer.request.clone()),
             since: None,
         };
@@ -264,7 +264,7 @@
 
     async fn print_timeline(&self) {
         println!("\n== the time line of all processes (seconds since the first event)");
-        let timeline = collect(self.entry.shared(), &Asked::default()).await;
+        let timeline = collect(self.entry.shared(), &TimelineQuery::default()).await;
         print!("{}", table(&timeline));
     }
 
--- a/crates/cli/src/tables.rs
+++ b/crates/cli/src/tables.rs
@@ -6,7 +6,7 @@
 
 use snipemast_config::{Changes, Config, Delta, Section};
 use snipemast_core::prelude::*;
-use snipemast_operators::{Dry, HistoryLine, StatusReport, VerdictAnswer};
+use snipemast_operators::{DryRunAnswer, HistoryLine, StatusReport, VerdictAnswer};
 
 /// A table whose columns are as wide as their widest cell.
 struct Table {
@@ -57,7 +57,7 @@
 }
 
 /// What a patch would come to.
-pub(crate) fn dry(dry: &Dry) -> String {
+pub(crate) fn dry(dry: &DryRunAnswer) -> String {
     let mut text = format!("dry run, nothing changes\n{}", verdict(&dry.verdict));
     let change = dry.change.clone();
     if let Some(change) = change.and_then(|c| serde_json::from_value::<Delta>(c).ok()) {
--- a/crates/cli/src/timeline.rs
+++ b/crates/cli/src/timeline.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use snipemast_core::prelude::*;
-use snipemast_operators::timeline::{Asked, PATH};
+use snipemast_operators::timeline::{TimelineQuery, TIMELINE_PATH};
 use snipemast_operators::Timeline;
 
 use crate::args::TimelineArgs;
@@ -18,12 +18,12 @@
 }
 
 fn run(args: &TimelineArgs) -> crate::client::Result<ExitCode> {
-    let asked = Asked {
+    let asked = TimelineQuery {
         since: args.since,
         request: args.request.clone(),
     };
     let desk = Desk::new(args.to, args.key.as_deref(), args.json);
-    let answer = desk.get(&format!("{PATH}?{}", asked.query()))?;
+    let answer = desk.get(&format!("{TIMELINE_PATH}?{}", asked.to_query()))?;
     let Some(file) = &args.svg else {
         return desk.show(answer, table);
     };
--- a/crates/cli/tests/unread_output.rs
+++ b/crates/cli/tests/unread_output.rs
@@ -8,7 +8,7 @@
 
 use snipemast_core::prelude::*;
 use snipemast_net::within;
-use snipemast_platform::settings::{Settings, VARIABLE};
+use snipemast_platform::settings::{Settings, SETTINGS_VARIABLE};
 use snipemast_site::hosts::{self, free_port};
 use snipemast_site::{calls, document, start_executor};
 
@@ -19,7 +19,7 @@
 /// Sends a configuration that has many faults, each of which is logged by name.
 fn put_faulty(to: SocketAddr) -> Option<u16> {
     let text = document::faulty(400).to_string();
-    smol::block_on(within(CALL, calls::put(to, text))).flatten()
+    smol::block_on(within(CALL, calls::put_configuration(to, text))).flatten()
 }
 
 /// Everything stops for an engineer's users: what collects a process's output has hung, its pipe is
@@ -34,15 +34,15 @@
     let file = folder.join("settings.toml");
     let settings = Settings {
         seeds: vec![control],
-        first: true,
-        folder: Some(folder.join("data")),
+        bootstrap: true,
+        data_dir: Some(folder.join("data")),
         control: Some(control),
         ..hosts::settings(1, ip, free_port())
     };
     std::fs::write(&file, hosts::text(&settings)).expect("a temporary file");
     let mut process = Command::new(env!("CARGO_BIN_EXE_snipemast"))
         .arg("controller")
-        .env(VARIABLE, &file)
+        .env(SETTINGS_VARIABLE, &file)
         .stdout(Stdio::piped())
         .spawn()
         .expect("the program starts");
--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -51,13 +51,13 @@
 impl Api {
     /// Answers operators and servers.
     pub(crate) async fn outside(self: Arc<Self>, request: Request<Incoming>) -> Answer {
-        let call = Call::find(request.method(), request.uri().path());
+        let call = Call::parse(request.method(), request.uri().path());
         match call {
-            Some(Call::Put) => match read_body(request).await {
+            Some(Call::PutConfiguration) => match read_body(request).await {
                 Some(body) => self.put(body).await,
                 None => plain(StatusCode::BAD_REQUEST, "the body can't be read"),
             },
-            Some(Call::Read) => self.read().await,
+            Some(Call::ReadConfiguration) => self.read().await,
             Some(Call::Announce(id)) => match read_body(request).await {
                 Some(body) => self.announce(&id, &body).await,
                 None => plain(StatusCode::BAD_REQUEST, "the body can't be read"),
@@ -79,7 +79,7 @@
             path::HELLO => self.hello(&body),
             path::JOIN => self.join(&body),
             path::SUBMIT => self.submit(&body).await,
-            path::READ => Some(rpc::answer(&self.read_here())),
+            path::READ => Some(rpc::encode_response(&self.read_here())),
             news::PATH => self.news(&body).await,
             rank::PATH => self.rank(&body),
             _ => return plain(StatusCode::NOT_FOUND, "no such call"),
@@ -259,13 +259,13 @@
     fn log(&self, body: &[u8]) -> Option<Answer> {
         let batch: Batch = read(body)?;
         self.state.voter.receive(batch.from, batch.envelopes);
-        Some(rpc::answer(&Done {}))
+        Some(rpc::encode_response(&Done {}))
     }
 
     fn hello(&self, body: &[u8]) -> Option<Answer> {
         let _: Hello = read(body)?;
         Some(match self.own.known() {
-            Some(known) => rpc::answer(&known),
+            Some(known) => rpc::encode_response(&known),
             None => plain(StatusCode::SERVICE_UNAVAILABLE, "the folder is not open"),
         })
     }
@@ -273,26 +273,26 @@
     fn join(&self, body: &[u8]) -> Option<Answer> {
         let join: Join = read(body)?;
         let leader = self.state.voter.join(join.voter, join.location);
-        Some(rpc::answer(&Joined { leader }))
+        Some(rpc::encode_response(&Joined { leader }))
     }
 
     async fn submit(&self, body: &[u8]) -> Option<Answer> {
         let submission: Submission = read(body)?;
         let verdict = self.state.voter.submit(&submission).await;
         let submitted = verdict.map_or(Submitted::Unsettled, Submitted::Settled);
-        Some(rpc::answer(&submitted))
+        Some(rpc::encode_response(&submitted))
     }
 
     async fn news(&self, body: &[u8]) -> Option<Answer> {
         let poll: Poll = read(body)?;
         let news = spread::answer(&self.state, poll).await;
-        Some(rpc::answer(&news))
+        Some(rpc::encode_response(&news))
     }
 
     fn rank(&self, body: &[u8]) -> Option<Answer> {
         let word: RankUpdate = read(body)?;
         self.state.take_word(word);
-        Some(rpc::answer(&RankAck {}))
+        Some(rpc::encode_response(&RankAck {}))
     }
 
     fn metrics(&self) -> Answer {
--- a/crates/controller/src/join.rs
+++ b/crates/controller/src/join.rs
@@ -52,7 +52,7 @@
     own: Arc<Own>,
     journal: Journal,
 ) {
-    let Some(folder) = settings.folder.clone() else {
+    let Some(folder) = settings.data_dir.clone() else {
         journal.record(
             Event::StorageRefused,
             &settings.host,
@@ -133,7 +133,7 @@
                 known.insert(*seed, answer);
             }
         }
-        if let Some(found) = choose_cluster(settings.first, own, &seeds, &known) {
+        if let Some(found) = choose_cluster(settings.bootstrap, own, &seeds, &known) {
             return found;
         }
         pause(ROUND).await;
--- a/crates/controller/src/process.rs
+++ b/crates/controller/src/process.rs
@@ -66,7 +66,7 @@
     let internal = socket::listen(bound).change_context_lazy(taken(bound))?;
     let clock = BootClock::new();
     // A majority must outlive what may be lost at once.
-    let voters = 2 * settings.lost as usize + 1;
+    let voters = 2 * settings.tolerated_losses as usize + 1;
     let location = Location {
         host: settings.host.clone(),
         zone: settings.zone.clone(),
--- a/crates/entry/src/admit/demand.rs
+++ b/crates/entry/src/admit/demand.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 
-use snipemast_callers::{Ask, Target};
+use snipemast_callers::{ServiceRequest, Target};
 use snipemast_core::prelude::*;
 use snipemast_routing::{Departure, Prefix, Priority, Wanted};
 
@@ -30,7 +30,7 @@
 
 impl Demand {
     /// What a request asks for.
-    pub fn new(workspace: &WorkspaceId, wanted: &Wanted, ask: &Ask, left: Span) -> Self {
+    pub fn new(workspace: &WorkspaceId, wanted: &Wanted, ask: &ServiceRequest, left: Span) -> Self {
         let shape = match &ask.target {
             Target::Model { .. } => Shape::read(&ask.body),
             Target::Plain { .. } => Shape::plain(),
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -5,14 +5,15 @@
 use serde::Serialize;
 use trillium::{async_trait, Conn, Handler, KnownHeaderName};
 
-use snipemast_callers::ask::bearer;
+use snipemast_callers::ask::read_bearer_key;
 use snipemast_callers::problem::{Problem, ProblemKind};
 use snipemast_config::{Patch, Verdict, WallTime};
 use snipemast_control::machine::{ConfigMachine, HistoryEntry, HistoryError, Submission};
 use snipemast_core::prelude::*;
 use snipemast_operators::answer::MemberLine;
 use snipemast_operators::{
-    authorize, Author, Denied, Dry, HistoryLine, Route, RouteError, StatusReport, VerdictAnswer,
+    authorize, Author, Denied, DryRunAnswer, HistoryLine, Route, RouteError, StatusReport,
+    VerdictAnswer,
 };
 use snipemast_requests::Fingerprint;
 use snipemast_wire::Sink;
@@ -88,7 +89,7 @@
     }
 
     fn authorize(&self, conn: &Conn, route: &Route) -> Result<Author> {
-        let key = bearer(conn)?;
+        let key = read_bearer_key(conn)?;
         let control = self.shared.settings.control.as_ref();
         let first = control.and_then(|c| c.operator.as_ref());
         authorize(&self.shared.config(), first, &key, route.role()).map_err(denied)
@@ -113,7 +114,7 @@
         let patch = match read(conn).await? {
             Ok(patch) => patch,
             Err(verdict) => {
-                return Answer::ok(&Dry {
+                return Answer::ok(&DryRunAnswer {
                     verdict,
                     change: None,
                 });
@@ -121,14 +122,14 @@
         };
         let config = self.shared.config();
         let dry = match patch.prepare(&config) {
-            Ok(change) => Dry {
+            Ok(change) => DryRunAnswer {
                 verdict: Verdict::Accepted {
                     version: change.config.version,
                 }
                 .into(),
                 change: serde_json::to_value(&change.delta).ok(),
             },
-            Err(refusal) => Dry {
+            Err(refusal) => DryRunAnswer {
                 verdict: refusal.into(),
                 change: None,
             },
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -5,9 +5,9 @@
 use serde_json::json;
 use trillium::{async_trait, Body, Conn, Handler, KnownHeaderName, Status};
 
-use snipemast_callers::ask::bearer;
+use snipemast_callers::ask::read_bearer_key;
 use snipemast_callers::problem::{Problem, ProblemKind, OUTCOME_HEADER, REQUEST_HEADER};
-use snipemast_callers::{Ask, Target};
+use snipemast_callers::{ServiceRequest, Target};
 use snipemast_config::{Config, Service};
 use snipemast_core::prelude::*;
 use snipemast_wire::{pipe, spawn};
@@ -58,7 +58,7 @@
         }
         let config = self.shared.config();
         let workspace = authorize(&config, conn)?;
-        let ask = Ask::read(conn, self.shared.settings.limits.body).await?;
+        let ask = ServiceRequest::read(conn, self.shared.settings.limits.body).await?;
         let stream = matches!(ask.target, Target::Model { stream: true, .. });
         let begun = begin(&self.shared, &config, workspace, ask, request.clone());
         // A caller that leaves drops the request, and its attempt is cancelled.
@@ -114,7 +114,7 @@
 }
 
 fn authorize(config: &Config, conn: &Conn) -> Result<WorkspaceId, Problem> {
-    let hash = bearer(conn)?;
+    let hash = read_bearer_key(conn)?;
     let unknown = || Problem::new(ProblemKind::Unauthorized, "the key belongs to no workspace");
     config.workspace_of(&hash).cloned().ok_or_else(unknown)
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -2,14 +2,14 @@
 
 use std::sync::Arc;
 
-use snipemast_backing::metrics::{Metrics, INTERVAL};
+use snipemast_backing::metrics::{Metrics, REPORT_INTERVAL};
 
 use crate::shared::Shared;
 
 /// Reports once an interval.
 pub async fn report_forever(shared: Arc<Shared>, mut metrics: Metrics) {
     loop {
-        smol::Timer::after(INTERVAL.as_duration()).await;
+        smol::Timer::after(REPORT_INTERVAL.as_duration()).await;
         let gauges = [
             ("running", shared.running()),
             ("members", shared.registry.members().len() as u64),
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -5,7 +5,7 @@
 use futures_lite::FutureExt;
 
 use snipemast_callers::problem::{Problem, ProblemKind};
-use snipemast_callers::{Ask, Target};
+use snipemast_callers::{ServiceRequest, Target};
 use snipemast_config::{Config, Service};
 use snipemast_core::prelude::*;
 use snipemast_requests::{Fingerprint, Plan, Reason, Verdict};
@@ -55,7 +55,7 @@
     shared: &Arc<Shared>,
     config: &Config,
     workspace: WorkspaceId,
-    ask: Ask,
+    ask: ServiceRequest,
     request: RequestId,
 ) -> Result<Begun> {
     shared
@@ -101,7 +101,7 @@
     }
 }
 
-fn plan(shared: &Shared, ask: &Ask, idempotent: bool) -> Plan {
+fn plan(shared: &Shared, ask: &ServiceRequest, idempotent: bool) -> Plan {
     let limits = &shared.settings.limits;
     Plan {
         idempotent,
@@ -116,7 +116,7 @@
 }
 
 /// What a backend server must offer, and whether the request may run more than once.
-fn wanted(config: &Config, ask: &Ask) -> Result<(Wanted, bool)> {
+fn wanted(config: &Config, ask: &ServiceRequest) -> Result<(Wanted, bool)> {
     let unknown = || {
         Problem::new(
             ProblemKind::NotFound,
@@ -161,7 +161,7 @@
     }
 }
 
-fn call(config: &Config, ask: Ask) -> Result<Call> {
+fn call(config: &Config, ask: ServiceRequest) -> Result<Call> {
     let body = match (&ask.target, config.services.get(ask.target.service())) {
         (Target::Model { .. }, Some(Service::Model { model, adapter, .. })) => {
             let name = adapter.as_ref().map_or(model.as_str(), AdapterId::as_str);
@@ -173,7 +173,7 @@
         name: "content-type".into(),
         value,
     };
-    let headers = ask.content.into_iter().map(header).collect();
+    let headers = ask.content_type.into_iter().map(header).collect();
     Ok(Call {
         method: ask.method.to_string(),
         path: ask.path,
--- a/crates/entry/src/timeline.rs
+++ b/crates/entry/src/timeline.rs
@@ -6,14 +6,14 @@
 
 use trillium::{async_trait, Conn, Handler, KnownHeaderName, Method};
 
-use snipemast_callers::ask::bearer;
+use snipemast_callers::ask::read_bearer_key;
 use snipemast_callers::problem::{Problem, ProblemKind};
 use snipemast_config::Role;
 use snipemast_core::prelude::*;
 use snipemast_membership::timeline::{Merge, Missing, Next, Page, PageRequest, MAX_PAGE_RECORDS};
 use snipemast_membership::Node;
 use snipemast_operators::authorize;
-use snipemast_operators::timeline::{Asked, Timeline, PATH};
+use snipemast_operators::timeline::{Timeline, TimelineQuery, TIMELINE_PATH};
 use snipemast_wire::gossip::{self, Packed};
 use snipemast_wire::{spawn, Peer};
 
@@ -37,13 +37,13 @@
     }
 
     async fn answer(&self, conn: &Conn) -> Result<Timeline, Problem> {
-        let key = bearer(conn)?;
+        let key = read_bearer_key(conn)?;
         let control = self.shared.settings.control.as_ref();
         let first = control.and_then(|c| c.operator.as_ref());
         authorize(&self.shared.config(), first, &key, Role::Read)
             .map_err(|denied| Problem::new(ProblemKind::Unauthorized, denied))?;
-        let asked =
-            Asked::read(conn.querystring()).map_err(|e| Problem::new(ProblemKind::Malformed, e))?;
+        let asked = TimelineQuery::read(conn.querystring())
+            .map_err(|e| Problem::new(ProblemKind::Malformed, e))?;
         Ok(collect(&self.shared, &asked).await)
     }
 }
@@ -51,7 +51,7 @@
 #[async_trait]
 impl Handler for TimelineHandler {
     async fn run(&self, conn: Conn) -> Conn {
-        if conn.path() != PATH || conn.method() != Method::Get {
+        if conn.path() != TIMELINE_PATH || conn.method() != Method::Get {
             return conn;
         }
         match self.answer(&conn).await {
@@ -66,8 +66,8 @@
 }
 
 /// Asks every known process for its events, page by page, and merges them by their causes.
-pub async fn collect(shared: &Shared, asked: &Asked) -> Timeline {
-    let since = asked.from(shared.journal.ring().clock().tick());
+pub async fn collect(shared: &Shared, asked: &TimelineQuery) -> Timeline {
+    let since = asked.earliest_stamp(shared.journal.ring().clock().tick());
     let sources = sources(shared);
     let mut merge = Merge::new(sources.iter().map(|source| source.name.clone()));
     let mut timeline = Timeline {
@@ -115,7 +115,7 @@
     shared: &Shared,
     merge: &mut Merge,
     sources: &[Source],
-    asked: &Asked,
+    asked: &TimelineQuery,
     since: Stamp,
 ) -> Vec<ProcessId> {
     let needed: Vec<_> = merge.needed().collect();
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -7,7 +7,7 @@
 use trillium::{async_trait, Conn, Handler, Status};
 
 use snipemast_core::prelude::*;
-use snipemast_servers::orders::Carried;
+use snipemast_servers::orders::OrderOutcome;
 use snipemast_servers::protocol;
 use snipemast_wire::{pipe, spawn, PipeWriter};
 
@@ -68,9 +68,9 @@
             return conn.with_status(Status::BadRequest).halt();
         };
         match self.orders.take(order) {
-            Carried::Done => conn.with_status(Status::Ok).halt(),
-            Carried::Old => conn.with_status(Status::Conflict).halt(),
-            Carried::Failed => conn.with_status(Status::InternalServerError).halt(),
+            OrderOutcome::Done => conn.with_status(Status::Ok).halt(),
+            OrderOutcome::Old => conn.with_status(Status::Conflict).halt(),
+            OrderOutcome::Failed => conn.with_status(Status::InternalServerError).halt(),
         }
     }
 
--- a/crates/fakes/src/orders.rs
+++ b/crates/fakes/src/orders.rs
@@ -6,7 +6,7 @@
 
 use snipemast_config::wishes::Action;
 use snipemast_core::prelude::*;
-use snipemast_servers::orders::{Carried, EngineOrder};
+use snipemast_servers::orders::{EngineOrder, OrderOutcome};
 
 /// The orders that an engine carried out, and what it offers since.
 #[derive(Debug, Clone)]
@@ -45,10 +45,10 @@
     }
 
     /// Carries an order out.
-    pub fn take(&self, order: EngineOrder) -> Carried {
+    pub fn take(&self, order: EngineOrder) -> OrderOutcome {
         let mut inner = self.inner.lock();
         if inner.info.capabilities.fencing && order.fence < inner.seen {
-            return Carried::Old;
+            return OrderOutcome::Old;
         }
         inner.seen = inner.seen.max(order.fence);
         if let Action::Load {
@@ -67,6 +67,6 @@
             });
         }
         inner.carried.push(order);
-        Carried::Done
+        OrderOutcome::Done
     }
 }
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -14,7 +14,7 @@
 use snipemast_placement::choice::{Constraints, Unplaced};
 use snipemast_placement::outage::AllowedPools;
 use snipemast_placement::{Sends, Urgency};
-use snipemast_platform::request::Ask;
+use snipemast_platform::request::RequestHeaders;
 use snipemast_platform::response;
 use snipemast_routes::{Denied, Match, Route, Table as Routes};
 
@@ -60,7 +60,7 @@
     let Some(routes) = state.routes() else {
         return refusal("no configuration is known yet", RETRY_AFTER_OUT);
     };
-    let ask = Ask::read(request.headers());
+    let ask = RequestHeaders::read(request.headers());
     let host = request.headers().get(HOST).and_then(|h| h.to_str().ok());
     let path = request.uri().path();
     let found = routes.find(host.unwrap_or(""), path, ask.key.as_deref());
@@ -71,7 +71,7 @@
     let Match {
         route, workspace, ..
     } = matched;
-    let patience = ask.patience.unwrap_or(route.timeout).min(route.timeout);
+    let patience = ask.timeout.unwrap_or(route.timeout).min(route.timeout);
     let (parts, body) = request.into_parts();
     let bound = routes.limits().body.as_bytes() as usize;
     let body = match within(patience, Limited::new(body, bound).collect()).await {
@@ -122,10 +122,10 @@
 }
 
 /// Returns how many pieces of an answer are still to come, as its caller estimates.
-fn estimate_pieces(routes: &Routes, service: &ServiceId, ask: &Ask) -> Option<u64> {
+fn estimate_pieces(routes: &Routes, service: &ServiceId, ask: &RequestHeaders) -> Option<u64> {
     let engine = routes.service(service)?.engine.as_ref()?;
-    let pieces = ask.length? / u64::from(engine.stride.max(1));
-    Some(pieces.saturating_sub(ask.last.unwrap_or(0)))
+    let pieces = ask.length_hint? / u64::from(engine.stride.max(1));
+    Some(pieces.saturating_sub(ask.last_event.unwrap_or(0)))
 }
 
 /// Returns a service of a route, drawn by weight.
@@ -296,7 +296,7 @@
     let mut queued = false;
     await_short_passes(&job).await;
     loop {
-        let run = match attempt.send_until_answered(&job, job.ask.last).await {
+        let run = match attempt.send_until_answered(&job, job.ask.last_event).await {
             Placement::Run(run) => *run,
             Placement::Unplaced(unplaced) => match last_failure {
                 Some(answer) => return answer,
@@ -380,7 +380,7 @@
     };
     let mut answer = Response::new(AnswerBody::Whole(Some(bytes)));
     *answer.status_mut() = run.response.status();
-    *answer.headers_mut() = response::forward(run.response.headers());
+    *answer.headers_mut() = response::forward_headers(run.response.headers());
     job.record_delivered(&run.choice.server, &times);
     run.finish(job);
     Some(answer)
@@ -388,7 +388,7 @@
 
 /// Passes a stream on as it comes.
 fn pass_stream(job: Arc<Job>, attempt: Attempt, run: Run, active: ActiveRequest) -> Answer {
-    let mut headers = response::forward(run.response.headers());
+    let mut headers = response::forward_headers(run.response.headers());
     // A stream that is resumed elsewhere has another length than its first server said.
     headers.remove(CONTENT_LENGTH);
     let status = run.response.status();
--- a/crates/gateway/src/rests.rs
+++ b/crates/gateway/src/rests.rs
@@ -2,7 +2,7 @@
 
 use snipemast_core::prelude::*;
 use snipemast_placement::Choice;
-use snipemast_platform::response::{Reply, Rest};
+use snipemast_platform::response::{ResponseHead, Rest};
 use snipemast_registry::LeavingServer;
 
 use crate::send::Job;
@@ -54,7 +54,7 @@
     }
 
     /// Records that a server said that it is leaving.
-    pub(crate) fn record_leaving(&self, choice: &Choice, reply: &Reply) {
+    pub(crate) fn record_leaving(&self, choice: &Choice, reply: &ResponseHead) {
         if !reply.leaving {
             return;
         }
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -19,8 +19,8 @@
 use snipemast_placement::servers::SILENCE_LIMIT;
 use snipemast_placement::urgency::QueueOrder;
 use snipemast_placement::{Choice, Pool, ServerFault, Urgency};
-use snipemast_platform::request::{forward, Ask, Forward};
-use snipemast_platform::response::Reply;
+use snipemast_platform::request::{forward_headers, Forward, RequestHeaders};
+use snipemast_platform::response::ResponseHead;
 use snipemast_routes::{Repeat, Route};
 
 use crate::frozen::FrozenServer;
@@ -47,7 +47,7 @@
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    pub(crate) ask: Ask,
+    pub(crate) ask: RequestHeaders,
     pub(crate) route: Arc<Route>,
     pub(crate) service: ServiceId,
     pub(crate) workspace: Option<String>,
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub(crate) struct Run {
     pub(crate) choice: Choice,
-    pub(crate) reply: Reply,
+    pub(crate) reply: ResponseHead,
     pub(crate) response: Response<Incoming>,
     connection: Connection,
     in_flight: InFlight,
@@ -132,7 +132,7 @@
         if !ordered || self.route.gap.is_none() {
             return None;
         }
-        if last.is_some() && last != self.ask.last {
+        if last.is_some() && last != self.ask.last_event {
             return Some(Urgency::Resumed);
         }
         let waited = self.age().as_micros();
@@ -292,13 +292,13 @@
             server: &choice.server,
             workspace: self.workspace.as_deref(),
             left: self.left(),
-            last,
-            turn: self.ordered_urgency(last),
+            last_event: last,
+            urgency: self.ordered_urgency(last),
         };
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
-        *request.headers_mut() = forward(&self.headers, &add);
+        *request.headers_mut() = forward_headers(&self.headers, &add);
         request.headers().get(HOST)?;
         Some(request)
     }
@@ -314,10 +314,10 @@
         sent: Moment,
     ) -> Result<Run, Failure> {
         let status = response.status();
-        let reply = Reply::read(status, response.headers());
+        let reply = ResponseHead::read(status, response.headers());
         // This guards against an extra or late answer to an earlier request, which would go to the
         // wrong caller. The attempt's id shows which request an answer belongs to.
-        if self.ask.attempt.is_some() && reply.attempt != self.ask.attempt && !reply.unrun {
+        if self.ask.attempt.is_some() && reply.attempt != self.ask.attempt && !reply.not_run {
             self.state.connections.close_idle(choice.address);
             self.record_fault(&choice, ServerFault::Broken, "an answer to another request");
             return Err(Failure::Unknown);
@@ -328,7 +328,7 @@
             self.record_rest(&choice, &reply.rest);
             self.record_leaving(&choice, &reply);
         }
-        if reply.unrun {
+        if reply.not_run {
             return Err(self.handle_not_run(&choice, status, &reply));
         }
         self.mark_open(&choice.pool);
@@ -347,7 +347,7 @@
 
     /// Whether an answer comes from the chosen server and belongs to this request. Another server
     /// may listen at its address now, and an answer to an earlier request may be late.
-    fn is_from_chosen(&self, status: StatusCode, reply: &Reply) -> bool {
+    fn is_from_chosen(&self, status: StatusCode, reply: &ResponseHead) -> bool {
         let (asked, answered) = (self.ask.attempt.as_ref(), reply.attempt.as_ref());
         let stray = asked
             .zip(answered)
@@ -355,10 +355,10 @@
         status != StatusCode::MISDIRECTED_REQUEST && !stray
     }
 
-    fn handle_not_run(&self, choice: &Choice, status: StatusCode, reply: &Reply) -> Failure {
-        let culprit = reply.culprit.as_deref().unwrap_or("");
+    fn handle_not_run(&self, choice: &Choice, status: StatusCode, reply: &ResponseHead) -> Failure {
+        let culprit = reply.failed_server.as_deref().unwrap_or("");
         let detail = format!("{status}, not run, by {culprit}");
-        if reply.culprit.is_some() && status == StatusCode::SERVICE_UNAVAILABLE {
+        if reply.failed_server.is_some() && status == StatusCode::SERVICE_UNAVAILABLE {
             self.mark_out(&choice.pool, &detail);
             return Failure::Out;
         }
@@ -468,7 +468,7 @@
             servers.record_completion(&job.service, now.since(self.in_flight.begun));
         }
         if !self.reply.closing {
-            let (address, idle) = (self.choice.address, self.reply.idle);
+            let (address, idle) = (self.choice.address, self.reply.idle_timeout);
             state.connections.put(now, address, self.connection, idle);
         }
     }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -41,7 +41,7 @@
     mut run: Run,
     sender: Sender<Result<Bytes, IncompleteAnswer>>,
 ) {
-    let mut events = EventSplitter::new(event_id, job.ask.last);
+    let mut events = EventSplitter::new(event_id, job.ask.last_event);
     let mut times = None;
     loop {
         let server = run.choice.server.clone();
--- a/crates/gateway/src/unknown.rs
+++ b/crates/gateway/src/unknown.rs
@@ -10,7 +10,7 @@
 
 use snipemast_core::prelude::*;
 use snipemast_placement::Choice;
-use snipemast_platform::response::unknown;
+use snipemast_platform::response::unknown_headers;
 
 use crate::send::Job;
 
@@ -43,7 +43,7 @@
     /// Counts the unknown headers of an answer, and logs each name once.
     pub(crate) fn record_unknown_headers(&self, choice: &Choice, headers: &HeaderMap) {
         let state = &self.state;
-        for name in unknown(headers) {
+        for name in unknown_headers(headers) {
             let (name, first) = state.unknown.record(name.as_str());
             state.metrics.count_unknown_header(name);
             if first {
--- a/crates/net/src/connect.rs
+++ b/crates/net/src/connect.rs
@@ -15,7 +15,7 @@
 use snipemast_core::prelude::*;
 
 use crate::exec::spawn;
-use crate::socket::{self, UNACKED};
+use crate::socket::{self, ACK_TIMEOUT};
 
 /// The result of connecting.
 pub type Result<T> = std::result::Result<T, Report<ConnectError>>;
@@ -61,22 +61,22 @@
     sender: SendRequest<Full<Bytes>>,
     driver: Task<()>,
     /// How many requests it has carried.
-    pub used: u32,
+    pub request_count: u32,
 }
 
 /// Opens a connection within a limit.
 pub async fn connect(address: SocketAddr, limit: Span) -> Result<Connection> {
-    connect_unacked(address, limit, UNACKED).await
+    connect_with_ack_timeout(address, limit, ACK_TIMEOUT).await
 }
 
 /// Opens a connection on which written bytes may stay unacknowledged for so long.
-pub async fn connect_unacked(
+pub async fn connect_with_ack_timeout(
     address: SocketAddr,
     limit: Span,
-    unacked: Span,
+    ack_timeout: Span,
 ) -> Result<Connection> {
     let failed = || ConnectError(address);
-    let stream = socket::open(address, limit, unacked)
+    let stream = socket::open(address, limit, ack_timeout)
         .await
         .change_context_lazy(failed)?;
     let (sender, connection) = handshake(FuturesIo::new(stream))
@@ -89,7 +89,7 @@
     Ok(Connection {
         sender,
         driver,
-        used: 0,
+        request_count: 0,
     })
 }
 
@@ -99,7 +99,7 @@
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> std::result::Result<Response<Incoming>, SendError> {
-        self.used += 1;
+        self.request_count += 1;
         if self.sender.ready().await.is_err() {
             return Err(SendError::Unsent);
         }
--- a/crates/net/src/kept.rs
+++ b/crates/net/src/kept.rs
@@ -11,51 +11,54 @@
 
 use snipemast_core::prelude::*;
 
-use crate::connect::{connect_unacked, Connection};
-use crate::socket::UNACKED;
+use crate::connect::{connect_with_ack_timeout, Connection};
+use crate::socket::ACK_TIMEOUT;
 
 /// The result of an exchange.
-pub type Result<T> = std::result::Result<T, Report<Unanswered>>;
+pub type Result<T> = std::result::Result<T, Report<ExchangeError>>;
 
 /// A request that has no whole response: no connection, or one that broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unanswered(
+pub struct ExchangeError(
     /// The peer's address.
     pub SocketAddr,
 );
 
-impl fmt::Display for Unanswered {
+impl fmt::Display for ExchangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} did not answer", self.0)
     }
 }
 
-impl std::error::Error for Unanswered {}
+impl std::error::Error for ExchangeError {}
 
 /// One peer, with the connection to it that is kept; requests go one after another.
 #[derive(Debug)]
-pub struct KeptConnection {
+pub struct PersistentConnection {
     address: SocketAddr,
     limit: Span,
-    unacked: Span,
+    ack_timeout: Span,
     kept: Mutex<Option<Connection>>,
 }
 
-impl KeptConnection {
+impl PersistentConnection {
     /// No connection yet to the peer at an address; a new one may take so long.
     pub fn new(address: SocketAddr, limit: Span) -> Self {
         Self {
             address,
             limit,
-            unacked: UNACKED,
+            ack_timeout: ACK_TIMEOUT,
             kept: Mutex::new(None),
         }
     }
 
     /// Takes the peer for gone once written bytes have stayed unacknowledged for so long.
     #[must_use]
-    pub fn with_unacked(self, unacked: Span) -> Self {
-        Self { unacked, ..self }
+    pub fn with_ack_timeout(self, ack_timeout: Span) -> Self {
+        Self {
+            ack_timeout,
+            ..self
+        }
     }
 
     /// The peer's address.
@@ -68,12 +71,12 @@
     /// The connection is taken out meanwhile, so that an exchange that is cut off in the middle leaves
     /// none behind.
     pub async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<(StatusCode, Bytes)> {
-        let unanswered = Unanswered(self.address);
+        let unanswered = ExchangeError(self.address);
         let mut kept = self.kept.lock().await;
         let usable = kept.take().filter(Connection::is_ready);
         let mut connection = match usable {
             Some(connection) => connection,
-            None => connect_unacked(self.address, self.limit, self.unacked)
+            None => connect_with_ack_timeout(self.address, self.limit, self.ack_timeout)
                 .await
                 .change_context(unanswered)?,
         };
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -19,6 +19,6 @@
 pub use clock::BootClock;
 pub use connect::{connect, ConnectError, Connection};
 pub use exec::{spawn, within};
-pub use kept::KeptConnection;
+pub use kept::PersistentConnection;
 pub use rpc::{RpcClient, RpcError};
 pub use serve::serve;
--- a/crates/net/src/rpc.rs
+++ b/crates/net/src/rpc.rs
@@ -13,7 +13,7 @@
 use snipemast_core::prelude::*;
 
 use crate::exec::within;
-use crate::kept::KeptConnection;
+use crate::kept::PersistentConnection;
 
 /// The result of a call.
 pub type Result<T> = std::result::Result<T, Report<RpcError>>;
@@ -47,21 +47,21 @@
 /// One peer, with the connection to it that is kept; calls go one after another.
 #[derive(Debug)]
 pub struct RpcClient {
-    connection: KeptConnection,
+    connection: PersistentConnection,
 }
 
 impl RpcClient {
     /// A client of the process at an address.
     pub fn new(address: SocketAddr) -> Self {
         Self {
-            connection: KeptConnection::new(address, CONNECT_LIMIT),
+            connection: PersistentConnection::new(address, CONNECT_LIMIT),
         }
     }
 
     /// Takes the peer for gone once written bytes have stayed unacknowledged for so long.
     #[must_use]
-    pub fn with_unacked(self, unacked: Span) -> Self {
-        let connection = self.connection.with_unacked(unacked);
+    pub fn with_ack_timeout(self, ack_timeout: Span) -> Self {
+        let connection = self.connection.with_ack_timeout(ack_timeout);
         Self { connection }
     }
 
@@ -101,6 +101,6 @@
 }
 
 /// The response that carries a message.
-pub fn answer<T: Serialize>(message: &T) -> Response<Full<Bytes>> {
+pub fn encode_response<T: Serialize>(message: &T) -> Response<Full<Bytes>> {
     Response::new(Full::new(encode(message)))
 }
--- a/crates/net/src/serve.rs
+++ b/crates/net/src/serve.rs
@@ -42,7 +42,7 @@
                 continue;
             }
         };
-        if socket::tune(&stream, socket::UNACKED).is_err() {
+        if socket::set_options(&stream, socket::ACK_TIMEOUT).is_err() {
             continue;
         }
         let handler = Arc::clone(&handler);
--- a/crates/operators/src/answer.rs
+++ b/crates/operators/src/answer.rs
@@ -38,7 +38,7 @@
     }
 
     /// What a patch would come to.
-    pub struct Dry {
+    pub struct DryRunAnswer {
         /// The verdict that it would get now.
         pub verdict: VerdictAnswer,
         /// What it would change, where it would be accepted.
--- a/crates/operators/src/lib.rs
+++ b/crates/operators/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod route;
 pub mod timeline;
 
-pub use answer::{Dry, HistoryLine, StatusReport, VerdictAnswer};
+pub use answer::{DryRunAnswer, HistoryLine, StatusReport, VerdictAnswer};
 pub use author::{authorize, Author, Denied};
 pub use route::{Route, RouteError};
 pub use timeline::Timeline;
--- a/crates/operators/src/timeline.rs
+++ b/crates/operators/src/timeline.rs
@@ -5,7 +5,7 @@
 use snipemast_core::units::UnitError;
 
 /// The path of the time line.
-pub const PATH: &str = "/timeline";
+pub const TIMELINE_PATH: &str = "/timeline";
 
 data! {
     /// Events of all processes that answered.
@@ -22,7 +22,7 @@
 
     /// Which events are asked for.
     #[derive(Default)]
-    pub struct Asked {
+    pub struct TimelineQuery {
         /// Only those of the last span; all that are kept without it.
         pub since: Option<Span>,
         /// Only those about this request.
@@ -30,7 +30,7 @@
     }
 }
 
-impl Asked {
+impl TimelineQuery {
     /// Reads the query of a URL; what it does not know is passed over.
     pub fn read(query: &str) -> Result<Self, UnitError> {
         let mut asked = Self::default();
@@ -45,7 +45,7 @@
     }
 
     /// The query that says the same.
-    pub fn query(&self) -> String {
+    pub fn to_query(&self) -> String {
         let since = self.since.map(|since| format!("since={since}"));
         let request = self.request.as_ref().map(|id| format!("request={id}"));
         since
@@ -56,7 +56,7 @@
     }
 
     /// The earliest stamp that is asked for.
-    pub fn from(&self, now: Stamp) -> Stamp {
+    pub fn earliest_stamp(&self, now: Stamp) -> Stamp {
         let micros = self
             .since
             .map_or(0, |since| now.micros.saturating_sub(since.as_micros()));
--- a/crates/servers/src/orders.rs
+++ b/crates/servers/src/orders.rs
@@ -27,7 +27,7 @@
 
     /// What an engine made of an order.
     #[derive(Copy)]
-    pub enum Carried {
+    pub enum OrderOutcome {
         /// It has done it.
         Done,
         /// It refused the fencing number.
@@ -52,7 +52,7 @@
     }
 
     /// Passes an order on and waits until it is carried out.
-    pub async fn pass(&self, order: &EngineOrder, timeout: Span) -> Result<Carried> {
+    pub async fn forward(&self, order: &EngineOrder, timeout: Span) -> Result<OrderOutcome> {
         let late = async {
             smol::Timer::after(timeout.as_duration()).await;
             Err(Report::new(EngineError::Broken(self.address)))
@@ -60,15 +60,15 @@
         self.send(order).or(late).await
     }
 
-    async fn send(&self, order: &EngineOrder) -> Result<Carried> {
+    async fn send(&self, order: &EngineOrder) -> Result<OrderOutcome> {
         let body = serde_json::to_vec(order).change_context(EngineError::Invalid)?;
         let url = format!("http://{}{}", self.address, protocol::ORDERS);
         let conn = self.client.post(url.as_str()).with_body(body).await;
         let conn = conn.change_context(EngineError::Broken(self.address))?;
         Ok(match conn.status() {
-            Some(status) if status.is_success() => Carried::Done,
-            Some(Status::Conflict) => Carried::Old,
-            _ => Carried::Failed,
+            Some(status) if status.is_success() => OrderOutcome::Done,
+            Some(Status::Conflict) => OrderOutcome::Old,
+            _ => OrderOutcome::Failed,
         })
     }
 }
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -11,7 +11,7 @@
 
 use snipemast_core::prelude::*;
 use snipemast_net::exec::within;
-use snipemast_net::KeptConnection;
+use snipemast_net::PersistentConnection;
 use snipemast_platform::server::{self, ServerReport};
 
 /// The result of a call.
@@ -41,13 +41,13 @@
 /// The rank beside this process.
 #[derive(Debug)]
 pub(crate) struct Engine {
-    connection: KeptConnection,
+    connection: PersistentConnection,
 }
 
 impl Engine {
     pub(crate) fn new(address: SocketAddr) -> Self {
         Self {
-            connection: KeptConnection::new(address, LIMIT),
+            connection: PersistentConnection::new(address, LIMIT),
         }
     }
 
--- a/crates/sidecar/src/news.rs
+++ b/crates/sidecar/src/news.rs
@@ -69,7 +69,7 @@
             rank.is_some_and(|rank| rank.group == self.group)
         };
         let own = alive.filter(own);
-        own.map(|k| SocketAddr::new(k.announcement.address.ip(), self.settings.internal))
+        own.map(|k| SocketAddr::new(k.announcement.address.ip(), self.settings.internal_port))
             .collect()
     }
 
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -157,15 +157,15 @@
     match at {
         path::STATE => {
             let query = rpc::decode(body).ok()?;
-            Some(rpc::answer(&rank.state(&query).await?))
+            Some(rpc::encode_response(&rank.state(&query).await?))
         }
         path::ORDER => {
             let order = rpc::decode(body).ok()?;
-            Some(rpc::answer(&rank.execute(order).await))
+            Some(rpc::encode_response(&rank.execute(order).await))
         }
         path::RELAY => {
             let relay = rpc::decode(body).ok()?;
-            Some(rpc::answer(&pass_on(clients, relay).await))
+            Some(rpc::encode_response(&pass_on(clients, relay).await))
         }
         _ => None,
     }
--- a/crates/sidecar/src/rank.rs
+++ b/crates/sidecar/src/rank.rs
@@ -13,7 +13,7 @@
 use snipemast_groups::switch::{Order, Outcome, RankState, COPY_TIMEOUT};
 use snipemast_net::exec::{pause, within};
 use snipemast_net::RpcClient;
-use snipemast_platform::server::{is_accepted, order, ServerReport};
+use snipemast_platform::server::{encode_order, is_accepted, ServerReport};
 
 use crate::engine::Engine;
 use crate::peers::{path, Execute, Executed, RankReport, StateQuery};
@@ -245,7 +245,11 @@
     }
 
     async fn give(&self, given: &EngineOrder, accepted: u64, epoch: GroupIncarnation) -> Answer {
-        match self.engine.order(order(given, accepted, epoch)).await {
+        match self
+            .engine
+            .order(encode_order(given, accepted, epoch))
+            .await
+        {
             Ok(status) if is_accepted(status) => Answer::Accepted,
             Ok(_) => Answer::Refused,
             Err(_) => Answer::None,
--- a/crates/sidecar/src/relay.rs
+++ b/crates/sidecar/src/relay.rs
@@ -30,7 +30,7 @@
     pub(crate) fn get(&self, address: SocketAddr) -> Arc<RpcClient> {
         let mut clients = self.0.lock();
         let client = clients.entry(address);
-        let new = || Arc::new(RpcClient::new(address).with_unacked(UNACKED));
+        let new = || Arc::new(RpcClient::new(address).with_ack_timeout(UNACKED));
         Arc::clone(client.or_insert_with(new))
     }
 }
--- a/tests/src/soak.rs
+++ b/tests/src/soak.rs
@@ -170,7 +170,7 @@
     async fn first_served(&self) -> bool {
         let document = document::lenient(1).to_string();
         load::come_true(UP, || async {
-            let put = calls::put(self.fleet.outside(1), document.clone());
+            let put = calls::put_configuration(self.fleet.outside(1), document.clone());
             put.await == Some(200)
         })
         .await
--- a/tests/src/soak/fleet.rs
+++ b/tests/src/soak/fleet.rs
@@ -10,7 +10,7 @@
 use parking_lot::Mutex;
 use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit, Signal};
 
-use snipemast_platform::settings::{Settings, VARIABLE};
+use snipemast_platform::settings::{Settings, SETTINGS_VARIABLE};
 use snipemast_site::hosts::{self, Ports};
 
 use super::plan::{Disturbance, Port, Sizes, GATEWAY};
@@ -119,7 +119,7 @@
             .args(["-c", "trap '' XFSZ; exec \"$0\" \"$1\""])
             .arg(&self.binary)
             .arg(role)
-            .env(VARIABLE, &settings)
+            .env(SETTINGS_VARIABLE, &settings)
             .stdin(Stdio::null())
             .stdout(log.try_clone()?)
             .stderr(log)
@@ -135,8 +135,8 @@
         Settings {
             internal_listen: at(ports.internal),
             seeds: self.controllers().map(|c| self.outside(c)).collect(),
-            first,
-            folder: Some(self.disk(number)),
+            bootstrap: first,
+            data_dir: Some(self.disk(number)),
             front: at(ports.front).filter(|_| gateway),
             ready: at(ports.ready).filter(|_| gateway),
             control: at(ports.control).filter(|_| !gateway),
--- a/tests/src/soak/load.rs
+++ b/tests/src/soak/load.rs
@@ -85,7 +85,7 @@
         Kind::Safe => "/safe/read",
         Kind::Stream => "/stream/read",
     };
-    let work = calls::ask(&mut connection, path, attempt, SITE_KEY);
+    let work = calls::send_request(&mut connection, path, attempt, SITE_KEY);
     let end = match within(PATIENCE, work).await {
         None => End::Silent,
         Some(None) => End::Closed,
@@ -118,7 +118,9 @@
         loop {
             let host = 1 + chance.below(fleet.controllers().count() as u64) as u8;
             let (to, text) = (fleet.outside(host), text.clone());
-            let status = within(CONNECT, calls::put(to, text)).await.flatten();
+            let status = within(CONNECT, calls::put_configuration(to, text))
+                .await
+                .flatten();
             if status == Some(200) {
                 break;
             }
@@ -159,7 +161,7 @@
 
 /// The configuration at a controller, if it says one.
 pub async fn read(fleet: &Fleet, host: u8) -> Option<Value> {
-    let get = calls::read(fleet.outside(host));
+    let get = calls::read_configuration(fleet.outside(host));
     let reply = within(CONNECT, get).await.flatten()?;
     let found = reply.status == 200 && reply.whole;
     found.then(|| serde_json::from_str(&reply.body).ok())?
--- a/tests/src/soak/plan.rs
+++ b/tests/src/soak/plan.rs
@@ -215,7 +215,7 @@
         1 => Behavior::Breaks(1 + below(10)),
         2 => Behavior::Fails,
         3 => Behavior::Slow(50 + below(1_500)),
-        _ => Behavior::Crossed,
+        _ => Behavior::WrongAttempt,
     };
     match below(20) {
         0 | 1 => Trouble::Terminate(host),
--- a/tests/src/soak/servers.rs
+++ b/tests/src/soak/servers.rs
@@ -11,7 +11,7 @@
 use snipemast_core::prelude::*;
 use snipemast_net::exec::{pause, spawn, within};
 use snipemast_site::hosts::free_port;
-use snipemast_site::{calls, Behavior, ModelServer, Ran};
+use snipemast_site::{calls, Behavior, ModelServer, ServedRequest};
 
 use super::fleet::Fleet;
 use super::plan::Disturbance;
@@ -37,7 +37,7 @@
     fleet: Arc<Fleet>,
     places: Vec<Mutex<Place>>,
     /// What servers ran that are gone.
-    gone: Mutex<HashMap<String, Vec<Ran>>>,
+    gone: Mutex<HashMap<String, Vec<ServedRequest>>>,
 }
 
 /// An address at which one server after another runs.
@@ -79,11 +79,11 @@
     }
 
     /// What each server ran, also those that are gone.
-    pub fn ran(&self) -> HashMap<String, Vec<Ran>> {
+    pub fn ran(&self) -> HashMap<String, Vec<ServedRequest>> {
         let mut all = self.gone.lock().clone();
         for place in &self.places {
             if let Some(running) = &place.lock().running {
-                all.insert(running.server.id.clone(), running.server.ran());
+                all.insert(running.server.id.clone(), running.server.served_requests());
             }
         }
         all
@@ -100,9 +100,9 @@
     pub async fn behave(&self, place: u8, behavior: Behavior, span: Span) {
         let server = self.server(place);
         let Some(server) = server else { return };
-        server.behave(behavior);
+        server.set_behavior(behavior);
         pause(span).await;
-        server.behave(Behavior::Well);
+        server.set_behavior(Behavior::Normal);
     }
 
     /// Lets a server name a limit for a time.
@@ -127,7 +127,7 @@
         let from = Instant::now();
         pause(span).await;
         server.ask_rest(None);
-        let mut turned = server.turned();
+        let mut turned = server.rejected_requests();
         turned.retain(|turned| turned.at >= from);
         Some(Rested {
             server: server.id.clone(),
@@ -139,7 +139,7 @@
     /// Lets a server say in its answers that it leaves; whether it is there still after a time.
     pub async fn tell_leaving(&self, place: u8, span: Span) -> Option<(Left, bool)> {
         let server = self.server(place)?;
-        server.tell_leaving();
+        server.set_leaving();
         let (id, from) = (server.id.clone(), Instant::now());
         drop(server);
         pause(span).await;
@@ -162,7 +162,7 @@
         let Some(server) = self.server(place) else {
             return Err(Instant::now());
         };
-        server.leave();
+        server.set_draining();
         let address = self.place(place).lock().address;
         let start = Instant::now();
         let mut acked = None;
@@ -178,7 +178,7 @@
         pause(DRAIN).await;
         let host = self.fleet.outside(1);
         // A server that can't say good-bye is found to be silent.
-        let _ = within(ANSWER, calls::leave(host, &server.id)).await;
+        let _ = within(ANSWER, calls::deregister(host, &server.id)).await;
         // Another trouble may have put another server there meanwhile.
         let id = server.id.clone();
         drop(server);
@@ -204,7 +204,9 @@
         let running = self.place(place).lock().running.take();
         if let Some(running) = running {
             let id = running.server.id.clone();
-            self.gone.lock().insert(id, running.server.ran());
+            self.gone
+                .lock()
+                .insert(id, running.server.served_requests());
         }
     }
 
--- a/tests/src/soak/verdict.rs
+++ b/tests/src/soak/verdict.rs
@@ -6,7 +6,7 @@
 
 use super::plan::AFTER;
 use snipemast_core::prelude::*;
-use snipemast_site::{Ran, Turned, EVENTS};
+use snipemast_site::{RejectedRequest, ServedRequest, STREAM_EVENTS};
 
 /// How long a caller may wait: the routes' time, and some for a busy machine.
 const TIME: Duration = Duration::from_millis(3_000 + 750);
@@ -139,7 +139,7 @@
     /// The rest that it asked each host for.
     pub rest: Duration,
     /// What it turned away.
-    pub turned: Vec<Turned>,
+    pub turned: Vec<RejectedRequest>,
 }
 
 /// A server that said in its answers that it leaves.
@@ -189,7 +189,7 @@
 
 impl Record {
     /// Which promises are broken, given what each server ran.
-    pub fn broken(&self, ran: &HashMap<String, Vec<Ran>>) -> Vec<Broken> {
+    pub fn broken(&self, ran: &HashMap<String, Vec<ServedRequest>>) -> Vec<Broken> {
         let asked: Requests = self.asked.iter().map(|a| (a.attempt.as_str(), a)).collect();
         let mut places: HashMap<&str, Vec<u8>> = HashMap::new();
         for (server, runs) in ran {
@@ -310,7 +310,7 @@
 
     fn sent_to_drained(
         &self,
-        ran: &HashMap<String, Vec<Ran>>,
+        ran: &HashMap<String, Vec<ServedRequest>>,
         asked: &Requests<'_>,
     ) -> Vec<Broken> {
         let mut broken = Vec::new();
@@ -340,7 +340,7 @@
     fn sent_beyond(
         &self,
         limited: &Limited,
-        ran: &HashMap<String, Vec<Ran>>,
+        ran: &HashMap<String, Vec<ServedRequest>>,
         asked: &Requests<'_>,
     ) -> Option<Broken> {
         let allowed = 1.5 * limited.rate.as_per_second() * WINDOW.as_secs_f64() + 5.0;
@@ -365,7 +365,7 @@
     fn sent_in_rest(
         &self,
         rested: &Rested,
-        ran: &HashMap<String, Vec<Ran>>,
+        ran: &HashMap<String, Vec<ServedRequest>>,
         asked: &Requests<'_>,
     ) -> Option<Broken> {
         let ran = ran.get(&rested.server).into_iter().flatten();
@@ -394,7 +394,7 @@
     fn sent_to_leaving(
         &self,
         left: &Left,
-        ran: &HashMap<String, Vec<Ran>>,
+        ran: &HashMap<String, Vec<ServedRequest>>,
         asked: &Requests<'_>,
     ) -> Option<Broken> {
         let runs = ran.get(&left.server)?.iter();
@@ -417,7 +417,7 @@
     }
 
     /// Whether a run counts against a limit: its gateway was neither restarted nor stopped nor cut off just before.
-    fn counts(&self, run: &Ran, asked: &Requests<'_>) -> bool {
+    fn counts(&self, run: &ServedRequest, asked: &Requests<'_>) -> bool {
         // One that has not ended is judged once it has.
         let asked = asked.get(run.attempt.as_str());
         asked.is_some_and(|a| !self.is_disturbed(a.gateway, run.at, run.at))
@@ -450,16 +450,16 @@
     match asked.kind {
         Kind::Once | Kind::Safe => format!("answer to {}", asked.attempt),
         Kind::Stream => {
-            let events = (1..=EVENTS).map(|id| format!("id: {id}\ndata: word {id}\n\n"));
+            let events = (1..=STREAM_EVENTS).map(|id| format!("id: {id}\ndata: word {id}\n\n"));
             events.collect()
         }
     }
 }
 
 /// Runs that came with a caller's key, or for no workspace.
-fn passed_keys(ran: &HashMap<String, Vec<Ran>>) -> Vec<Broken> {
+fn passed_keys(ran: &HashMap<String, Vec<ServedRequest>>) -> Vec<Broken> {
     let runs = ran.values().flatten();
-    let wrong = runs.filter(|r| r.keyed || r.workspace.as_deref() != Some("andes"));
+    let wrong = runs.filter(|r| r.has_key || r.workspace.as_deref() != Some("andes"));
     wrong
         .map(|r| Broken(format!("for whom it runs is wrong: {r:?}")))
         .collect()
--- a/tests/tests/timeline.rs
+++ b/tests/tests/timeline.rs
@@ -4,7 +4,7 @@
 
 use snipemast_core::prelude::*;
 use snipemast_entry::timeline::collect;
-use snipemast_operators::timeline::{Asked, Timeline};
+use snipemast_operators::timeline::{Timeline, TimelineQuery};
 use snipemast_tests::{answer, Fleet};
 
 async fn fleet() -> Fleet {
@@ -47,7 +47,7 @@
         let fleet = fleet().await;
         ask(&fleet).await;
         let id = ask(&fleet).await;
-        let asked = Asked {
+        let asked = TimelineQuery {
             request: Some(id.clone()),
             since: None,
         };
@@ -74,7 +74,7 @@
         let journal = snipemast_tests::journal(&settings.host);
         let entry = snipemast_entry::Entry::start(settings, Incarnation::new(1), journal).await;
         let entry = entry.expect("an entry starts on port 0");
-        let timeline = collect(entry.shared(), &Asked::default()).await;
+        let timeline = collect(entry.shared(), &TimelineQuery::default()).await;
         assert!(
             timeline.unreachable.contains(&address.to_string()),
             "{timeline:?}"
