--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -52,13 +52,13 @@
 impl Api {
     /// Answers operators and servers.
     pub(crate) async fn answer_external(self: Arc<Self>, request: Request<Incoming>) -> Answer {
-        let call = Call::find(request.method(), request.uri().path());
+        let call = Call::parse(request.method(), request.uri().path());
         match call {
-            Some(Call::Put) => match read_body(request).await {
+            Some(Call::PutConfiguration) => match read_body(request).await {
                 Some(body) => self.put_config(body).await,
                 None => text_answer(StatusCode::BAD_REQUEST, "the body can't be read"),
             },
-            Some(Call::Read) => self.read_config().await,
+            Some(Call::ReadConfiguration) => self.read_config().await,
             Some(Call::Announce(id)) => match read_body(request).await {
                 Some(body) => self.announce(&id, &body).await,
                 None => text_answer(StatusCode::BAD_REQUEST, "the body can't be read"),
@@ -80,7 +80,7 @@
             path::HELLO => self.hello(&body),
             path::JOIN => self.join(&body),
             path::SUBMIT => self.submit(&body).await,
-            path::READ => Some(rpc::answer(&self.read_local())),
+            path::READ => Some(rpc::encode_response(&self.read_local())),
             news::PATH => self.news(&body).await,
             rank::PATH => self.rank(&body),
             _ => return text_answer(StatusCode::NOT_FOUND, "no such call"),
@@ -286,13 +286,13 @@
     fn receive_log(&self, body: &[u8]) -> Option<Answer> {
         let batch: Batch = decode(body)?;
         self.state.voter.receive(batch.from, batch.envelopes);
-        Some(rpc::answer(&Ack {}))
+        Some(rpc::encode_response(&Ack {}))
     }
 
     fn hello(&self, body: &[u8]) -> Option<Answer> {
         let _: Hello = decode(body)?;
         Some(match self.own.known() {
-            Some(known) => rpc::answer(&known),
+            Some(known) => rpc::encode_response(&known),
             None => text_answer(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "the data folder is not open yet",
@@ -303,26 +303,26 @@
     fn join(&self, body: &[u8]) -> Option<Answer> {
         let join: JoinRequest = decode(body)?;
         let leader = self.state.voter.join(join.voter, join.location);
-        Some(rpc::answer(&JoinAnswer { leader }))
+        Some(rpc::encode_response(&JoinAnswer { leader }))
     }
 
     async fn submit(&self, body: &[u8]) -> Option<Answer> {
         let submission: Submission = decode(body)?;
         let verdict = self.state.voter.submit(&submission).await;
         let submitted = verdict.map_or(SubmitAnswer::Unsettled, SubmitAnswer::Settled);
-        Some(rpc::answer(&submitted))
+        Some(rpc::encode_response(&submitted))
     }
 
     async fn news(&self, body: &[u8]) -> Option<Answer> {
         let poll: Poll = decode(body)?;
         let news = spread::answer_poll(&self.state, poll).await;
-        Some(rpc::answer(&news))
+        Some(rpc::encode_response(&news))
     }
 
     fn rank(&self, body: &[u8]) -> Option<Answer> {
         let update: RankUpdate = decode(body)?;
         self.state.add_rank_update(update);
-        Some(rpc::answer(&RankAck {}))
+        Some(rpc::encode_response(&RankAck {}))
     }
 
     fn metrics(&self) -> Answer {
--- a/crates/controller/src/join.rs
+++ b/crates/controller/src/join.rs
@@ -52,7 +52,7 @@
     own: Arc<OwnHost>,
     journal: Journal,
 ) {
-    let Some(folder) = settings.folder.clone() else {
+    let Some(folder) = settings.data_dir.clone() else {
         journal.record(
             Event::StorageRefused,
             &settings.host,
@@ -134,7 +134,7 @@
                 known.insert(*seed, answer);
             }
         }
-        if let Some(found) = choose_cluster(settings.first, own, &seeds, &known) {
+        if let Some(found) = choose_cluster(settings.bootstrap, own, &seeds, &known) {
             return found;
         }
         pause(ROUND_PAUSE).await;
