--- a/crates/groups/src/agree.rs
+++ b/crates/groups/src/agree.rs
@@ -1,15 +1,19 @@
-//! Agreement of a group's ranks on one expert map a step.
+//! Agreement of a group's ranks on the expert map of each step.
 //!
-//! An engine enters a step only with a permit of its agent, and a permit is a fact that is never
-//! taken back: "steps from..to use this map". An agent that promises to issue no permit from step
-//! S on without a verdict therefore needs no answer of its engine, and permits that arrive late,
-//! doubled or crossed do no harm, not even to an engine that checks no number.
+//! The protocol is a two-phase commit. A lead has every rank load the weights of a new map, then
+//! asks every rank's agent to promise that it permits no step from the switch on without a
+//! verdict, and commits once all have promised.
 //!
-//! - [`message`]: what leads, ranks and engines tell each other.
-//! - [`lead`]: proposes a map, gathers promises, decides; recovers what an earlier lead left.
-//! - [`rank`]: loads, promises, permits steps; stands for lead where no verdict comes.
+//! An engine enters a step only with a permit of its agent. A permit says "the steps from..to use
+//! this map" and is never taken back. An agent that promises to issue no permit from step S on
+//! therefore needs no answer of its engine. Permits that arrive late, twice or out of order do no
+//! harm, not even to an engine that does not check incarnations.
+//!
+//! - [`message`]: the messages between leads, ranks and engines.
+//! - [`lead`]: the state machine of the lead, which also recovers what an earlier lead left open.
+//! - [`rank`]: the state machine of a rank's agent, which starts a lead where no verdict comes.
 //! - [`evidence`]: which map a new incarnation of the group starts with.
-//! - [`margin`]: how far ahead a switch must lie so that no step is held.
+//! - [`margin`]: how far ahead a switch must lie so that no rank waits for its verdict.
 
 pub mod evidence;
 pub mod lead;
--- a/crates/groups/src/agree/evidence.rs
+++ b/crates/groups/src/agree/evidence.rs
@@ -6,41 +6,43 @@
 use super::message::{ActiveMap, Attempt, Decided, SharedMap, Verdict};
 
 data! {
-    /// A promise that waits for its verdict.
+    /// An attempt that a rank has promised and that has no verdict yet.
     #[derive(Hash)]
-    pub struct Open {
+    pub struct OpenAttempt {
         /// The attempt.
         pub attempt: Attempt,
-        /// The map that it would bring.
+        /// The map that it would bring into force.
         pub map: SharedMap,
     }
 
-    /// What a rank knows of the last incarnation that it stepped in.
+    /// What a rank knows of the last incarnation of the group that it stepped in.
     #[derive(Default, Hash)]
     pub struct Evidence {
-        /// Whether its agent remembers; an agent that restarted shows what its engine holds.
+        /// Whether its agent took part in that incarnation. An agent that has restarted since can
+        /// only report what its engine holds.
         pub remembers: bool,
         /// The last map that it committed, or that its engine stepped with.
-        pub standing: Option<ActiveMap>,
-        /// What it promised and has no verdict for.
-        pub open: Option<Open>,
-        /// The last verdict that it took.
+        #[serde(rename = "standing")]
+        pub active: Option<ActiveMap>,
+        /// The attempt that it has promised and that has no verdict yet.
+        pub open: Option<OpenAttempt>,
+        /// The last verdict that it applied.
         pub last: Option<Decided>,
     }
 }
 
 impl Evidence {
-    /// The map that a new incarnation must start with: the last that any rank may have stepped
-    /// with, as far as these ranks can tell.
+    /// Returns the map that a new incarnation must start with: the last one that any rank may have
+    /// stepped with, as far as these ranks can tell.
     ///
     /// Failure guarded against: the only ranks that knew of a commit die after they entered a
-    /// step with it, and the group goes back to the map before; callers see tokens that two maps
-    /// computed. A commit needs a promise of every rank, so an attempt that all who remember
-    /// still hold open may have been committed, and is taken; one that any of them never
-    /// promised, or knows as aborted, was not.
-    pub fn choose(all: &[Self]) -> Option<(MapVersion, SharedMap)> {
-        let standing = all.iter().filter_map(|e| e.standing.as_ref());
-        let latest = standing.max_by_key(|s| (s.incarnation, s.version))?;
+    /// step with it, and the group goes back to the map before. Callers then see tokens that were
+    /// computed with two maps. A commit needs a promise of every rank, so an attempt that all
+    /// remembering ranks still hold open may have been committed, and its map is used. An attempt
+    /// that one of them never promised, or knows to be aborted, was not committed.
+    pub fn choose_map(all: &[Self]) -> Option<(MapVersion, SharedMap)> {
+        let active = all.iter().filter_map(|e| e.active.as_ref());
+        let latest = active.max_by_key(|a| (a.incarnation, a.version))?;
         let committed = (latest.version, latest.map.clone());
         let witnesses: Vec<&Self> = all
             .iter()
@@ -51,12 +53,12 @@
             .filter_map(|e| e.open.as_ref())
             .max_by_key(|o| o.attempt)
             .filter(|o| o.attempt.version > committed.0)
-            .filter(|o| witnesses.iter().all(|e| e.allows(o.attempt)));
+            .filter(|o| witnesses.iter().all(|e| e.may_have_committed(o.attempt)));
         Some(possible.map_or(committed, |o| (o.attempt.version, o.map.clone())))
     }
 
-    /// The verdict that any of these ranks took for an attempt.
-    pub fn verdict_of(all: &[Self], attempt: Attempt) -> Option<Verdict> {
+    /// Returns the verdict on an attempt, where one of these ranks has applied it.
+    pub fn find_verdict(all: &[Self], attempt: Attempt) -> Option<Verdict> {
         all.iter()
             .filter_map(|e| e.last)
             .find(|d| d.attempt == attempt)
@@ -64,11 +66,11 @@
     }
 
     fn incarnation(&self) -> Option<GroupIncarnation> {
-        self.standing.as_ref().map(|s| s.incarnation)
+        self.active.as_ref().map(|a| a.incarnation)
     }
 
     /// Whether the attempt may have been committed, as far as this rank can tell.
-    fn allows(&self, attempt: Attempt) -> bool {
+    fn may_have_committed(&self, attempt: Attempt) -> bool {
         self.open.as_ref().is_some_and(|o| o.attempt == attempt)
     }
 }
--- a/crates/groups/src/agree/lead.rs
+++ b/crates/groups/src/agree/lead.rs
@@ -1,4 +1,5 @@
-//! The lead's part: proposes a map, gathers promises, decides; recovers what an earlier lead left.
+//! The state machine of the lead: it proposes a map, gathers promises and decides, and it recovers
+//! what an earlier lead left open.
 
 use std::fmt;
 
@@ -12,27 +13,27 @@
     Verdict,
 };
 
-/// How often a map is tried again with a later switch before it is given up.
-pub const TRIES: u32 = 4;
+/// How often a map is retried with a later switch before it is given up.
+pub const MAX_RETRIES: u32 = 4;
 
 data! {
-    /// A map that the control role wants in force.
+    /// A map that the control role wants to bring into force.
     #[derive(Hash)]
     pub struct Proposal {
         /// The fencing number of the control leader's term.
         pub fence: Fence,
-        /// The version of the map that it was worked out from.
+        /// The version of the map that it was computed from.
         pub base: MapVersion,
         /// The map.
         pub map: SharedMap,
     }
 
-    /// Why a proposal came to nothing.
+    /// Why a proposal was rejected.
     #[derive(Copy, Hash)]
     pub enum Rejection {
-        /// A later fencing number is known.
+        /// The lead knows this later fencing number.
         Stale(Fence),
-        /// Another map is in force than the one it was worked out from.
+        /// This map is in force, which is not the one that the proposal was computed from.
         Rebased(MapVersion),
         /// Another proposal is under way.
         Busy,
@@ -49,21 +50,21 @@
     /// A timer of a lead.
     #[derive(Copy, Hash, PartialOrd, Ord)]
     pub enum LeadTimer {
-        /// Tell again whoever has not answered.
+        /// Send the current message again to the ranks that have not answered.
         Resend,
-        /// Give up loading the weights of a version.
+        /// Give up loading the weights of this map.
         #[serde(rename = "LoadOver")]
         LoadTimeout(MapVersion),
-        /// Give up waiting for promises for a version.
+        /// Give up waiting for promises for this map.
         #[serde(rename = "PromiseOver")]
         PromiseTimeout(MapVersion),
     }
 }
 
-/// What a lead is told.
+/// An input of the lead's state machine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum LeadInput {
-    /// The lead was started.
+    /// The lead has started.
     Begin,
     /// The control role proposes a map.
     Propose(Proposal),
@@ -71,7 +72,7 @@
     Rank {
         /// The rank.
         from: u32,
-        /// The term that it answers.
+        /// The term of the lead that it answers.
         term: LeadTerm,
         /// Its message.
         message: RankMessage,
@@ -80,45 +81,46 @@
     Fired(LeadTimer),
 }
 
-/// What a lead wants done.
+/// An action that the lead's state machine asks for.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum LeadOutput {
-    /// Tell a rank.
+    /// Send a message to a rank.
     ToRank(u32, LeadMessage),
-    /// Start a timer, in place of one of the same kind that runs.
+    /// Start a timer, replacing a running one of the same kind.
     Arm(LeadTimer),
     /// A map is committed.
     Committed(MapVersion),
-    /// A proposal came to nothing.
+    /// A proposal was rejected.
     Rejected(Rejection),
-    /// A later term is known: this lead has ended.
+    /// A later term is known, so this lead has ended.
     Outranked(LeadTerm),
 }
 
+/// What the lead is doing.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Phase {
-    /// Waits for every rank's report.
+    /// The lead waits for the report of every rank.
     Asking { reports: Vec<Option<Report>> },
-    /// Waits until every rank has the weights.
+    /// The lead waits until every rank has loaded the weights.
     Loading { plan: Plan, loaded: Vec<bool> },
-    /// Waits for every rank's promise.
+    /// The lead waits for the promise of every rank.
     Promising {
         plan: Plan,
         attempt: Attempt,
         promised: Vec<bool>,
     },
-    /// Waits until every rank has the verdict.
+    /// The lead waits until every rank has applied the verdict.
     Settling {
         decided: Decided,
         settled: Vec<bool>,
     },
     /// Nothing is under way.
     Idle,
-    /// A later term leads.
+    /// A lead with a later term is known.
     Ended,
 }
 
-/// A map on its way into force.
+/// A map that is being brought into force.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Plan {
     origin: Origin,
@@ -127,7 +129,7 @@
     tries: u32,
 }
 
-/// The machine of a group's lead.
+/// The state machine of a group's lead.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Lead {
     term: LeadTerm,
@@ -140,11 +142,12 @@
     permitted: Step,
     heard: MapVersion,
     waiting: Option<Plan>,
-    tries: u32,
+    retries: u32,
 }
 
 impl Lead {
-    /// A lead of a group of this many ranks; it asks every rank before it does anything else.
+    /// Creates the lead of a group with this many ranks. It asks every rank for a report before it
+    /// does anything else.
     pub fn new(term: LeadTerm, ranks: u32, margin: Margin) -> Self {
         let ranks = ranks as usize;
         Self {
@@ -160,47 +163,49 @@
             permitted: Step::new(0),
             heard: MapVersion::new(0),
             waiting: None,
-            tries: TRIES,
+            retries: MAX_RETRIES,
         }
     }
 
-    /// Tries a map so often again with a later switch.
+    /// Sets how often a map is retried with a later switch.
     #[must_use]
-    pub fn with_tries(mut self, tries: u32) -> Self {
-        self.tries = tries;
+    pub fn with_retries(mut self, retries: u32) -> Self {
+        self.retries = retries;
         self
     }
 
-    /// Takes an input and says what is to be done.
+    /// Handles an input and returns the actions that follow from it.
     pub fn handle(&mut self, input: LeadInput) -> Vec<LeadOutput> {
         let mut out = Vec::new();
         match input {
-            LeadInput::Begin => self.tell_missing(&mut out),
+            LeadInput::Begin => self.send_to_missing(&mut out),
             LeadInput::Propose(proposal) => self.propose(proposal, &mut out),
-            // Failure guarded against: an answer to an earlier term of this lead counts for this
-            // one, although its rank has restarted in between and knows nothing of it.
+            // Failure guarded against: an answer to an earlier term of this lead is counted for
+            // this term, although the rank has restarted in between and knows nothing of it.
             LeadInput::Rank { term, .. } if term != self.term => {}
-            LeadInput::Rank { from, message, .. } => self.rank_says(from, message, &mut out),
-            LeadInput::Fired(LeadTimer::Resend) => self.tell_missing(&mut out),
-            LeadInput::Fired(LeadTimer::LoadTimeout(version)) => self.load_over(version, &mut out),
+            LeadInput::Rank { from, message, .. } => self.handle_message(from, message, &mut out),
+            LeadInput::Fired(LeadTimer::Resend) => self.send_to_missing(&mut out),
+            LeadInput::Fired(LeadTimer::LoadTimeout(version)) => {
+                self.handle_load_timeout(version, &mut out)
+            }
             LeadInput::Fired(LeadTimer::PromiseTimeout(version)) => {
-                self.promise_over(version, &mut out);
+                self.handle_promise_timeout(version, &mut out);
             }
         }
         out
     }
 
-    /// The term of this lead.
+    /// Returns the term of this lead.
     pub fn term(&self) -> LeadTerm {
         self.term
     }
 
-    /// The version in force, where the group has one.
+    /// Returns the version of the map in force, where the group has one.
     pub fn version(&self) -> Option<MapVersion> {
         self.current.as_ref().map(|(v, _)| *v)
     }
 
-    /// Whether a proposal would be taken up at once.
+    /// Whether a proposal would be started at once.
     pub fn is_idle(&self) -> bool {
         self.phase == Phase::Idle
     }
@@ -225,16 +230,16 @@
             tries: 0,
         };
         if self.phase == Phase::Idle {
-            self.take_up(plan, out);
-        } else if newer || (self.waiting.is_none() && !self.is_bringing()) {
+            self.start_plan(plan, out);
+        } else if newer || (self.waiting.is_none() && !self.has_control_plan()) {
             self.replace(plan, out);
         } else {
             out.push(LeadOutput::Rejected(Rejection::Busy));
         }
     }
 
-    /// Whether a map of the control role is under way.
-    fn is_bringing(&self) -> bool {
+    /// Whether a map of the control role is being brought into force.
+    fn has_control_plan(&self) -> bool {
         match &self.phase {
             Phase::Loading { plan, .. } | Phase::Promising { plan, .. } => {
                 plan.origin != Origin::Recovery
@@ -243,15 +248,15 @@
         }
     }
 
-    /// Puts a plan in the place of whatever waits or can still be given up.
+    /// Replaces the plan that waits, and gives up the one under way where that is still possible.
     fn replace(&mut self, plan: Plan, out: &mut Vec<LeadOutput>) {
-        let bringing = self.is_bringing();
-        if self.waiting.replace(plan).is_some() || bringing {
+        let under_way = self.has_control_plan();
+        if self.waiting.replace(plan).is_some() || under_way {
             out.push(LeadOutput::Rejected(Rejection::Replaced));
         }
         match &self.phase {
-            Phase::Loading { .. } if bringing => self.rest(out),
-            Phase::Promising { attempt, .. } if bringing => {
+            Phase::Loading { .. } if under_way => self.finish(out),
+            Phase::Promising { attempt, .. } if under_way => {
                 let attempt = *attempt;
                 self.decide(attempt, Verdict::Abort, out);
             }
@@ -259,19 +264,19 @@
         }
     }
 
-    /// Takes up a plan whose version still names its base.
-    fn take_up(&mut self, plan: Plan, out: &mut Vec<LeadOutput>) {
+    /// Starts a plan whose version still names the map it was computed from.
+    fn start_plan(&mut self, plan: Plan, out: &mut Vec<LeadOutput>) {
         let current = self.version().unwrap_or_default();
         if plan.tries == 0 && plan.version != current {
             out.push(LeadOutput::Rejected(Rejection::Rebased(current)));
             return;
         }
-        self.bring(plan, out);
+        self.load_plan(plan, out);
     }
 
-    /// Has every rank load the weights of a plan, under a version of its own.
-    fn bring(&mut self, plan: Plan, out: &mut Vec<LeadOutput>) {
-        // A version is used for one attempt only, so that it always names one map.
+    /// Has every rank load the weights of a plan, under a new version.
+    fn load_plan(&mut self, plan: Plan, out: &mut Vec<LeadOutput>) {
+        // A version is used for one attempt only, so it never names two maps.
         let version = match plan.origin {
             Origin::Control(_) => self.heard.next(),
             Origin::Recovery => plan.version,
@@ -280,27 +285,27 @@
         let plan = Plan { version, ..plan };
         let loaded = vec![false; self.ranks];
         self.phase = Phase::Loading { plan, loaded };
-        self.tell_missing(out);
+        self.send_to_missing(out);
         out.push(LeadOutput::Arm(LeadTimer::LoadTimeout(version)));
     }
 
-    fn rank_says(&mut self, from: u32, message: RankMessage, out: &mut Vec<LeadOutput>) {
+    fn handle_message(&mut self, from: u32, message: RankMessage, out: &mut Vec<LeadOutput>) {
         let from = from as usize;
         if from >= self.ranks || self.is_ended() {
             return;
         }
         match message {
-            RankMessage::Report(report) => self.reported(from, *report, out),
+            RankMessage::Report(report) => self.handle_report(from, *report, out),
             RankMessage::Loaded { version, permitted } => {
-                self.loaded(from, version, permitted, out);
+                self.handle_loaded(from, version, permitted, out);
             }
-            RankMessage::Promised { attempt } => self.promised(from, attempt, out),
-            RankMessage::Settled { attempt } => self.settled(from, attempt, out),
-            RankMessage::Refused { refusal } => self.refused(refusal, out),
+            RankMessage::Promised { attempt } => self.handle_promise(from, attempt, out),
+            RankMessage::Settled { attempt } => self.handle_settled(from, attempt, out),
+            RankMessage::Refused { refusal } => self.handle_refusal(refusal, out),
         }
     }
 
-    fn reported(&mut self, from: usize, report: Report, out: &mut Vec<LeadOutput>) {
+    fn handle_report(&mut self, from: usize, report: Report, out: &mut Vec<LeadOutput>) {
         let Phase::Asking { reports } = &mut self.phase else {
             return;
         };
@@ -314,47 +319,47 @@
         }
     }
 
-    /// Goes on where earlier leads stopped, now that every rank has reported.
+    /// Continues where earlier leads stopped, now that every rank has reported.
     fn recover(&mut self, evidence: &[Evidence], out: &mut Vec<LeadOutput>) {
         let started = |e: &Evidence| {
-            let joined = e.standing.as_ref().map(|s| s.incarnation);
+            let joined = e.active.as_ref().map(|a| a.incarnation);
             e.remembers && joined == Some(self.term.incarnation)
         };
         if evidence.iter().all(started) {
-            self.resolve(evidence, out);
+            self.finish_open_attempt(evidence, out);
         } else if evidence.iter().any(started) {
-            self.reform(out);
+            self.open_incarnation(out);
         } else {
-            self.form(evidence, out);
+            self.start_incarnation(evidence, out);
         }
     }
 
     /// Finishes an attempt that an earlier lead of this incarnation left open.
     ///
-    /// Failure guarded against: the old lead told one rank to commit and died; the others would
-    /// enter the switch with the old map. Every rank was asked, and each refuses the old lead
-    /// from then on, so what none of them has committed never will be.
-    fn resolve(&mut self, evidence: &[Evidence], out: &mut Vec<LeadOutput>) {
+    /// Failure guarded against: the old lead told one rank to commit and died, and the other ranks
+    /// enter the switch with the old map. Every rank has reported and refuses the old lead from
+    /// then on, so an attempt that none of them has committed never will be.
+    fn finish_open_attempt(&mut self, evidence: &[Evidence], out: &mut Vec<LeadOutput>) {
         self.formed = true;
-        let standing = evidence.iter().filter_map(|e| e.standing.as_ref());
-        let latest = standing.max_by_key(|s| s.version);
-        self.current = latest.map(|s| (s.version, s.map.clone()));
+        let active = evidence.iter().filter_map(|e| e.active.as_ref());
+        let latest = active.max_by_key(|a| a.version);
+        self.current = latest.map(|a| (a.version, a.map.clone()));
         let open = evidence.iter().filter_map(|e| e.open.as_ref());
         let Some(open) = open.max_by_key(|o| o.attempt).cloned() else {
-            return self.rest(out);
+            return self.finish(out);
         };
-        let seen = Evidence::verdict_of(evidence, open.attempt);
-        let verdict = seen.unwrap_or(Verdict::Abort);
+        let known = Evidence::find_verdict(evidence, open.attempt);
+        let verdict = known.unwrap_or(Verdict::Abort);
         self.decide(open.attempt, verdict, out);
     }
 
     /// Starts a new incarnation with the last map that any rank may have stepped with.
-    fn form(&mut self, evidence: &[Evidence], out: &mut Vec<LeadOutput>) {
-        match Evidence::choose(evidence) {
+    fn start_incarnation(&mut self, evidence: &[Evidence], out: &mut Vec<LeadOutput>) {
+        match Evidence::choose_map(evidence) {
             Some((version, map)) => {
                 self.current = Some((version, map.clone()));
                 self.heard = self.heard.max(version);
-                self.bring(
+                self.load_plan(
                     Plan {
                         origin: Origin::Recovery,
                         version,
@@ -364,22 +369,22 @@
                     out,
                 );
             }
-            None => self.rest(out),
+            None => self.finish(out),
         }
     }
 
-    /// Opens another incarnation of the group and asks every rank anew.
-    fn reform(&mut self, out: &mut Vec<LeadOutput>) {
+    /// Opens another incarnation of the group and asks every rank for a new report.
+    fn open_incarnation(&mut self, out: &mut Vec<LeadOutput>) {
         let LeadTerm { rank, start, .. } = self.term;
         self.term = self.term.next_incarnation(rank, start);
         self.formed = false;
         self.phase = Phase::Asking {
             reports: vec![None; self.ranks],
         };
-        self.tell_missing(out);
+        self.send_to_missing(out);
     }
 
-    fn loaded(
+    fn handle_loaded(
         &mut self,
         from: usize,
         version: MapVersion,
@@ -400,12 +405,13 @@
         }
     }
 
-    /// Asks for promises, with a switch so far ahead that the verdict comes before it.
+    /// Asks for promises, with a switch so far ahead that the verdict arrives before it.
     fn prepare(&mut self, plan: Plan, out: &mut Vec<LeadOutput>) {
         let switch = if self.formed {
-            Step::new(self.permitted.get() + self.margin.steps())
+            Step::new(self.permitted.get() + self.margin.switch_distance())
         } else {
-            // Nobody steps: the new incarnation starts past every permit of the last one.
+            // No rank steps, so the new incarnation may start just past every permit of the last
+            // one.
             self.permitted.next()
         };
         let version = plan.version;
@@ -420,11 +426,11 @@
             attempt,
             promised,
         };
-        self.tell_missing(out);
+        self.send_to_missing(out);
         out.push(LeadOutput::Arm(LeadTimer::PromiseTimeout(version)));
     }
 
-    fn promised(&mut self, from: usize, attempt: Attempt, out: &mut Vec<LeadOutput>) {
+    fn handle_promise(&mut self, from: usize, attempt: Attempt, out: &mut Vec<LeadOutput>) {
         let Phase::Promising {
             attempt: open,
             promised,
@@ -449,10 +455,10 @@
         let decided = Decided { attempt, verdict };
         let settled = vec![false; self.ranks];
         self.phase = Phase::Settling { decided, settled };
-        self.tell_missing(out);
+        self.send_to_missing(out);
     }
 
-    fn settled(&mut self, from: usize, attempt: Attempt, out: &mut Vec<LeadOutput>) {
+    fn handle_settled(&mut self, from: usize, attempt: Attempt, out: &mut Vec<LeadOutput>) {
         let Phase::Settling { decided, settled } = &mut self.phase else {
             return;
         };
@@ -461,47 +467,47 @@
         }
         settled[from] = true;
         // Failure guarded against: a second attempt is opened while a rank still waits for the
-        // verdict on the first, and a lead that recovers finds two attempts open.
+        // verdict on the first one, and a lead that recovers finds two open attempts.
         if settled.iter().all(|s| *s) {
-            self.rest(out);
+            self.finish(out);
         }
     }
 
-    /// Nothing is under way any more: takes up what waits.
-    fn rest(&mut self, out: &mut Vec<LeadOutput>) {
+    /// Ends what is under way and starts the plan that waits, if there is one.
+    fn finish(&mut self, out: &mut Vec<LeadOutput>) {
         self.phase = Phase::Idle;
         if let Some(plan) = self.waiting.take() {
-            self.take_up(plan, out);
+            self.start_plan(plan, out);
         } else if !self.formed && self.current.is_some() {
-            // A start that failed is tried again: nobody steps until one succeeds.
-            self.reform(out);
+            // A failed start is retried, because no rank steps until one succeeds.
+            self.open_incarnation(out);
         }
     }
 
-    fn refused(&mut self, refusal: Refusal, out: &mut Vec<LeadOutput>) {
+    fn handle_refusal(&mut self, refusal: Refusal, out: &mut Vec<LeadOutput>) {
         match refusal {
             Refusal::Outranked(term) if term > self.term => {
                 self.phase = Phase::Ended;
                 out.push(LeadOutput::Outranked(term));
             }
-            // The agent started anew and forgot what it promised to whom.
-            Refusal::Unasked(term) if term == self.term => self.reform(out),
+            // The agent has restarted and does not remember its promises.
+            Refusal::Unasked(term) if term == self.term => self.open_incarnation(out),
             Refusal::Stale(fence) if fence > self.fence => {
                 self.fence = fence;
                 self.give_up_load(Rejection::Stale(fence), out);
             }
             Refusal::Unfenced => self.give_up_load(Rejection::Unfenced, out),
             Refusal::Unloaded(version) => {
-                self.unloaded(version, out);
-                self.load_over(version, out);
+                self.handle_lost_weights(version, out);
+                self.handle_load_timeout(version, out);
             }
-            Refusal::Late(attempt) | Refusal::Busy(attempt) => self.again(attempt, out),
+            Refusal::Late(attempt) | Refusal::Busy(attempt) => self.retry(attempt, out),
             Refusal::Outranked(_) | Refusal::Unasked(_) | Refusal::Stale(_) => {}
         }
     }
 
-    /// Aborts an attempt whose switch was too near, and tries the map again.
-    fn again(&mut self, late: Attempt, out: &mut Vec<LeadOutput>) {
+    /// Aborts an attempt whose switch was too soon, and tries the map again.
+    fn retry(&mut self, late: Attempt, out: &mut Vec<LeadOutput>) {
         let Phase::Promising { plan, attempt, .. } = &self.phase else {
             return;
         };
@@ -509,7 +515,7 @@
             return;
         }
         let tries = plan.tries + 1;
-        if tries <= self.tries && self.waiting.is_none() && plan.origin != Origin::Recovery {
+        if tries <= self.retries && self.waiting.is_none() && plan.origin != Origin::Recovery {
             self.waiting = Some(Plan {
                 tries,
                 ..plan.clone()
@@ -518,34 +524,34 @@
         self.decide(late, Verdict::Abort, out);
     }
 
-    /// Aborts an attempt whose weights a rank has lost since it had them.
-    fn unloaded(&mut self, version: MapVersion, out: &mut Vec<LeadOutput>) {
+    /// Aborts an attempt for which a rank no longer has the weights.
+    fn handle_lost_weights(&mut self, version: MapVersion, out: &mut Vec<LeadOutput>) {
         let Phase::Promising { attempt, .. } = &self.phase else {
             return;
         };
         if attempt.version == version {
             let attempt = *attempt;
-            self.again(attempt, out);
+            self.retry(attempt, out);
         }
     }
 
-    fn load_over(&mut self, version: MapVersion, out: &mut Vec<LeadOutput>) {
+    fn handle_load_timeout(&mut self, version: MapVersion, out: &mut Vec<LeadOutput>) {
         if matches!(&self.phase, Phase::Loading { plan, .. } if plan.version == version) {
             self.give_up_load(Rejection::Unloaded, out);
         }
     }
 
-    /// Gives up a load: nothing was promised, so nobody needs a verdict.
+    /// Gives up a load. Nothing was promised, so no rank needs a verdict.
     fn give_up_load(&mut self, why: Rejection, out: &mut Vec<LeadOutput>) {
-        if self.is_bringing() && matches!(self.phase, Phase::Loading { .. }) {
+        if self.has_control_plan() && matches!(self.phase, Phase::Loading { .. }) {
             out.push(LeadOutput::Rejected(why));
-            self.rest(out);
+            self.finish(out);
         }
     }
 
-    /// Aborts an attempt that not every rank promised in time: the verdict still comes before
-    /// the switch, so a rank that stalls holds nobody but itself.
-    fn promise_over(&mut self, version: MapVersion, out: &mut Vec<LeadOutput>) {
+    /// Aborts an attempt that not every rank has promised in time. The verdict still arrives before
+    /// the switch, so a stalled rank holds up no other rank.
+    fn handle_promise_timeout(&mut self, version: MapVersion, out: &mut Vec<LeadOutput>) {
         let Phase::Promising { attempt, .. } = &self.phase else {
             return;
         };
@@ -556,15 +562,16 @@
         }
     }
 
-    /// Tells whoever has not answered yet, and will do so again.
-    fn tell_missing(&self, out: &mut Vec<LeadOutput>) {
+    /// Sends the message of the current phase to the ranks that have not answered, and starts the
+    /// timer that repeats it.
+    fn send_to_missing(&self, out: &mut Vec<LeadOutput>) {
         let term = self.term;
         let (answered, message) = match &self.phase {
             Phase::Asking { reports } => {
                 let answered = reports.iter().map(Option::is_some).collect();
                 (answered, LeadMessage::Ask { term })
             }
-            Phase::Loading { plan, loaded } => (loaded.clone(), plan.load(term)),
+            Phase::Loading { plan, loaded } => (loaded.clone(), plan.load_message(term)),
             Phase::Promising {
                 attempt, promised, ..
             } => (promised.clone(), LeadMessage::Prepare { attempt: *attempt }),
@@ -581,7 +588,7 @@
 }
 
 impl Plan {
-    fn load(&self, term: LeadTerm) -> LeadMessage {
+    fn load_message(&self, term: LeadTerm) -> LeadMessage {
         LeadMessage::Load {
             term,
             origin: self.origin,
@@ -595,9 +602,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Stale(fence) => write!(f, "fencing number {fence} is later"),
-            Self::Rebased(version) => write!(f, "map {version} is in force by now"),
-            Self::Busy => f.write_str("another map is under way"),
-            Self::Replaced => f.write_str("a later control leader's map took its place"),
+            Self::Rebased(version) => write!(f, "map {version} is in force now"),
+            Self::Busy => f.write_str("another map is being brought into force"),
+            Self::Replaced => f.write_str("a proposal with a later fencing number took its place"),
             Self::Unloaded => f.write_str("a rank could not load the weights in time"),
             Self::Unpromised => f.write_str("a rank did not promise in time"),
             Self::Unfenced => f.write_str("an agent does not know the fencing number yet"),
--- a/crates/groups/src/agree/message.rs
+++ b/crates/groups/src/agree/message.rs
@@ -1,4 +1,4 @@
-//! What leads, ranks and engines tell each other.
+//! The messages between leads, ranks and engines.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,29 +9,29 @@
 use super::evidence::Evidence;
 use crate::map::ExpertMap;
 
-/// A map that several messages and machines share.
+/// A map that several messages and state machines share.
 pub type SharedMap = Arc<ExpertMap>;
 
 data! {
-    /// A lead's claim to lead: a later one outranks all earlier ones.
+    /// The term of a lead: a later one outranks all earlier ones.
     ///
-    /// Rank and start make two leads' claims differ even where both chose the same ballot.
+    /// Rank and start make the terms of two leads differ even where both chose the same ballot.
     #[derive(Copy, Hash, PartialOrd, Ord)]
     pub struct LeadTerm {
-        /// The start of the group that it leads.
+        /// The incarnation of the group that it leads.
         pub incarnation: GroupIncarnation,
         /// The ballot within that incarnation.
         pub ballot: Ballot,
         /// The rank whose agent leads.
         pub rank: u32,
-        /// The start of that agent.
+        /// The incarnation of that agent's process.
         pub start: Incarnation,
     }
 
     /// One attempt to bring a map into force.
     #[derive(Copy, Hash, PartialOrd, Ord)]
     pub struct Attempt {
-        /// The term that opened it.
+        /// The term of the lead that opened it.
         #[serde(rename = "reign")]
         pub term: LeadTerm,
         /// The version that the map would get.
@@ -40,7 +40,7 @@
         pub switch: Step,
     }
 
-    /// What became of an attempt.
+    /// The outcome of an attempt.
     #[derive(Copy, Hash)]
     pub enum Verdict {
         /// Every rank enters the switch step with the new map.
@@ -69,10 +69,10 @@
         pub map: SharedMap,
     }
 
-    /// A fact about steps: it is never taken back.
+    /// Permits an engine to enter some steps with one map; it is never taken back.
     #[derive(Copy, Hash)]
     pub struct Permit {
-        /// The incarnation of the group; a later one starts at its first permit's first step.
+        /// The incarnation of the group; a later one starts at the first step of its first permit.
         pub incarnation: GroupIncarnation,
         /// The first step.
         pub from: Step,
@@ -85,24 +85,24 @@
     /// Where a map to load comes from.
     #[derive(Copy, Hash)]
     pub enum Origin {
-        /// The control role proposed it, under this fencing number.
+        /// The control role proposed it under this fencing number.
         Control(Fence),
         /// An earlier incarnation of the group used it.
         Recovery,
     }
 
-    /// From the lead to a rank.
+    /// A message of the lead to a rank.
     #[derive(Hash)]
     pub enum LeadMessage {
-        /// Obey this term, and report.
+        /// Asks the rank to obey this term and to report.
         Ask {
-            /// The term.
+            /// The term of the lead.
             #[serde(rename = "reign")]
             term: LeadTerm,
         },
-        /// Load the weights that a map needs, ahead of any switch.
+        /// Asks for the weights of a map to be loaded, ahead of any switch.
         Load {
-            /// The term.
+            /// The term of the lead.
             #[serde(rename = "reign")]
             term: LeadTerm,
             /// Where the map comes from.
@@ -112,14 +112,15 @@
             /// The map.
             map: SharedMap,
         },
-        /// Promise to permit no step from the switch on without a verdict.
+        /// Asks for a promise to permit no step from the switch on without a verdict.
         Prepare {
             /// The attempt.
             attempt: Attempt,
         },
-        /// Take the verdict.
+        /// Carries the verdict on an attempt.
         Decide {
-            /// The term that decides, which may be later than the one that opened the attempt.
+            /// The term of the lead that decides, which may be later than the one that opened the
+            /// attempt.
             #[serde(rename = "reign")]
             term: LeadTerm,
             /// The attempt and its verdict.
@@ -127,44 +128,44 @@
         },
     }
 
-    /// From a rank to the lead.
+    /// A message of a rank to the lead.
     #[derive(Hash)]
     pub enum RankMessage {
-        /// What the rank knows.
+        /// The rank's report, in answer to [`LeadMessage::Ask`].
         Report(Box<Report>),
-        /// The weights of a map are loaded.
+        /// The rank has loaded the weights of a map.
         Loaded {
             /// The version.
             version: MapVersion,
             /// The step after the last that the rank has permitted.
             permitted: Step,
         },
-        /// No step from the switch on is permitted without a verdict.
+        /// The rank permits no step from the switch on without a verdict.
         Promised {
             /// The attempt.
             attempt: Attempt,
         },
-        /// The verdict was taken.
+        /// The rank has applied the verdict.
         Settled {
             /// The attempt.
             attempt: Attempt,
         },
-        /// Something was refused.
+        /// The rank has refused a message.
         Refused {
             /// Why.
             refusal: Refusal,
         },
     }
 
-    /// What a rank knows when a lead asks.
+    /// The state that a rank reports to a new lead.
     #[derive(Hash)]
     pub struct Report {
-        /// The last term that it obeys.
+        /// The term that it obeys.
         #[serde(rename = "reign")]
         pub term: LeadTerm,
-        /// The step after the last that its engine may ever have been permitted.
+        /// The step after the last one that its engine may ever have been permitted.
         pub permitted: Step,
-        /// The highest version that it has heard of.
+        /// The highest map version that it has seen.
         pub heard: MapVersion,
         /// What it knows of the last incarnation that it stepped in.
         pub evidence: Evidence,
@@ -173,34 +174,34 @@
     /// Why a rank refuses a message of a lead.
     #[derive(Copy, Hash)]
     pub enum Refusal {
-        /// A later term is known.
+        /// The rank knows this later term.
         Outranked(LeadTerm),
-        /// The message belongs to a term that never asked this agent.
+        /// The message belongs to a term whose [`LeadMessage::Ask`] this agent has not seen.
         Unasked(LeadTerm),
-        /// A later fencing number is known.
+        /// The rank knows this later fencing number.
         Stale(Fence),
-        /// The agent started lately and does not know the fencing number yet.
+        /// The agent has just started and does not know the fencing number yet.
         Unfenced,
-        /// The weights could not be loaded.
+        /// The weights of this map could not be loaded.
         Unloaded(MapVersion),
-        /// The switch lies before a step that is already permitted.
+        /// The switch lies before a step that the rank has already permitted.
         Late(Attempt),
-        /// An earlier switch is still to come, or an attempt is still open.
+        /// This earlier attempt is still open.
         Busy(Attempt),
     }
 
-    /// Between the agents of a group's ranks.
+    /// A message between the agents of a group's ranks.
     #[derive(Copy, Hash)]
     pub enum PeerMessage {
-        /// What became of an attempt?
+        /// Asks for the verdict on an attempt.
         Query(Attempt),
-        /// This became of it.
+        /// Carries the verdict on an attempt.
         Answer(Decided),
     }
 }
 
 impl LeadTerm {
-    /// The first term of the incarnation after this one, by another claimant.
+    /// Returns the first term of the incarnation after this one, for the given lead.
     #[must_use]
     pub fn next_incarnation(self, rank: u32, start: Incarnation) -> Self {
         Self {
@@ -211,7 +212,7 @@
         }
     }
 
-    /// The next ballot within the incarnation, by another claimant.
+    /// Returns the next term within this incarnation, for the given lead.
     #[must_use]
     pub fn next_ballot(self, rank: u32, start: Incarnation) -> Self {
         Self {
@@ -255,13 +256,13 @@
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Outranked(term) => write!(f, "reign {term} is later"),
-            Self::Unasked(term) => write!(f, "reign {term} never asked"),
+            Self::Outranked(term) => write!(f, "term {term} is later"),
+            Self::Unasked(term) => write!(f, "term {term} has not asked this rank"),
             Self::Stale(fence) => write!(f, "fencing number {fence} is later"),
             Self::Unfenced => f.write_str("the fencing number is not known yet"),
             Self::Unloaded(version) => write!(f, "weights of map {version} can't be loaded"),
-            Self::Late(attempt) => write!(f, "{attempt} is too near"),
-            Self::Busy(attempt) => write!(f, "{attempt} comes first"),
+            Self::Late(attempt) => write!(f, "{attempt} starts too soon"),
+            Self::Busy(attempt) => write!(f, "{attempt} is still open"),
         }
     }
 }
--- a/crates/groups/src/agree/rank.rs
+++ b/crates/groups/src/agree/rank.rs
@@ -1,23 +1,24 @@
-//! A rank's part: loads, promises, permits steps; stands for lead where no verdict comes.
+//! The state machine of a rank's agent: it loads weights, promises, permits steps, and starts a
+//! lead where no verdict comes.
 
 use snipemast_core::data;
 use snipemast_core::prelude::*;
 
-use super::evidence::{Evidence, Open};
+use super::evidence::{Evidence, OpenAttempt};
 use super::message::{
     ActiveMap, Attempt, Decided, LeadMessage, LeadTerm, Origin, PeerMessage, Permit, RankMessage,
     Refusal, Report, SharedMap, Verdict,
 };
 
 data! {
-    /// What a rank's engine shows of itself.
+    /// The status that a rank's engine reports.
     #[derive(Hash)]
     pub struct EngineStatus {
         /// The incarnation of the group that it steps in.
         pub incarnation: GroupIncarnation,
-        /// The step that it is in or waits to enter.
+        /// The step that it is in or is waiting to enter.
         pub step: Step,
-        /// The step after the last that it has a permit for without a gap.
+        /// The step after the last one that it has a permit for, without a gap before it.
         pub end: Step,
         /// The map of the last step that it entered.
         #[serde(rename = "shown")]
@@ -27,16 +28,16 @@
     /// A timer of a rank.
     #[derive(Copy, Hash, PartialOrd, Ord)]
     pub enum Timer {
-        /// No verdict has come for long.
+        /// No verdict has come in time.
         #[serde(rename = "Patience")]
         VerdictTimeout,
     }
 }
 
-/// What a rank's machine is told.
+/// An input of a rank's state machine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum RankInput {
-    /// The agent has started, or the group got a lead from outside.
+    /// The agent has started.
     Begin,
     /// The control role asks this agent to lead.
     Appointed,
@@ -49,52 +50,52 @@
         /// Its message.
         message: PeerMessage,
     },
-    /// What the engine shows.
+    /// The engine has reported its status.
     Engine(EngineStatus),
-    /// The engine died: its permits and weights are gone.
+    /// The engine has died, and its permits and weights are gone.
     EngineLost,
     /// The weights of a map are loaded.
     Loaded(MapVersion),
-    /// The weights of a map can't be loaded.
+    /// The weights of a map could not be loaded.
     LoadFailed(MapVersion),
-    /// The fencing number that a majority of the control role knows, or that no longer lease
-    /// than has been waited out can contradict.
+    /// The agent has learnt a fencing number: either a majority of the control role knows it, or
+    /// every lease that could contradict it has run out.
     FenceLearnt(Fence),
     /// A timer has fired.
     Fired(Timer),
 }
 
-/// What a rank's machine wants done.
+/// An action that a rank's state machine asks for.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum RankOutput {
-    /// Answer the lead of a term.
+    /// Send a message to the lead of a term.
     ToLead(LeadTerm, RankMessage),
-    /// Tell another rank.
+    /// Send a message to another rank.
     ToRank(u32, PeerMessage),
     /// Pass a permit to the engine.
     Permit(Permit),
     /// Load the weights of a map, ahead of any switch.
     LoadWeights(MapVersion, SharedMap),
-    /// The weights of a map are not needed: cancel the load, or keep them for the next one.
+    /// The weights of a map are not needed now: cancel the load, or keep them for the next one.
     DropWeights(MapVersion),
-    /// The engine has passed the switch: what the map evicts may go.
+    /// The engine has passed the switch to this map: free the weights that the map evicts.
     Evict(MapVersion),
-    /// Start a timer, in place of one of the same kind that runs.
+    /// Start a timer, replacing a running one of the same kind.
     Arm(Timer),
-    /// Start a lead with this term.
+    /// Start a lead for this term.
     StartLead(LeadTerm),
-    /// Something for the time line.
+    /// Record an event for the timeline.
     Event(Event, MapVersion),
 }
 
-/// Steps from the first on use a map.
+/// A map and the first step that uses it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Segment {
     from: Step,
-    standing: ActiveMap,
+    active: ActiveMap,
 }
 
-/// Weights that are being loaded or are loaded.
+/// The map whose weights are being loaded or are loaded.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Loading {
     version: MapVersion,
@@ -102,7 +103,7 @@
     ready: bool,
 }
 
-/// The machine of one rank's agent.
+/// The state machine of one rank's agent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RankAgent {
     number: u32,
@@ -111,21 +112,28 @@
     window: u64,
     fence: Option<Fence>,
     term: LeadTerm,
+    /// The maps in use, the oldest first; empty until the agent joins an incarnation.
     segments: Vec<Segment>,
-    open: Option<Open>,
-    forming: Option<Open>,
+    /// The promised attempt that has no verdict yet.
+    open: Option<OpenAttempt>,
+    /// The promised start of an incarnation that has no verdict yet.
+    forming: Option<OpenAttempt>,
     last: Option<Decided>,
     loading: Option<Loading>,
+    /// The highest map version that the agent has seen.
     heard: MapVersion,
+    /// The step after the last permitted one.
     permitted: Step,
-    bound: Step,
+    /// The step after the last one that a promised start may have permitted.
+    start_limit: Step,
     engine: Option<EngineStatus>,
-    lost: bool,
-    asked: bool,
+    engine_lost: bool,
+    /// Whether the other ranks were asked for the pending verdict.
+    peers_asked: bool,
 }
 
 impl RankAgent {
-    /// The machine of an agent that has just started and remembers nothing.
+    /// Creates the state of an agent that has just started and remembers nothing.
     pub fn new(number: u32, ranks: u32, start: Incarnation, window: u64) -> Self {
         Self {
             number,
@@ -141,68 +149,68 @@
             loading: None,
             heard: MapVersion::new(0),
             permitted: Step::new(0),
-            bound: Step::new(0),
+            start_limit: Step::new(0),
             engine: None,
-            lost: false,
-            asked: false,
+            engine_lost: false,
+            peers_asked: false,
         }
     }
 
-    /// With a fencing number that is known from the start.
+    /// Sets the fencing number that is known from the start.
     #[must_use]
     pub fn with_fence(mut self, fence: Fence) -> Self {
         self.fence = Some(fence);
         self
     }
 
-    /// Takes an input and says what is to be done.
+    /// Handles an input and returns the actions that follow from it.
     pub fn handle(&mut self, input: RankInput) -> Vec<RankOutput> {
         let mut out = Vec::new();
         match input {
             RankInput::Begin => out.push(RankOutput::Arm(Timer::VerdictTimeout)),
-            RankInput::Appointed => self.stand(&mut out),
-            RankInput::Lead(message) => self.lead_says(message, &mut out),
-            RankInput::Peer { from, message } => self.peer_says(from, message, &mut out),
-            RankInput::Engine(status) => self.engine_shows(status, &mut out),
-            RankInput::EngineLost => self.engine_lost(&mut out),
-            RankInput::Loaded(version) => self.loaded(version, &mut out),
-            RankInput::LoadFailed(version) => self.load_failed(version, &mut out),
+            RankInput::Appointed => self.start_lead(&mut out),
+            RankInput::Lead(message) => self.handle_lead_message(message, &mut out),
+            RankInput::Peer { from, message } => self.handle_peer_message(from, message, &mut out),
+            RankInput::Engine(status) => self.handle_status(status, &mut out),
+            RankInput::EngineLost => self.handle_engine_loss(&mut out),
+            RankInput::Loaded(version) => self.handle_loaded(version, &mut out),
+            RankInput::LoadFailed(version) => self.handle_load_failure(version, &mut out),
             RankInput::FenceLearnt(fence) => self.fence = self.fence.max(Some(fence)),
-            RankInput::Fired(Timer::VerdictTimeout) => self.impatient(&mut out),
+            RankInput::Fired(Timer::VerdictTimeout) => self.handle_verdict_timeout(&mut out),
         }
         out
     }
 
-    /// The last term that this rank obeys.
+    /// Returns the term that this rank obeys.
     pub fn term(&self) -> LeadTerm {
         self.term
     }
 
-    /// The map that was committed last.
+    /// Returns the map that was committed last.
     pub fn active_map(&self) -> Option<&ActiveMap> {
-        self.segments.last().map(|s| &s.standing)
+        self.segments.last().map(|s| &s.active)
     }
 
-    /// The attempt that waits for its verdict.
+    /// Returns the promised attempt that has no verdict yet.
     pub fn pending(&self) -> Option<Attempt> {
         let waits = self.forming.as_ref().or(self.open.as_ref());
         waits.map(|o| o.attempt)
     }
 
-    /// Whether a verdict or a new incarnation is waited for.
+    /// Whether the rank waits for a verdict or for a new incarnation.
     pub fn is_waiting(&self) -> bool {
         !self.is_stepping() || self.open.is_some()
     }
 
-    /// Whether permits are issued: the group's incarnation that this rank obeys has started.
+    /// Whether permits are issued, because the incarnation that this rank obeys has started.
     pub fn is_stepping(&self) -> bool {
         let joined = self.active_map().map(|s| s.incarnation);
-        !self.lost && joined == Some(self.term.incarnation)
+        !self.engine_lost && joined == Some(self.term.incarnation)
     }
 
-    fn lead_says(&mut self, message: LeadMessage, out: &mut Vec<RankOutput>) {
+    fn handle_lead_message(&mut self, message: LeadMessage, out: &mut Vec<RankOutput>) {
         let term = message.term();
-        if let Err(refusal) = self.admit(&message) {
+        if let Err(refusal) = self.check_message(&message) {
             out.push(RankOutput::ToLead(term, RankMessage::Refused { refusal }));
             return;
         }
@@ -211,22 +219,24 @@
             LeadMessage::Load { version, map, .. } => self.load(version, map, out),
             LeadMessage::Prepare { attempt } => self.prepare(attempt, out),
             LeadMessage::Decide { term, decided } => {
-                self.settle(decided, out);
+                self.apply_verdict(decided, out);
                 let attempt = decided.attempt;
                 out.push(RankOutput::ToLead(term, RankMessage::Settled { attempt }));
             }
         }
     }
 
-    /// Whether a lead's message is to be obeyed.
+    /// Checks whether a message of a lead is to be obeyed.
     ///
-    /// Failures guarded against: a lead that was cut off comes back and decides what a later
-    /// lead has decided otherwise (ranks step with two maps), so lower terms are refused; an
-    /// agent that forgot its promises is led on as if it kept them, so only a term that has
-    /// asked it may order anything; a control host comes back with an old number and undoes
-    /// later orders, so lower fencing numbers are refused before any engine sees them, also
-    /// where the engine would not check.
-    fn admit(&mut self, message: &LeadMessage) -> Result<(), Refusal> {
+    /// Failures guarded against:
+    ///
+    /// - A lead that was cut off comes back and decides differently from a later lead, and ranks
+    ///   step with two maps. Lower terms are refused.
+    /// - An agent that has lost its promises is treated as if it kept them. Only a term that has
+    ///   asked it for a report may order anything.
+    /// - A control host comes back with an old fencing number and undoes later orders. Lower
+    ///   numbers are refused before any engine sees them, even where the engine would not check.
+    fn check_message(&mut self, message: &LeadMessage) -> Result<(), Refusal> {
         let term = message.term();
         if term < self.term {
             return Err(Refusal::Outranked(self.term));
@@ -258,29 +268,30 @@
         }
     }
 
-    /// Obeys a term from now on, and reports. A later incarnation stops all permits.
+    /// Obeys a term from now on and sends a report. A term of a later incarnation stops all
+    /// permits.
     fn report(&mut self, term: LeadTerm, out: &mut Vec<RankOutput>) {
-        // The bound of an agent that forgot comes from its engine, so it can't speak before it
-        // has heard of it.
+        // An agent that has restarted knows only from its engine which steps may be permitted, so
+        // it can't report before it has the engine's status.
         let Some(engine) = &self.engine else { return };
         if term > self.term {
             self.term = term;
-            self.asked = false;
+            self.peers_asked = false;
         }
         let evidence = Evidence {
             remembers: !self.segments.is_empty(),
-            standing: self
+            active: self
                 .active_map()
                 .cloned()
                 .or_else(|| engine.last_map.clone()),
             open: self.open.clone(),
             last: self.last,
         };
-        let shown = evidence.standing.as_ref().map(|s| s.version);
+        let reported = evidence.active.as_ref().map(|a| a.version);
         let report = Report {
             term,
-            permitted: self.furthest(engine.step),
-            heard: self.heard.max(shown.unwrap_or_default()),
+            permitted: self.permit_limit(engine.step),
+            heard: self.heard.max(reported.unwrap_or_default()),
             evidence,
         };
         let report = RankMessage::Report(Box::new(report));
@@ -290,14 +301,15 @@
         }
     }
 
-    /// The step after the last that the engine may ever have been permitted.
+    /// Returns the step after the last one that the engine may ever have been permitted.
     ///
-    /// Failure guarded against: an agent restarts while a permit of its earlier life is still on
-    /// its way to the engine, and the new incarnation of the group starts below it: one step, two
-    /// maps. A permit never reaches further than a window past the engine's step.
-    fn furthest(&self, step: Step) -> Step {
+    /// Failure guarded against: an agent restarts while a permit that it issued before is still on
+    /// its way to the engine, and the new incarnation of the group starts below that permit, so a
+    /// step runs with two maps. A permit never reaches further than a window past the engine's
+    /// step.
+    fn permit_limit(&self, step: Step) -> Step {
         let ahead = Step::new(step.get() + 1 + self.window);
-        ahead.max(self.bound).max(self.permitted)
+        ahead.max(self.start_limit).max(self.permitted)
     }
 
     fn load(&mut self, version: MapVersion, map: SharedMap, out: &mut Vec<RankOutput>) {
@@ -311,7 +323,7 @@
             out.push(RankOutput::DropWeights(old.version));
         }
         if ready {
-            out.push(self.ready(version));
+            out.push(self.loaded_message(version));
         } else {
             out.push(RankOutput::LoadWeights(version, map.clone()));
         }
@@ -322,29 +334,30 @@
         });
     }
 
-    /// Whether the engine holds the weights of a map already: loaded for an attempt that was
-    /// aborted, or in force before the group was formed anew.
+    /// Whether the engine already holds the weights of a map, either from an aborted attempt or
+    /// because the map was in force before the group formed again.
     fn has_weights(&self, map: &SharedMap) -> bool {
         let loaded = self.loading.iter().any(|l| l.ready && l.map == *map);
-        let standing = self.active_map().is_some_and(|s| s.map == *map);
-        let shown = self.engine.as_ref().and_then(|e| e.last_map.as_ref());
-        loaded || (!self.lost && (standing || shown.is_some_and(|s| s.map == *map)))
+        let active = self.active_map().is_some_and(|a| a.map == *map);
+        let stepped = self.engine.as_ref().and_then(|e| e.last_map.as_ref());
+        loaded || (!self.engine_lost && (active || stepped.is_some_and(|s| s.map == *map)))
     }
 
-    fn loaded(&mut self, version: MapVersion, out: &mut Vec<RankOutput>) {
+    fn handle_loaded(&mut self, version: MapVersion, out: &mut Vec<RankOutput>) {
         let Some(loading) = self.loading.as_mut().filter(|l| l.version == version) else {
             return;
         };
         loading.ready = true;
-        out.push(self.ready(version));
+        out.push(self.loaded_message(version));
     }
 
-    fn ready(&self, version: MapVersion) -> RankOutput {
-        let permitted = self.permitted.max(self.bound);
+    /// Returns the message that the weights of a map are loaded.
+    fn loaded_message(&self, version: MapVersion) -> RankOutput {
+        let permitted = self.permitted.max(self.start_limit);
         RankOutput::ToLead(self.term, RankMessage::Loaded { version, permitted })
     }
 
-    fn load_failed(&mut self, version: MapVersion, out: &mut Vec<RankOutput>) {
+    fn handle_load_failure(&mut self, version: MapVersion, out: &mut Vec<RankOutput>) {
         if self.loading.as_ref().is_some_and(|l| l.version == version) {
             self.loading = None;
             let refusal = Refusal::Unloaded(version);
@@ -355,7 +368,7 @@
         }
     }
 
-    /// Promises to permit no step from the switch on without a verdict.
+    /// Answers a request to permit no step from the switch on without a verdict.
     fn prepare(&mut self, attempt: Attempt, out: &mut Vec<RankOutput>) {
         if self.is_settled(attempt) {
             return;
@@ -381,15 +394,15 @@
             .filter(|l| l.ready && l.version == attempt.version)
             .map(|l| l.map.clone())
             .ok_or(Refusal::Unloaded(attempt.version))?;
-        let open = Open { attempt, map };
+        let open = OpenAttempt { attempt, map };
         if !self.is_stepping() {
             return self.promise_start(open);
         }
         if let Some(open) = &self.open {
             return Err(Refusal::Busy(open.attempt));
         }
-        // Failure guarded against: the order to prepare was late and the engine is already
-        // permitted to enter the switch with the old map, while others enter it with the new.
+        // Failure guarded against: the request arrives late, and this engine may already enter the
+        // switch with the old map while others enter it with the new one.
         if attempt.switch < self.permitted {
             return Err(Refusal::Late(attempt));
         }
@@ -397,21 +410,21 @@
         Ok(())
     }
 
-    /// Promises to start a new incarnation only by verdict. What was known of the last one is
-    /// kept until then: should this start fail too, the next lead needs it.
-    fn promise_start(&mut self, open: Open) -> Result<(), Refusal> {
+    /// Promises to start a new incarnation only by verdict. What is known of the last one is kept
+    /// until then, because the next lead needs it if this start fails too.
+    fn promise_start(&mut self, open: OpenAttempt) -> Result<(), Refusal> {
         let step = self.engine.as_ref().map_or(Step::new(0), |e| e.step);
         let own = open.attempt.term == self.term;
-        if !own || open.attempt.switch < self.furthest(step) {
+        if !own || open.attempt.switch < self.permit_limit(step) {
             return Err(Refusal::Late(open.attempt));
         }
-        self.bound = Step::new(open.attempt.switch.get() + self.window);
+        self.start_limit = Step::new(open.attempt.switch.get() + self.window);
         self.forming = Some(open);
         Ok(())
     }
 
-    /// Takes a verdict; a second time does nothing.
-    fn settle(&mut self, decided: Decided, out: &mut Vec<RankOutput>) {
+    /// Applies a verdict; a repeated one has no effect.
+    fn apply_verdict(&mut self, decided: Decided, out: &mut Vec<RankOutput>) {
         let Decided { attempt, verdict } = decided;
         if self.is_settled(attempt) {
             return;
@@ -419,49 +432,52 @@
         let open = self.open.take_if(|o| o.attempt == attempt);
         let forming = self.forming.take_if(|o| o.attempt == attempt);
         self.last = Some(decided);
-        self.asked = false;
+        self.peers_asked = false;
         match (verdict, open, forming) {
-            (Verdict::Commit, Some(open), _) => self.switch(open, out),
-            (Verdict::Commit, None, Some(forming)) => self.form(forming, out),
+            (Verdict::Commit, Some(open), _) => self.commit(open, out),
+            (Verdict::Commit, None, Some(forming)) => self.start_incarnation(forming, out),
             (Verdict::Commit, None, None) => {}
             (Verdict::Abort, ..) => self.abort(attempt, out),
         }
-        self.permit(out);
+        self.issue_permits(out);
     }
 
-    fn switch(&mut self, open: Open, out: &mut Vec<RankOutput>) {
-        let Open { attempt, map } = open;
-        let standing = ActiveMap {
+    /// Commits an attempt: steps from its switch on use its map.
+    fn commit(&mut self, open: OpenAttempt, out: &mut Vec<RankOutput>) {
+        let OpenAttempt { attempt, map } = open;
+        let active = ActiveMap {
             incarnation: self.term.incarnation,
             version: attempt.version,
             map,
         };
         let from = attempt.switch;
-        self.segments.push(Segment { from, standing });
+        self.segments.push(Segment { from, active });
         out.push(RankOutput::Event(Event::MapCommitted, attempt.version));
     }
 
-    fn form(&mut self, forming: Open, out: &mut Vec<RankOutput>) {
+    /// Starts a new incarnation of the group with the map of a committed attempt.
+    fn start_incarnation(&mut self, forming: OpenAttempt, out: &mut Vec<RankOutput>) {
         self.segments.clear();
         self.open = None;
-        self.lost = false;
+        self.engine_lost = false;
         self.permitted = forming.attempt.switch;
         out.push(RankOutput::Event(
             Event::GroupRestarted,
             forming.attempt.version,
         ));
-        self.switch(forming, out);
+        self.commit(forming, out);
     }
 
     fn abort(&mut self, attempt: Attempt, out: &mut Vec<RankOutput>) {
         out.push(RankOutput::Event(Event::MapAborted, attempt.version));
-        // Loaded weights stay until another map is loaded: the next attempt often wants the same.
+        // Loaded weights are kept until another map is loaded, because the next attempt often
+        // needs the same ones.
         let unready = self.loading.take_if(|l| !l.ready);
         out.extend(unready.map(|l| RankOutput::DropWeights(l.version)));
     }
 
-    /// Issues the permits that the engine lacks, as far as window and promise allow.
-    fn permit(&mut self, out: &mut Vec<RankOutput>) {
+    /// Issues the permits that the engine lacks, as far as the window and the promise allow.
+    fn issue_permits(&mut self, out: &mut Vec<RankOutput>) {
         let Some(engine) = self.engine.as_ref().filter(|_| self.is_stepping()) else {
             return;
         };
@@ -487,7 +503,7 @@
                     incarnation,
                     from,
                     to: end,
-                    version: segment.standing.version,
+                    version: segment.active.version,
                 }));
                 from = end;
             }
@@ -495,12 +511,12 @@
         self.permitted = limit;
     }
 
-    fn engine_shows(&mut self, status: EngineStatus, out: &mut Vec<RankOutput>) {
-        // Reports may cross on their way: a step never runs back.
+    fn handle_status(&mut self, status: EngineStatus, out: &mut Vec<RankOutput>) {
+        // Status messages may arrive out of order; a step never decreases.
         let late = self.engine.as_ref().is_some_and(|e| {
             (status.incarnation, status.step, status.end) < (e.incarnation, e.step, e.end)
         });
-        if late && !self.lost {
+        if late && !self.engine_lost {
             return;
         }
         if self.is_held_at(status.step) {
@@ -509,34 +525,34 @@
         }
         let step = status.step;
         self.engine = Some(status);
-        self.forget_before(step, out);
-        self.permit(out);
+        self.drop_passed(step, out);
+        self.issue_permits(out);
     }
 
-    /// Whether the engine waits at the switch of an attempt that has no verdict.
+    /// Whether the engine has reached the switch of an attempt that has no verdict.
     fn is_held_at(&self, step: Step) -> bool {
         let before = self.engine.as_ref().map(|e| e.step);
         let switch = self.open.as_ref().map(|o| o.attempt.switch);
         switch.is_some_and(|s| s <= step) && before < switch
     }
 
-    /// Forgets maps of steps that the engine has passed.
-    fn forget_before(&mut self, step: Step, out: &mut Vec<RankOutput>) {
+    /// Drops the maps of steps that the engine has passed.
+    fn drop_passed(&mut self, step: Step, out: &mut Vec<RankOutput>) {
         let passed = |next: Option<&Segment>| next.is_some_and(|s| s.from < step);
         while self.is_stepping() && passed(self.segments.get(1)) {
             self.segments.remove(0);
-            out.push(RankOutput::Evict(self.segments[0].standing.version));
+            out.push(RankOutput::Evict(self.segments[0].active.version));
         }
     }
 
-    fn engine_lost(&mut self, out: &mut Vec<RankOutput>) {
-        self.lost = true;
+    fn handle_engine_loss(&mut self, out: &mut Vec<RankOutput>) {
+        self.engine_lost = true;
         self.loading = None;
         self.engine = None;
-        self.stand(out);
+        self.start_lead(out);
     }
 
-    fn peer_says(&mut self, from: u32, message: PeerMessage, out: &mut Vec<RankOutput>) {
+    fn handle_peer_message(&mut self, from: u32, message: PeerMessage, out: &mut Vec<RankOutput>) {
         match message {
             PeerMessage::Query(attempt) => {
                 let known = self.last.filter(|d| d.attempt == attempt);
@@ -544,33 +560,33 @@
             }
             PeerMessage::Answer(decided) => {
                 // Failure guarded against: a rank that has reported to the lead of a later
-                // incarnation takes a verdict after all, which that lead's choice ignores.
+                // incarnation applies a verdict that this lead does not know of.
                 let same = decided.attempt.term.incarnation == self.term.incarnation;
                 if same && self.pending() == Some(decided.attempt) {
-                    self.settle(decided, out);
+                    self.apply_verdict(decided, out);
                 }
             }
         }
     }
 
-    /// Asks the other ranks first, then stands for lead: so no lead that died, and no message
-    /// that was lost, holds a group without end.
-    fn impatient(&mut self, out: &mut Vec<RankOutput>) {
+    /// Asks the other ranks for the verdict first and starts a lead the second time. A dead lead
+    /// or a lost message therefore can't hold the group forever.
+    fn handle_verdict_timeout(&mut self, out: &mut Vec<RankOutput>) {
         if !self.is_waiting() {
             return;
         }
-        let pending = self.pending().filter(|_| !self.asked);
+        let pending = self.pending().filter(|_| !self.peers_asked);
         if let Some(attempt) = pending {
             let others = (0..self.ranks).filter(|r| *r != self.number);
             out.extend(others.map(|r| RankOutput::ToRank(r, PeerMessage::Query(attempt))));
-            self.asked = true;
+            self.peers_asked = true;
             out.push(RankOutput::Arm(Timer::VerdictTimeout));
         } else {
-            self.stand(out);
+            self.start_lead(out);
         }
     }
 
-    fn stand(&mut self, out: &mut Vec<RankOutput>) {
+    fn start_lead(&mut self, out: &mut Vec<RankOutput>) {
         let term = if self.is_stepping() {
             self.term.next_ballot(self.number, self.start)
         } else {
@@ -591,7 +607,7 @@
 }
 
 impl LeadMessage {
-    /// The term that sends it.
+    /// Returns the term of the lead that sends it.
     pub fn term(&self) -> LeadTerm {
         match self {
             Self::Ask { term } | Self::Load { term, .. } | Self::Decide { term, .. } => *term,
--- a/crates/groups/tests/agreement.rs
+++ b/crates/groups/tests/agreement.rs
@@ -1,4 +1,5 @@
-//! The agreement without faults, and its refusals.
+//! The agreement without faults, its refusals, and single failures that are brought about step by
+//! step.
 
 mod common;
 
@@ -9,7 +10,8 @@
     Refusal, Verdict,
 };
 
-/// Runs so many rounds in which every engine tries to step and everything is delivered.
+/// Runs this many rounds, in each of which every engine tries to step and all messages are
+/// delivered.
 fn run(world: &mut World, rounds: usize) {
     for _ in 0..rounds {
         for rank in 0..world.ranks {
@@ -34,13 +36,14 @@
     assert_eq!(world.held, 0);
 }
 
+/// A control host that was cut off for long comes back with a lower fencing number, and its map
+/// would undo a later one.
 #[test]
 fn old_fence_refused() {
     let mut world = World::new(3, Margin::default());
     world.form();
     world.propose(0, proposal(5, 1, 2));
     world.settle();
-    // A control host that was cut off for long comes back; its number is lower.
     world.propose(0, proposal(4, 2, 3));
     world.settle();
     run(&mut world, 100);
@@ -48,11 +51,11 @@
     assert_eq!(world.group.last().unwrap().1, MapVersion::new(2));
 }
 
+/// A control host that was cut off comes back with an old fencing number, and its map comes into
+/// force. The group has a new lead, which knows no fencing number, and engines that check nothing;
+/// only the agents refuse it.
 #[test]
-fn agent_refuses_old_fence() {
-    // A control host is cut off in silence and comes back with an old number. The group has got
-    // another lead since, which knows no number; the engines would obey. Its map must not come
-    // into force: the agents know better.
+fn agents_check_fence() {
     let mut world = World::new(3, Margin::default());
     world.group = world.group.with_unchecked();
     world.form();
@@ -68,16 +71,16 @@
     assert_eq!(world.group.last().unwrap().1, MapVersion::new(2));
 }
 
+/// A restarted agent does not know the fencing number and obeys an old control host that is the
+/// first to contact it. It must refuse every map until it has learnt the number.
 #[test]
-fn restarted_agent_abstains() {
-    // An agent restarts and does not know the fencing number; an old control host is the first
-    // to talk to it. It must pass no order on until it has learnt the number.
+fn restarted_agent_refuses() {
     let mut world = World::new(3, Margin::default());
     world.form();
     world.restart_agent(2);
     world.agents[2] =
         snipemast_groups::agree::RankAgent::new(2, 3, Incarnation::new(9), world.margin.window);
-    world.show_all();
+    world.report_all();
     world.rank(0, RankInput::Appointed);
     world.settle();
     world.propose(0, proposal(1, 1, 2));
@@ -88,17 +91,14 @@
     world.settle();
     run(&mut world, 100);
     // The version of the refused attempt is never used again.
-    let standing = world.agents[2].active_map().expect("rank 2 stands");
-    assert_eq!(
-        (standing.version, &standing.map),
-        (MapVersion::new(3), &map(2))
-    );
+    let active = world.agents[2].active_map().expect("rank 2 has a map");
+    assert_eq!((active.version, &active.map), (MapVersion::new(3), &map(2)));
 }
 
+/// The abort of an attempt arrives before the request to prepare it. A rank that promised then
+/// would hold the group for a verdict that was already given.
 #[test]
 fn late_prepare_ignored() {
-    // The order to prepare is overtaken by its own abort. A rank that promised after all would
-    // hold the group for a verdict that has long been given.
     let mut world = World::new(3, Margin::default());
     world.form();
     run(&mut world, 3);
@@ -128,10 +128,10 @@
     world.lead(0, LeadInput::Fired(over));
 }
 
+/// The request to prepare arrives so late that the engine is already permitted to enter the switch
+/// with the old map.
 #[test]
 fn late_switch_refused() {
-    // The order to prepare is so late that the engine is already permitted to enter the switch
-    // with the old map.
     let mut world = World::new(3, Margin::default());
     world.form();
     run(&mut world, 3);
@@ -157,10 +157,10 @@
     assert_eq!(out, [RankOutput::ToLead(near.term, refused)]);
 }
 
+/// Two attempts are open because a second map is proposed while the first is under way. One of the
+/// same control leader must be rejected, and one of a later leader must replace the first.
 #[test]
-fn second_map_waits() {
-    // A second map is proposed while the first is under way, by the same control leader: it is
-    // refused as busy; a later leader's takes its place. Never are two attempts open.
+fn second_map_rejected() {
     let mut world = World::new(3, Margin::default());
     world.form();
     world.propose(0, proposal(1, 1, 2));
@@ -170,14 +170,14 @@
     assert_eq!(world.rejected, 2);
     world.settle();
     run(&mut world, 100);
-    let standing = world.agents[1].active_map().expect("the group stands");
-    assert_eq!(standing.map, map(4));
+    let active = world.agents[1].active_map().expect("rank 1 has a map");
+    assert_eq!(active.map, map(4));
 }
 
+/// A rank's answer that it applied the first verdict is lost, and a second attempt is opened before
+/// it is repeated. A lead that recovers would find two open attempts.
 #[test]
-fn attempts_follow_each_other() {
-    // One rank's word that it took the first verdict is lost on its way. No second attempt may
-    // be opened before: a lead that recovers would find two.
+fn one_open_attempt() {
     let mut world = World::new(3, Margin::default());
     world.form();
     world.propose(0, proposal(1, 1, 2));
@@ -193,9 +193,9 @@
     assert!(!world.sent.iter().any(loads));
 }
 
+/// An agent and its engine restart and do not get the current map after hundreds of changes.
 #[test]
-fn missed_maps() {
-    // An agent and its engine restart after hundreds of changes have passed them by.
+fn restart_after_changes() {
     let mut world = World::new(3, Margin::default());
     world.form();
     for number in 0..300 {
@@ -205,20 +205,22 @@
     }
     world.group.replace(2);
     world.restart_agent(2);
-    world.show_all();
+    world.report_all();
     world.rank(0, RankInput::Appointed);
     world.settle();
     run(&mut world, 20);
-    let standing = world.agents[2].active_map().expect("rank 2 stands again");
-    assert_eq!(standing.version, MapVersion::new(301));
+    let active = world.agents[2]
+        .active_map()
+        .expect("rank 2 has a map again");
+    assert_eq!(active.version, MapVersion::new(301));
     assert_eq!(world.group.last().unwrap().1, MapVersion::new(301));
     assert_eq!(world.group.torn(), None);
 }
 
+/// The lead tells only one rank to commit and dies with its host. That rank enters the switch with
+/// the new map, and the others would enter it with the old one.
 #[test]
 fn known_commit_survives() {
-    // The lead tells one rank to commit and dies with its host; another rank becomes lead. The
-    // one that knows enters the switch with the new map, so all must.
     let mut world = World::new(3, Margin::default());
     world.form();
     run(&mut world, 2);
@@ -232,21 +234,21 @@
     world.leads[0] = None;
     world.rank(2, RankInput::Appointed);
     world.settle();
-    let verdicts: Vec<MapVersion> = world
+    let versions: Vec<MapVersion> = world
         .agents
         .iter()
-        .map(|a| a.active_map().expect("all stand").version)
+        .map(|a| a.active_map().expect("every rank has a map").version)
         .collect();
-    assert_eq!(verdicts, [MapVersion::new(2); 3]);
+    assert_eq!(versions, [MapVersion::new(2); 3]);
     run(&mut world, 100);
     assert_eq!(world.group.torn(), None);
 }
 
+/// A rank has reported to the lead of a new incarnation that an attempt is in doubt, and then
+/// another rank's answer with the verdict arrives. A rank that applied it would contradict its own
+/// report.
 #[test]
 fn late_answer_ignored() {
-    // A rank has reported to the lead of a new incarnation that it waits for a verdict. Then
-    // another rank's answer with that verdict arrives, which the new lead knows nothing of: the
-    // rank must not act on it, or its next report tells another story than its first.
     let mut world = World::new(3, Margin::default());
     world.form();
     run(&mut world, 2);
@@ -275,11 +277,10 @@
     assert_eq!(world.agents[2].pending(), Some(attempt));
 }
 
+/// The only rank that knows of a commit enters the switch with the new map and dies with its host,
+/// as does the lead. The other ranks have no verdict, and the group would go back to the old map.
 #[test]
 fn stepped_map_survives() {
-    // One rank alone learns of the commit, enters the switch with the new map and dies with its
-    // host, as does the lead. The others never heard a verdict. The group must not go back to
-    // the old map.
     let mut world = World::new(3, Margin::default());
     world.form();
     run(&mut world, 2);
@@ -295,7 +296,7 @@
     world.leads[0] = None;
     world.group.replace(1);
     world.restart_agent(1);
-    world.show_all();
+    world.report_all();
     world.rank(0, RankInput::Appointed);
     world.settle();
     run(&mut world, 20);
@@ -303,7 +304,7 @@
     assert_eq!(world.group.torn(), None);
 }
 
-/// Proposes map 2 and delivers everything but what is lost.
+/// Proposes map 2 and delivers all messages but the lost ones.
 fn propose_losing(world: &mut World, lost: impl Fn(&Packet) -> bool) {
     world.propose(0, proposal(1, 1, 2));
     while let Some(packet) = world.sent.pop() {
@@ -317,10 +318,10 @@
     matches!(packet, Packet::ToRank(to, LeadMessage::Prepare { .. }) if *to == rank)
 }
 
+/// One rank's agent stalls and does not promise, and the others wait for it at the switch. The
+/// abort must arrive before the switch.
 #[test]
 fn missing_promise_aborts() {
-    // One rank's agent stalls and does not promise. The others must not wait for it at the
-    // switch: the abort comes before.
     let mut world = World::new(3, Margin::default());
     world.form();
     run(&mut world, 2);
@@ -333,26 +334,26 @@
     assert_eq!(world.group.last().unwrap().1, MapVersion::new(1));
 }
 
+/// One rank has promised, another has not, and the lead dies. The map can't have been committed,
+/// and a new incarnation must not start with it.
 #[test]
 fn unpromised_map_dropped() {
-    // One rank has promised, another has not, and the lead dies. The map can't have been
-    // committed: it must not come into force by the back door of a new incarnation.
     let mut world = World::new(3, Margin::default());
     world.form();
     run(&mut world, 2);
     propose_losing(&mut world, |p| prepares(p, 2));
     world.restart_agent(0);
-    world.show_all();
+    world.report_all();
     world.rank(0, RankInput::Appointed);
     world.settle();
     run(&mut world, 20);
     assert_eq!(world.group.last().unwrap().1, MapVersion::new(1));
 }
 
+/// A lead that did not recover an open attempt asks for a second promise, and a rank would have
+/// promised two attempts.
 #[test]
 fn second_attempt_refused() {
-    // A lead that skipped the recovery of an attempt asks for another promise: the rank has
-    // promised already and can't promise twice.
     let mut world = World::new(3, Margin::default());
     world.form();
     run(&mut world, 2);
@@ -383,10 +384,10 @@
     assert_eq!(out, [refused]);
 }
 
+/// A start of the group fails after a rank has promised it, and the next start lies below permits
+/// of the failed one that are still under way, because another rank may have begun it.
 #[test]
-fn failed_start_bounds() {
-    // A start of the group failed after this rank promised it; another rank may have begun it,
-    // and its permits may still be under way. The next start must lie past them.
+fn failed_start_respected() {
     let mut world = World::new(3, Margin::default());
     world.form();
     let term = world.agents[2]
@@ -420,7 +421,7 @@
     assert!(permitted >= Some(past), "{permitted:?}");
 }
 
-/// Lets every rank step so often while messages between agents wait.
+/// Lets every rank step this many times while messages between agents wait.
 fn step_alone(world: &mut World, rounds: usize) {
     let local = |p: &Packet| {
         matches!(
@@ -439,10 +440,11 @@
     }
 }
 
+/// A rank waits at the switch although nothing has failed, because every message takes the longest
+/// delay of normal operation and steps are the shortest. The verdict must arrive before any rank
+/// reaches the switch.
 #[test]
-fn slowest_messages_hold_nobody() {
-    // Every message takes the longest delay of ordinary running, and steps are the shortest. The
-    // verdict must still come before any rank reaches the switch.
+fn slowest_messages_suffice() {
     let margin = Margin::default();
     let mut world = World::new(3, margin);
     world.form();
--- a/crates/groups/tests/common/mod.rs
+++ b/crates/groups/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A group's machines, its engines and everything under way between them, for the fault matrix,
-//! the exploration and the property tests: the very machines that run in production.
+//! The state machines of a group, its engines and the messages between them, for the fault matrix,
+//! the exploration and the property tests. The state machines are those that run in production.
 
 #![allow(
     dead_code,
@@ -22,7 +22,7 @@
 };
 use snipemast_groups::map::{ExpertMap, Layer};
 
-/// Something under way; what `Status`, `Permit` and `Load` carry stays on one host.
+/// A message that is under way; `Status`, `Permit` and `Load` stay on one host.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Packet {
     ToRank(u32, LeadMessage),
@@ -33,14 +33,14 @@
     Load(u32, MapVersion, SharedMap),
 }
 
-/// A timer of a host.
+/// A timer of a rank or of the lead on its host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Alarm {
     Rank(Timer),
     Lead(LeadTimer),
 }
 
-/// Agents, leads and engines, and what they have sent and armed since it was last taken.
+/// Agents, leads and engines, the messages under way and the timers that are armed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct World {
     pub agents: Vec<RankAgent>,
@@ -48,15 +48,18 @@
     pub group: LockStep,
     pub sent: Vec<Packet>,
     pub armed: BTreeSet<(u32, Alarm)>,
+    /// How many processes of agents have started.
     pub starts: u64,
     pub margin: Margin,
+    /// How often a rank waited at a switch for the verdict.
     pub held: u64,
+    /// How many proposals were rejected.
     pub rejected: u64,
     pub ranks: u32,
-    pub tries: u32,
+    pub retries: u32,
 }
 
-/// A map that differs from others by its number only.
+/// Returns a map that differs from others only by its number.
 pub fn map(number: u16) -> SharedMap {
     let mut layer = Layer::new(1, 1);
     layer.set(0, 0, number);
@@ -65,7 +68,7 @@
     })
 }
 
-/// A proposal on top of a version.
+/// Returns a proposal of the map with this number, computed from the version `base`.
 pub fn proposal(fence: u64, base: u64, number: u16) -> Proposal {
     Proposal {
         fence: Fence::new(fence),
@@ -75,7 +78,7 @@
 }
 
 impl World {
-    /// Fresh agents and engines.
+    /// Creates agents and engines that have just started.
     pub fn new(ranks: u32, margin: Margin) -> Self {
         let agent = |n| RankAgent::new(n, ranks, Incarnation::new(1), margin.window);
         Self {
@@ -91,19 +94,19 @@
             held: 0,
             rejected: 0,
             ranks,
-            tries: 4,
+            retries: 4,
         }
     }
 
-    /// Every engine shows itself to its agent.
-    pub fn show_all(&mut self) {
+    /// Has every engine report its status to its agent.
+    pub fn report_all(&mut self) {
         for rank in 0..self.ranks {
             let status = self.group.status(rank);
             self.rank(rank, RankInput::Engine(status));
         }
     }
 
-    /// Runs with everything delivered at once until nothing is under way.
+    /// Delivers messages until none is under way.
     pub fn settle(&mut self) {
         for _ in 0..10_000 {
             if self.sent.is_empty() {
@@ -112,17 +115,17 @@
             let packet = self.sent.remove(0);
             self.deliver(packet);
         }
-        panic!("the group never comes to rest");
+        panic!("messages never stop");
     }
 
-    /// Forms the group on its first map, led by rank 0.
+    /// Forms the group with its first map, led by rank 0.
     pub fn form(&mut self) {
-        self.show_all();
+        self.report_all();
         self.rank(0, RankInput::Appointed);
         self.settle();
         self.propose(0, proposal(1, 0, 1));
         self.settle();
-        self.show_all();
+        self.report_all();
         self.settle();
         self.armed.clear();
         assert_eq!(
@@ -139,8 +142,8 @@
         match packet {
             Packet::ToRank(to, message) => self.rank(to, RankInput::Lead(message)),
             Packet::ToLead(from, term, message) => {
-                let listens = |l: &Lead| l.term().start == term.start;
-                if self.leads[term.rank as usize].as_ref().is_some_and(listens) {
+                let current = |l: &Lead| l.term().start == term.start;
+                if self.leads[term.rank as usize].as_ref().is_some_and(current) {
                     let input = LeadInput::Rank {
                         from,
                         term,
@@ -159,7 +162,7 @@
         }
     }
 
-    /// A rank's engine enters a step where it can, and shows itself.
+    /// Lets a rank's engine enter a step where it can, and has it report its status.
     pub fn step(&mut self, rank: u32) -> bool {
         let entered = self.group.enter(rank);
         self.sent
@@ -174,7 +177,7 @@
         }
     }
 
-    /// The agent's process dies, and with it a lead in it; a new one starts.
+    /// Restarts an agent's process, which also ends a lead in it.
     pub fn restart_agent(&mut self, rank: u32) {
         self.starts += 1;
         let start = Incarnation::new(self.starts);
@@ -186,7 +189,7 @@
         self.rank(rank, RankInput::FenceLearnt(Fence::new(1)));
     }
 
-    /// The engine dies and a fresh one takes its place.
+    /// Replaces an engine that has died by a new one.
     pub fn replace_engine(&mut self, rank: u32) {
         self.group.replace(rank);
         self.rank(rank, RankInput::EngineLost);
@@ -194,7 +197,7 @@
 
     pub fn rank(&mut self, rank: u32, input: RankInput) {
         for output in self.agents[rank as usize].handle(input) {
-            self.rank_wants(rank, output);
+            self.apply_output(rank, output);
         }
     }
 
@@ -218,7 +221,7 @@
         }
     }
 
-    fn rank_wants(&mut self, rank: u32, output: RankOutput) {
+    fn apply_output(&mut self, rank: u32, output: RankOutput) {
         match output {
             RankOutput::ToLead(term, message) => {
                 self.sent.push(Packet::ToLead(rank, term, message));
@@ -233,7 +236,7 @@
             }
             RankOutput::StartLead(term) => {
                 self.leads[rank as usize] =
-                    Some(Lead::new(term, self.ranks, self.margin).with_tries(self.tries));
+                    Some(Lead::new(term, self.ranks, self.margin).with_retries(self.retries));
                 self.lead(rank, LeadInput::Begin);
             }
             RankOutput::Event(Event::GroupHeld, _) => self.held += 1,
--- a/crates/groups/tests/common/sim.rs
+++ b/crates/groups/tests/common/sim.rs
@@ -1,4 +1,4 @@
-//! The group under a virtual clock, with faults that are brought about at a chosen message.
+//! The group under a virtual clock, with faults that are injected at chosen messages.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -13,10 +13,10 @@
 pub const OUTAGE: u64 = 80_000;
 /// How long a step takes, in microseconds.
 const STEP: u64 = 5_000;
-/// How long weights load, in microseconds.
+/// How long weights take to load, in microseconds.
 const LOAD: u64 = 2_000;
 
-/// Everything that the fault matrix brings about.
+/// The faults of the fault matrix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     RankStalls,
@@ -25,15 +25,15 @@
     LeadDies,
     HostDies,
     MessageLate,
-    MessageDoubled,
-    MessageCrossed,
+    MessageDuplicated,
+    MessageReordered,
     MessageLost,
     RankCutOff,
     LeadCutOff,
     OldControl,
     OtherLead,
     LoadFails,
-    LoadCrawls,
+    LoadSlow,
     SecondMap,
     LaterMap,
 }
@@ -46,21 +46,21 @@
         Self::LeadDies,
         Self::HostDies,
         Self::MessageLate,
-        Self::MessageDoubled,
-        Self::MessageCrossed,
+        Self::MessageDuplicated,
+        Self::MessageReordered,
         Self::MessageLost,
         Self::RankCutOff,
         Self::LeadCutOff,
         Self::OldControl,
         Self::OtherLead,
         Self::LoadFails,
-        Self::LoadCrawls,
+        Self::LoadSlow,
         Self::SecondMap,
         Self::LaterMap,
     ];
 }
 
-/// A fault, and the number of the message between agents at which it strikes.
+/// A fault and the number of the message between agents at which it is injected.
 #[derive(Debug, Clone, Copy)]
 pub struct Strike {
     pub at: u64,
@@ -68,7 +68,7 @@
 }
 
 #[derive(Debug, Clone)]
-enum Happening {
+enum SimEvent {
     Packet(Packet),
     Fire(u32, Alarm, u64),
     Step(u32),
@@ -84,18 +84,18 @@
     pub messages: u64,
     strikes: Vec<Strike>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    events: BTreeMap<u64, Happening>,
+    events: BTreeMap<u64, SimEvent>,
     alarms: BTreeMap<(u32, Alarm), u64>,
     down: Vec<u64>,
-    fails: u32,
-    crawls: u32,
+    failing_loads: u32,
+    slow_loads: u32,
     seed: u64,
     count: u64,
 }
 
 impl Sim {
-    /// A group that steps on its first map; the second one is proposed at once. With an odd seed
-    /// its engines check no number.
+    /// Creates a group that steps with its first map, and proposes the second one at once. With an
+    /// odd seed its engines do not check the incarnations of permits.
     pub fn new(ranks: u32, seed: u64, strikes: &[Strike]) -> Self {
         let mut world = World::new(ranks, margin());
         if seed % 2 == 1 {
@@ -111,21 +111,21 @@
             events: BTreeMap::new(),
             alarms: BTreeMap::new(),
             down: vec![0; ranks as usize],
-            fails: 0,
-            crawls: 0,
+            failing_loads: 0,
+            slow_loads: 0,
             seed: seed.wrapping_mul(2).wrapping_add(1),
             count: 0,
         };
         for rank in 0..ranks {
             let jitter = sim.random(1_000);
-            sim.at(jitter, Happening::Step(rank));
+            sim.at(jitter, SimEvent::Step(rank));
         }
         sim.world.propose(0, proposal(1, 1, 2));
         sim.flush();
         sim
     }
 
-    /// Runs until this much virtual time has passed in all.
+    /// Runs until this virtual time.
     pub fn run_until(&mut self, end: u64) {
         while let Some(Reverse((time, id))) = self.queue.peek().copied() {
             if time > end {
@@ -133,15 +133,16 @@
             }
             self.queue.pop();
             self.now = time;
-            let happening = self.events.remove(&id).expect("queued events are kept");
-            self.happen(happening);
+            let event = self.events.remove(&id).expect("queued events are kept");
+            self.handle(event);
             self.flush();
         }
         self.now = end;
     }
 
-    /// Proposes a map to whoever leads, as the control role does; appoints a lead where none is.
-    pub fn propose_anew(&mut self, fence: u64, number: u16) {
+    /// Proposes a map to the current lead, as the control role does, or appoints a lead where there
+    /// is none.
+    pub fn propose_again(&mut self, fence: u64, number: u16) {
         let leads = self.world.leads.iter().flatten();
         let best = leads.filter(|l| l.is_idle()).max_by_key(|l| l.term());
         match best.map(|l| (l.term().rank, l.version().unwrap_or_default())) {
@@ -153,30 +154,30 @@
         self.flush();
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Packet(packet) => self.arrive(packet),
-            Happening::Fire(rank, alarm, id) => {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Packet(packet) => self.arrive(packet),
+            SimEvent::Fire(rank, alarm, id) => {
                 if self.alarms.get(&(rank, alarm)) == Some(&id) {
                     self.alarms.remove(&(rank, alarm));
                     self.world.fire(rank, alarm);
                 }
             }
-            Happening::Step(rank) => {
+            SimEvent::Step(rank) => {
                 let entered = self.world.step(rank);
                 let wait = if entered { STEP } else { 1_000 };
                 let jitter = self.random(100);
-                self.at(wait + jitter, Happening::Step(rank));
+                self.at(wait + jitter, SimEvent::Step(rank));
             }
-            Happening::Unstall(rank) => self.world.group.stall(rank, false),
-            Happening::Unload(rank, version) => {
+            SimEvent::Unstall(rank) => self.world.group.stall(rank, false),
+            SimEvent::Unload(rank, version) => {
                 self.world.rank(rank, RankInput::LoadFailed(version));
             }
         }
     }
 
     fn arrive(&mut self, packet: Packet) {
-        let Some(ends) = ends(&packet) else {
+        let Some(hosts) = endpoints(&packet) else {
             return self.world.deliver(packet);
         };
         self.messages += 1;
@@ -191,7 +192,7 @@
         for strike in due {
             self.strike(strike.fault, &mut packet);
         }
-        let (from, to) = ends;
+        let (from, to) = hosts;
         let cut = |r: u32| self.down[r as usize] > self.now;
         if from != to && (cut(from) || cut(to)) {
             return;
@@ -205,7 +206,7 @@
         match fault {
             Fault::RankStalls => {
                 self.world.group.stall(1, true);
-                self.at(OUTAGE, Happening::Unstall(1));
+                self.at(OUTAGE, SimEvent::Unstall(1));
             }
             Fault::EngineDies => self.world.replace_engine(1),
             Fault::AgentDies => self.restart(2),
@@ -216,8 +217,8 @@
                 self.down[1] = self.now + OUTAGE;
             }
             Fault::MessageLate => self.postpone(packet.take(), OUTAGE),
-            Fault::MessageDoubled => self.postpone(packet.clone(), OUTAGE / 4),
-            Fault::MessageCrossed => self.postpone(packet.take(), 4_000),
+            Fault::MessageDuplicated => self.postpone(packet.clone(), OUTAGE / 4),
+            Fault::MessageReordered => self.postpone(packet.take(), 4_000),
             Fault::MessageLost => *packet = None,
             Fault::RankCutOff => self.down[2] = self.now + OUTAGE,
             Fault::LeadCutOff => self.down[0] = self.now + OUTAGE,
@@ -227,8 +228,8 @@
                 }
             }
             Fault::OtherLead => self.world.rank(1, RankInput::Appointed),
-            Fault::LoadFails => self.fails += 1,
-            Fault::LoadCrawls => self.crawls += 1,
+            Fault::LoadFails => self.failing_loads += 1,
+            Fault::LoadSlow => self.slow_loads += 1,
             Fault::SecondMap => self.world.propose(0, proposal(1, 1, 3)),
             Fault::LaterMap => self.world.propose(0, proposal(2, 1, 4)),
         }
@@ -241,50 +242,50 @@
 
     fn postpone(&mut self, packet: Option<Packet>, by: u64) {
         if let Some(packet) = packet {
-            self.at(by, Happening::Packet(packet));
+            self.at(by, SimEvent::Packet(packet));
         }
     }
 
-    /// Schedules what the world has sent and armed.
+    /// Schedules the messages that were sent and the timers that were armed.
     fn flush(&mut self) {
         for packet in std::mem::take(&mut self.world.sent) {
             self.schedule(packet);
         }
         for (rank, alarm) in std::mem::take(&mut self.world.armed) {
-            let wait = wait(rank, alarm);
+            let wait = timeout(rank, alarm);
             let id = self.count;
             self.alarms.insert((rank, alarm), id);
-            self.at(wait, Happening::Fire(rank, alarm, id));
+            self.at(wait, SimEvent::Fire(rank, alarm, id));
         }
     }
 
     fn schedule(&mut self, packet: Packet) {
         match &packet {
-            Packet::Load(rank, version, _) if self.fails > 0 => {
-                self.fails -= 1;
-                let failed = Happening::Unload(*rank, *version);
+            Packet::Load(rank, version, _) if self.failing_loads > 0 => {
+                self.failing_loads -= 1;
+                let failed = SimEvent::Unload(*rank, *version);
                 self.at(LOAD, failed);
             }
-            Packet::Load(..) if self.crawls > 0 => {
-                self.crawls -= 1;
-                self.at(LOAD * 100, Happening::Packet(packet));
+            Packet::Load(..) if self.slow_loads > 0 => {
+                self.slow_loads -= 1;
+                self.at(LOAD * 100, SimEvent::Packet(packet));
             }
-            Packet::Load(..) => self.at(LOAD, Happening::Packet(packet)),
+            Packet::Load(..) => self.at(LOAD, SimEvent::Packet(packet)),
             Packet::Permit(..) | Packet::Status(..) => {
                 let delay = 20 + self.random(60);
-                self.at(delay, Happening::Packet(packet));
+                self.at(delay, SimEvent::Packet(packet));
             }
             _ => {
                 let delay = 200 + self.random(1_200);
-                self.at(delay, Happening::Packet(packet));
+                self.at(delay, SimEvent::Packet(packet));
             }
         }
     }
 
-    fn at(&mut self, after: u64, happening: Happening) {
+    fn at(&mut self, after: u64, event: SimEvent) {
         let id = self.count;
         self.count += 1;
-        self.events.insert(id, happening);
+        self.events.insert(id, event);
         self.queue.push(Reverse((self.now + after, id)));
     }
 
@@ -296,7 +297,7 @@
     }
 }
 
-/// The margin of the tests: delays of up to 1.4 ms, told as 3 ms.
+/// Returns the margin of the tests, which states delays of up to 1.4 ms as 3 ms.
 pub fn margin() -> Margin {
     Margin {
         delay: Span::from_millis(3),
@@ -305,8 +306,8 @@
     }
 }
 
-/// The two hosts that a message travels between, where it leaves its host.
-fn ends(packet: &Packet) -> Option<(u32, u32)> {
+/// Returns the sending and the receiving host of a message that leaves its host.
+fn endpoints(packet: &Packet) -> Option<(u32, u32)> {
     match packet {
         Packet::ToLead(from, term, _) => Some((*from, term.rank)),
         Packet::Peer(from, to, _) => Some((*from, *to)),
@@ -315,7 +316,7 @@
     }
 }
 
-fn wait(rank: u32, alarm: Alarm) -> u64 {
+fn timeout(rank: u32, alarm: Alarm) -> u64 {
     let margin = margin();
     let span = match alarm {
         Alarm::Rank(_) => margin.verdict_timeout(rank),
@@ -326,24 +327,24 @@
     span.as_micros()
 }
 
-/// Why a run is a fault of the agreement.
+/// How a run violates the agreement.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
-    Torn(String),
-    Lost {
+pub enum Violation {
+    /// Two ranks entered a step with different maps.
+    MixedMaps(String),
+    /// A map that a rank has stepped with is no longer in force.
+    LostMap {
         stepped: MapVersion,
         now: Option<MapVersion>,
     },
-    Held {
-        completed: Step,
-    },
-    Deaf {
-        version: Option<MapVersion>,
-    },
+    /// The group no longer steps.
+    Held { completed: Step },
+    /// The group accepts no further map.
+    NoNewMap { version: Option<MapVersion> },
 }
 
-/// Runs the strikes out, lets everything talk again and looks what became of the group.
-pub fn run_checked(ranks: u32, seed: u64, strikes: &[Strike]) -> Result<Sim, Verdict> {
+/// Runs a group with the strikes, lets all faults end and checks that the group has recovered.
+pub fn run_checked(ranks: u32, seed: u64, strikes: &[Strike]) -> Result<Sim, Violation> {
     let mut sim = Sim::new(ranks, seed, strikes);
     sim.run_until(500_000);
     check_maps(&sim)?;
@@ -351,31 +352,31 @@
     sim.run_until(600_000);
     let completed = sim.world.group.completed();
     if completed.get() < before.get() + 10 {
-        return Err(Verdict::Held { completed });
+        return Err(Violation::Held { completed });
     }
     for number in 0..6 {
-        sim.propose_anew(10 + number, 20);
+        sim.propose_again(10 + number, 20);
         sim.run_until(sim.now + 100_000);
         check_maps(&sim)?;
-        let shown = sim.world.agents[0].active_map().map(|s| s.map.clone());
-        if shown == Some(super::map(20)) {
+        let active = sim.world.agents[0].active_map().map(|s| s.map.clone());
+        if active == Some(super::map(20)) {
             return Ok(sim);
         }
     }
     let version = sim.world.agents[0].active_map().map(|s| s.version);
-    Err(Verdict::Deaf { version })
+    Err(Violation::NoNewMap { version })
 }
 
-fn check_maps(sim: &Sim) -> Result<(), Verdict> {
+fn check_maps(sim: &Sim) -> Result<(), Violation> {
     let group = &sim.world.group;
     if let Some(torn) = group.torn() {
-        return Err(Verdict::Torn(format!("{torn:?}")));
+        return Err(Violation::MixedMaps(format!("{torn:?}")));
     }
-    let standing = sim.world.agents.iter().filter_map(|a| a.active_map());
-    let now = standing.map(|s| s.version).max();
+    let active = sim.world.agents.iter().filter_map(|a| a.active_map());
+    let now = active.map(|s| s.version).max();
     let stepped = group.highest();
     if group.last().map(|l| l.1) != Some(stepped) || now < Some(stepped) {
-        return Err(Verdict::Lost { stepped, now });
+        return Err(Violation::LostMap { stepped, now });
     }
     Ok(())
 }
--- a/crates/groups/tests/explore.rs
+++ b/crates/groups/tests/explore.rs
@@ -1,9 +1,9 @@
-//! Exhaustive exploration at three ranks: every order of messages, timers, steps and faults.
+//! Exhaustive exploration with three ranks: every order of messages, timers, steps and faults.
 //!
-//! What a user would see otherwise: tokens that two maps computed, in an order of events that
-//! nobody thought of. The exploration starts when a second map is proposed to a group that
-//! steps, and follows every order in which messages arrive, ranks step, timers fire and a
-//! bounded number of faults strike. What stays on one host arrives at once.
+//! It guards against tokens that were computed with two maps after an unforeseen order of events.
+//! The exploration starts when a second map is proposed to a group that steps, and follows every
+//! order in which messages arrive, ranks step, timers fire and a bounded number of faults occur.
+//! Messages within one host arrive at once.
 
 mod common;
 
@@ -16,16 +16,16 @@
 use snipemast_groups::agree::lead::LeadTimer;
 use snipemast_groups::agree::{LeadTerm, Margin, RankMessage};
 
-/// What may still happen besides the delivery of messages.
+/// The events that may still happen besides the delivery of messages.
 #[derive(Debug, Clone, Copy, Hash)]
 struct Budget {
     fires: u8,
     losses: u8,
-    doubles: u8,
+    duplicates: u8,
     agents: u8,
     engines: u8,
     steps: u64,
-    /// Messages between two hosts arrive in the order in which they were sent.
+    /// Whether messages between two hosts arrive in the order in which they were sent.
     ordered: bool,
 }
 
@@ -37,11 +37,12 @@
 
 struct Explorer {
     seen: HashSet<u64>,
-    rests: usize,
+    /// The number of states without messages under way.
+    quiescent: usize,
 }
 
-/// The shortest margin that a switch can have, so that steps and messages race.
-fn tight() -> Margin {
+/// Returns the shortest possible margin, so that steps and messages race.
+fn shortest_margin() -> Margin {
     Margin {
         delay: Span::default(),
         step: Span::from_millis(1),
@@ -51,46 +52,51 @@
 
 impl State {
     fn new(budget: Budget) -> Self {
-        let mut world = World::new(3, tight());
-        world.tries = 0;
+        let mut world = World::new(3, shortest_margin());
+        world.retries = 0;
         world.form();
         world.propose(0, proposal(1, 1, 2));
         let mut state = Self { world, budget };
         state.budget.steps += state.world.group.completed().get();
-        state.local();
+        state.deliver_local();
         state
     }
 
-    /// Where all ranks have loaded the weights: before that nothing is at stake.
+    /// Returns a state in which all ranks have loaded the weights, because nothing can go wrong
+    /// before that.
     fn prepared(budget: Budget) -> Self {
         let mut state = Self::new(budget);
         for _ in 0..6 {
-            let ack = state.world.sent.iter().position(|p| ack_to(p).is_some());
+            let ack = state
+                .world
+                .sent
+                .iter()
+                .position(|p| gathered_by(p).is_some());
             let packet = state.world.sent.remove(ack.unwrap_or(0));
             state.world.deliver(packet);
-            state.local();
+            state.deliver_local();
         }
         // Up to just before the switch.
         for rank in [0, 1, 2, 0, 1, 2] {
             assert!(state.world.step(rank));
-            state.local();
+            state.deliver_local();
         }
         state
     }
 
-    /// Delivers what stays on one host, and forgets counters that decide nothing.
-    fn local(&mut self) {
-        let stays = |p: &Packet| {
+    /// Delivers the messages within a host, and resets counters that affect nothing.
+    fn deliver_local(&mut self) {
+        let local = |p: &Packet| {
             matches!(
                 p,
                 Packet::Permit(..) | Packet::Status(..) | Packet::Load(..)
             )
         };
-        while let Some(n) = self.world.sent.iter().position(stays) {
+        while let Some(n) = self.world.sent.iter().position(local) {
             let packet = self.world.sent.remove(n);
             self.world.deliver(packet);
         }
-        self.drop_dead();
+        self.drop_ineffective();
         self.world.held = 0;
         self.world.rejected = 0;
         if self.budget.ordered {
@@ -100,23 +106,22 @@
         }
     }
 
-    /// Forgets messages that can have no effect any more: answers to a term that nobody holds,
-    /// and, once no agent can forget its term, orders of a term that nobody holds to ranks that
-    /// obey a later one.
-    fn drop_dead(&mut self) {
+    /// Drops messages that can no longer have any effect: answers to a term that no lead has, and,
+    /// once no agent can forget its term, messages of such a term to ranks that obey a later one.
+    fn drop_ineffective(&mut self) {
         let World {
             leads,
             agents,
             sent,
             ..
         } = &mut self.world;
-        let held = |term: LeadTerm| leads.iter().flatten().any(|l| l.term() == term);
+        let led = |term: LeadTerm| leads.iter().flatten().any(|l| l.term() == term);
         let forgets = self.budget.agents > 0;
         sent.retain(|packet| match packet {
-            Packet::ToLead(_, term, _) => held(*term),
+            Packet::ToLead(_, term, _) => led(*term),
             Packet::ToRank(to, message) => {
                 let term = message.term();
-                forgets || held(term) || agents[*to as usize].term() <= term
+                forgets || led(term) || agents[*to as usize].term() <= term
             }
             _ => true,
         });
@@ -136,11 +141,11 @@
 
     fn successors(&self) -> Vec<Self> {
         let mut next = Vec::new();
-        let mut led = HashSet::new();
+        let mut leads = HashSet::new();
         let mut links = HashSet::new();
         for (n, packet) in self.world.sent.iter().enumerate() {
             let first = links.insert(link(packet)) || !self.budget.ordered;
-            let alone = ack_to(packet).is_none_or(|term| led.insert(term.rank));
+            let alone = gathered_by(packet).is_none_or(|term| leads.insert(term.rank));
             if first && alone {
                 self.with_message(n, &mut next);
             }
@@ -162,11 +167,11 @@
                 s.budget.losses -= 1;
             }));
         }
-        if self.budget.doubles > 0 {
+        if self.budget.duplicates > 0 {
             next.push(self.after(|s| {
                 let packet = s.world.sent[n].clone();
                 s.world.deliver(packet);
-                s.budget.doubles -= 1;
+                s.budget.duplicates -= 1;
             }));
         }
     }
@@ -175,7 +180,7 @@
         if self.budget.fires == 0 {
             return;
         }
-        // Resending only brings back what was lost; the closing run does it.
+        // Resending only repeats lost messages, which the final run does.
         let fires = |a: &&(u32, Alarm)| !matches!(a.1, Alarm::Lead(LeadTimer::Resend));
         for (rank, alarm) in self.world.armed.iter().filter(fires).copied() {
             next.push(self.after(|s| {
@@ -191,7 +196,7 @@
             let step = self.world.group.status(rank).step.get();
             let mut after = self.after(|_| {});
             if step < self.budget.steps && after.world.step(rank) {
-                after.local();
+                after.deliver_local();
                 next.push(after);
             }
         }
@@ -207,7 +212,7 @@
                     s.budget.agents -= 1;
                 }));
             }
-            // One rank stands for all: what a death of another does differently, the matrix shows.
+            // One rank represents all; the fault matrix covers the deaths of the others.
             if self.budget.engines > 0 && rank == 1 {
                 next.push(self.after(|s| {
                     s.world.replace_engine(rank);
@@ -222,12 +227,13 @@
     fn after(&self, act: impl FnOnce(&mut Self)) -> Self {
         let mut next = self.clone();
         act(&mut next);
-        next.local();
+        next.deliver_local();
         next
     }
 
-    /// Everything can talk: messages arrive, timers fire, ranks step. The group must go on.
-    fn close(mut self) -> Result<(), String> {
+    /// Runs without further faults: messages arrive, timers fire and ranks step. The group must
+    /// continue.
+    fn run_to_end(mut self) -> Result<(), String> {
         let start = self.world.group.completed().get();
         for round in 0..60 {
             while !self.world.sent.is_empty() {
@@ -239,10 +245,10 @@
             }
             let alarms = std::mem::take(&mut self.world.armed);
             for (rank, alarm) in alarms {
-                // Ranks wait differently long; here, a different number of rounds.
-                let impatient = matches!(alarm, Alarm::Rank(_)) && round % 6 != 2 * rank;
-                let deaf = matches!(alarm, Alarm::Lead(l) if l != LeadTimer::Resend);
-                if impatient || deaf {
+                // The timeouts of ranks differ; here, by a number of rounds.
+                let early = matches!(alarm, Alarm::Rank(_)) && round % 6 != 2 * rank;
+                let suppressed = matches!(alarm, Alarm::Lead(l) if l != LeadTimer::Resend);
+                if early || suppressed {
                     self.world.armed.insert((rank, alarm));
                 } else {
                     self.world.fire(rank, alarm);
@@ -254,10 +260,10 @@
         if end < start + 10 {
             return Err(format!("held at step {end} from {start}"));
         }
-        let standing = self.world.agents.iter().filter_map(|a| a.active_map());
-        let now = standing.map(|s| s.version).min();
+        let active = self.world.agents.iter().filter_map(|a| a.active_map());
+        let now = active.map(|s| s.version).min();
         if now != Some(self.world.group.highest()) {
-            return Err(format!("{now:?} stands in the end"));
+            return Err(format!("map {now:?} is in force in the end"));
         }
         Ok(())
     }
@@ -271,11 +277,11 @@
 }
 
 impl Explorer {
-    /// Follows every order from a state and returns how many states there are.
+    /// Follows every order from a state.
     fn run(start: State) -> Self {
         let mut explorer = Self {
             seen: HashSet::new(),
-            rests: 0,
+            quiescent: 0,
         };
         let mut open = vec![start];
         while let Some(state) = open.pop() {
@@ -287,22 +293,27 @@
             }
             let next = state.successors();
             if state.world.sent.is_empty() {
-                explorer.rests += 1;
+                explorer.quiescent += 1;
                 let world = state.world.clone();
-                if let Err(fault) = state.close() {
+                if let Err(fault) = state.run_to_end() {
                     panic!("{fault} from {world:#?}");
                 }
             }
             open.extend(next);
         }
-        println!("states: {} closed: {}", explorer.seen.len(), explorer.rests);
+        println!(
+            "states: {} closed: {}",
+            explorer.seen.len(),
+            explorer.quiescent
+        );
         explorer
     }
 }
 
-/// The lead that a message goes to, where it only adds to what that lead has gathered. The order
-/// of such messages shows nowhere before the last of them has come, so one order stands for all.
-fn ack_to(packet: &Packet) -> Option<&LeadTerm> {
+/// Returns the term of the lead that a message goes to, where the message only adds to the answers
+/// that the lead gathers. The order of such messages has no effect before the last one has arrived,
+/// so one order represents all.
+fn gathered_by(packet: &Packet) -> Option<&LeadTerm> {
     match packet {
         Packet::ToLead(_, _, RankMessage::Refused { .. }) => None,
         Packet::ToLead(_, term, _) => Some(term),
@@ -310,7 +321,7 @@
     }
 }
 
-/// The hosts that a message travels between.
+/// Returns the sending and the receiving host of a message.
 fn link(packet: &Packet) -> (u32, u32) {
     match packet {
         Packet::ToRank(to, message) => (message.term().rank, *to),
@@ -328,10 +339,10 @@
     hasher.finish()
 }
 
-const QUIET: Budget = Budget {
+const NO_FAULTS: Budget = Budget {
     fires: 0,
     losses: 0,
-    doubles: 0,
+    duplicates: 0,
     agents: 0,
     engines: 0,
     steps: 5,
@@ -339,9 +350,9 @@
 };
 
 #[test]
-fn every_order() {
-    let found = Explorer::run(State::new(QUIET));
-    assert!(found.rests > 0);
+fn every_message_order() {
+    let found = Explorer::run(State::new(NO_FAULTS));
+    assert!(found.quiescent > 0);
 }
 
 #[test]
@@ -349,7 +360,7 @@
     explore(Budget {
         ordered: true,
         fires: 1,
-        ..QUIET
+        ..NO_FAULTS
     });
 }
 
@@ -358,15 +369,15 @@
     explore(Budget {
         losses: 1,
         fires: 1,
-        ..QUIET
+        ..NO_FAULTS
     });
 }
 
 #[test]
-fn every_double() {
+fn every_duplicate() {
     explore(Budget {
-        doubles: 1,
-        ..QUIET
+        duplicates: 1,
+        ..NO_FAULTS
     });
 }
 
@@ -375,7 +386,7 @@
     explore(Budget {
         ordered: true,
         agents: 1,
-        ..QUIET
+        ..NO_FAULTS
     });
 }
 
@@ -384,10 +395,10 @@
     explore(Budget {
         ordered: true,
         engines: 1,
-        ..QUIET
+        ..NO_FAULTS
     });
 }
 
 fn explore(budget: Budget) {
-    assert!(Explorer::run(State::prepared(budget)).rests > 0);
+    assert!(Explorer::run(State::prepared(budget)).quiescent > 0);
 }
--- a/crates/groups/tests/matrix.rs
+++ b/crates/groups/tests/matrix.rs
@@ -1,23 +1,23 @@
 //! The fault matrix of the agreement: every fault at every message, singly and in pairs.
 //!
-//! What a user would see otherwise: tokens that two maps computed, or a group that hangs. In each
-//! run a map is proposed, the faults strike at the chosen messages, everything heals, and then:
-//! no step had two maps, no map that any rank stepped with is lost, the group steps, and it takes
-//! another map.
+//! It guards against tokens that were computed with two maps, and against groups that hang. Each
+//! run proposes a map, injects the faults at the chosen messages and lets them end. Then no step
+//! may have had two maps, no map that a rank has stepped with may be lost, and the group must step
+//! and accept another map.
 
 mod common;
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-use common::sim::{run_checked, Fault, Sim, Strike, Verdict};
+use common::sim::{run_checked, Fault, Sim, Strike, Violation};
 
-/// Messages between agents in a run without faults: load, loaded, prepare, promise, decide,
-/// settled, for three ranks.
+/// The number of messages between agents in a run without faults: load, loaded, prepare, promise,
+/// decide and settled, for three ranks.
 const MESSAGES: u64 = 18;
 
-/// Runs all the cells and returns those that fail.
-fn run_all(cells: &[Vec<Strike>]) -> Vec<(Vec<Strike>, Verdict)> {
+/// Runs all cells of the matrix and returns those that fail.
+fn run_all(cells: &[Vec<Strike>]) -> Vec<(Vec<Strike>, Violation)> {
     let next = AtomicUsize::new(0);
     let failed = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
@@ -25,8 +25,8 @@
             scope.spawn(|| loop {
                 let n = next.fetch_add(1, Ordering::Relaxed);
                 let Some(strikes) = cells.get(n) else { return };
-                if let Err(verdict) = run_checked(3, n as u64, strikes) {
-                    failed.lock().unwrap().push((strikes.clone(), verdict));
+                if let Err(violation) = run_checked(3, n as u64, strikes) {
+                    failed.lock().unwrap().push((strikes.clone(), violation));
                 }
             });
         }
@@ -43,14 +43,14 @@
 
 #[test]
 fn no_fault() {
-    let sim = run_checked(3, 1, &[]).expect("a group without faults does well");
+    let sim = run_checked(3, 1, &[]).expect("a run without faults violates nothing");
     assert_eq!(sim.world.held, 0);
 }
 
+/// In normal operation a switch lies far enough ahead: no attempt is refused as late and retried
+/// under another version, and no rank waits at the switch.
 #[test]
-fn first_try() {
-    // In ordinary running a switch lies far enough ahead: no attempt is refused as too near and
-    // made again under another version, and no step is held.
+fn first_attempt_succeeds() {
     for seed in 0..50 {
         let mut sim = Sim::new(3, seed, &[]);
         sim.run_until(300_000);
--- a/crates/groups/tests/random.rs
+++ b/crates/groups/tests/random.rs
@@ -1,7 +1,7 @@
-//! Random groups under random faults: beyond what can be explored exhaustively.
+//! Random groups under random faults, beyond what can be explored exhaustively.
 //!
-//! What a user would see otherwise: tokens that two maps computed, or a group that hangs, after
-//! more faults than the matrix combines.
+//! They guard against tokens that were computed with two maps, and against groups that hang, after
+//! more faults than the fault matrix combines.
 
 mod common;
 
@@ -9,13 +9,13 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 #[derive(Debug, Clone)]
-struct Ordeal {
+struct Scenario {
     ranks: u32,
     seed: u64,
     strikes: Vec<Strike>,
 }
 
-impl Arbitrary for Ordeal {
+impl Arbitrary for Scenario {
     fn arbitrary(gen: &mut Gen) -> Self {
         let strikes = (0..u64::arbitrary(gen) % 8).map(|_| Strike {
             at: u64::arbitrary(gen) % 120,
@@ -39,11 +39,11 @@
     }
 }
 
-fn endures(ordeal: Ordeal) -> bool {
-    match run_checked(ordeal.ranks, ordeal.seed, &ordeal.strikes) {
+fn recovers(scenario: Scenario) -> bool {
+    match run_checked(scenario.ranks, scenario.seed, &scenario.strikes) {
         Ok(_) => true,
-        Err(fault) => {
-            println!("{fault:?}");
+        Err(violation) => {
+            println!("{violation:?}");
             false
         }
     }
@@ -54,5 +54,5 @@
     QuickCheck::new()
         .tests(3_000)
         .rng(Gen::from_size_and_seed(100, 7))
-        .quickcheck(endures as fn(Ordeal) -> bool);
+        .quickcheck(recovers as fn(Scenario) -> bool);
 }
