--- a/crates/groups/src/estimate.rs
+++ b/crates/groups/src/estimate.rs
@@ -1,57 +1,58 @@
-//! Popularity of experts, from reports that lag and have gaps.
+//! Estimates the popularity of experts from reports that lag and have gaps.
 //!
-//! Two averages of each expert's share are kept, a fast one and a slow one. Where they differ by
-//! no more than sampling explains, that is noise and both go on. Where they differ by more, it is
-//! a burst until it has lasted; then it is drift, and the slow average takes the fast one's value.
+//! Two averages of each expert's share are kept, a fast one and a slow one. Where they differ by no
+//! more than sampling explains, the difference is noise and both continue. A larger difference is a
+//! burst at first. Once it has lasted it is drift, and the slow average takes the value of the fast
+//! one.
 
 use std::fmt;
 
 use snipemast_core::data;
 use snipemast_core::prelude::*;
 
-/// Standard deviations beyond which a difference is not noise.
-const SIGMAS: f64 = 4.0;
+/// The number of standard deviations beyond which a difference is not noise.
+const NOISE_SIGMAS: f64 = 4.0;
 
 data! {
-    /// How the averages follow the reports.
+    /// How fast the averages follow the reports.
     #[derive(Copy)]
     pub struct Smoothing {
         /// The time constant of the fast average.
         pub fast: Span,
         /// The time constant of the slow average.
         pub slow: Span,
-        /// How long a difference lasts before it is drift.
+        /// How long a difference must last before it is drift.
         pub lasting: Span,
     }
 
-    /// Tokens that each expert of each layer took, as one report counts them.
+    /// A report of the number of tokens of each expert of each layer.
     pub struct Counts {
         /// When the counting ended.
         pub at: Moment,
-        /// By layer and expert.
+        /// The number of tokens, by layer and expert.
         pub layers: Vec<Vec<u32>>,
     }
 
-    /// What the popularity of an expert does.
+    /// How the popularity of an expert changes.
     #[derive(Copy, Default, Hash)]
     pub enum Trend {
-        /// It differs by no more than sampling explains.
+        /// The averages differ by no more than sampling explains.
         #[default]
         Steady,
-        /// It differs, and has not lasted yet.
+        /// The averages differ, and the difference has not lasted yet.
         Burst,
-        /// It differed so long that the estimate followed.
+        /// The averages differed for so long that the estimate followed.
         Drift,
     }
 
-    /// How many experts show each trend.
+    /// The number of experts with each trend.
     #[derive(Copy, Default)]
     pub struct Trends {
-        /// Noise only.
+        /// Experts with noise only.
         pub steady: u32,
-        /// Bursts.
+        /// Experts with a burst.
         pub bursts: u32,
-        /// Lasting drift, just followed.
+        /// Experts whose drift the estimate has just followed.
         pub drifts: u32,
     }
 }
@@ -78,8 +79,8 @@
 }
 
 impl Smoothing {
-    /// The pace that suits a group's two weights: the more disturbance weighs, the longer a
-    /// difference must last before it is followed.
+    /// Derives the time constants from a group's two weights. The more disturbance weighs, the
+    /// longer a difference must last before it is followed.
     pub fn from_weights(skew: u32, disturbance: u32) -> Self {
         let part = f64::from(disturbance) / f64::from((skew + disturbance).max(1));
         let span = |longest: f64| Span::from_micros((longest * part * 1e6) as u64 + 1_000_000);
@@ -91,7 +92,7 @@
     }
 }
 
-/// One expert's averages.
+/// The averages of one expert.
 #[derive(Debug, Clone, Copy, Default)]
 struct Track {
     fast: f64,
@@ -103,56 +104,56 @@
 /// The popularity of every expert of a group.
 #[derive(Debug, Clone)]
 pub struct Popularity {
-    pace: Smoothing,
+    smoothing: Smoothing,
     last: Option<Moment>,
     tracks: Vec<Vec<Track>>,
     shares: Vec<Vec<f64>>,
-    late: u64,
+    late_reports: u64,
 }
 
 impl Popularity {
-    /// Nothing is known yet.
-    pub fn new(pace: Smoothing) -> Self {
+    /// Creates an estimate without any report.
+    pub fn new(smoothing: Smoothing) -> Self {
         Self {
-            pace,
+            smoothing,
             last: None,
             tracks: Vec::new(),
             shares: Vec::new(),
-            late: 0,
+            late_reports: 0,
         }
     }
 
-    /// Takes a report; one that others overtook is dropped and counted.
+    /// Adds a report. One that arrives after a later report is dropped and counted.
     pub fn record(&mut self, counts: &Counts) {
         match self.last {
             Some(last) if counts.at <= last => {
-                self.late += 1;
+                self.late_reports += 1;
                 return;
             }
-            // After a gap the new report weighs more: what it replaces is older.
-            Some(last) => self.follow(counts, counts.at.since(last)),
-            None => self.begin(counts),
+            // After a gap the new report weighs more, because the data that it replaces is older.
+            Some(last) => self.update_tracks(counts, counts.at.since(last)),
+            None => self.init_tracks(counts),
         }
         self.last = Some(counts.at);
-        self.publish();
+        self.update_shares();
     }
 
-    /// Each expert's share of its layer's load, by layer.
+    /// Returns each expert's share of its layer's load, by layer.
     pub fn shares(&self) -> &[Vec<f64>] {
         &self.shares
     }
 
-    /// How old the newest report is.
+    /// Returns the age of the newest report.
     pub fn age(&self, now: Moment) -> Option<Span> {
         self.last.map(|last| now.since(last))
     }
 
-    /// Reports that came after later ones.
-    pub fn late(&self) -> u64 {
-        self.late
+    /// Returns the number of reports that arrived after later ones.
+    pub fn late_reports(&self) -> u64 {
+        self.late_reports
     }
 
-    /// How many experts of a layer show each trend.
+    /// Returns the number of experts of a layer with each trend.
     pub fn trends(&self, layer: usize) -> Trends {
         let mut trends = Trends::default();
         for track in self.tracks.get(layer).into_iter().flatten() {
@@ -165,25 +166,25 @@
         trends
     }
 
-    fn begin(&mut self, counts: &Counts) {
+    fn init_tracks(&mut self, counts: &Counts) {
         self.tracks = counts.layers.iter().map(|l| first_tracks(l)).collect();
     }
 
-    fn follow(&mut self, counts: &Counts, elapsed: Span) {
-        let fast = weight(elapsed, self.pace.fast);
-        let slow = weight(elapsed, self.pace.slow);
-        let lasting = self.pace.lasting;
+    fn update_tracks(&mut self, counts: &Counts, elapsed: Span) {
+        let fast = weight(elapsed, self.smoothing.fast);
+        let slow = weight(elapsed, self.smoothing.slow);
+        let lasting = self.smoothing.lasting;
         for (tracks, layer) in self.tracks.iter_mut().zip(&counts.layers) {
             let total = total(layer);
-            // A layer that took no token tells nothing about its experts.
+            // A layer without tokens tells nothing about its experts.
             if total < 1.0 {
                 continue;
             }
             for (track, count) in tracks.iter_mut().zip(layer) {
                 let share = f64::from(*count) / total;
                 track.fast += fast * (share - track.fast);
-                track.judge(counts.at, lasting, total, fast);
-                // The first report of a burst already stays out of the slow average.
+                track.update_trend(counts.at, lasting, total, fast);
+                // Even the first report of a burst is kept out of the slow average.
                 if track.trend == Trend::Steady {
                     track.slow += slow * (share - track.slow);
                 }
@@ -191,7 +192,7 @@
         }
     }
 
-    fn publish(&mut self) {
+    fn update_shares(&mut self) {
         let shares = |tracks: &Vec<Track>| {
             let sum: f64 = tracks.iter().map(|t| t.slow).sum();
             tracks.iter().map(|t| t.slow / sum.max(1e-12)).collect()
@@ -201,15 +202,15 @@
 }
 
 impl Track {
-    /// Tells noise, burst and lasting drift apart.
+    /// Distinguishes noise, bursts and lasting drift.
     ///
-    /// Failure guarded against: experts are moved for a burst and moved back after it, which
-    /// costs weight loads twice and disturbs requests for nothing.
-    fn judge(&mut self, now: Moment, lasting: Span, total: f64, fast: f64) {
-        let seen = total * (2.0 - fast) / fast;
+    /// Failure guarded against: experts are moved for a burst and moved back after it, which costs
+    /// weight loads twice and disturbs requests for nothing.
+    fn update_trend(&mut self, now: Moment, lasting: Span, total: f64, fast: f64) {
+        let samples = total * (2.0 - fast) / fast;
         let share = self.slow.max(1.0 / total);
-        let noise = SIGMAS * (share * (1.0 - share).max(0.0) / seen).sqrt();
-        // A difference of a tenth moves nothing worth moving, however sure it is.
+        let noise = NOISE_SIGMAS * (share * (1.0 - share).max(0.0) / samples).sqrt();
+        // A difference of up to a tenth is not worth any move, however certain it is.
         if (self.fast - self.slow).abs() <= noise.max(0.1 * self.slow) {
             self.since = None;
             self.trend = Trend::Steady;
@@ -245,7 +246,7 @@
     layer.iter().map(|c| f64::from(*c)).sum()
 }
 
-/// The weight of a new sample in an average with this time constant.
+/// Returns the weight of a new sample in an average with this time constant.
 fn weight(elapsed: Span, constant: Span) -> f64 {
     1.0 - (-elapsed.as_secs_f64() / constant.as_secs_f64().max(1e-9)).exp()
 }
--- a/crates/groups/src/lib.rs
+++ b/crates/groups/src/lib.rs
@@ -1,24 +1,36 @@
 //! Expert map agreement and rebalancing decisions.
 //!
-//! - [`map`]: which rank holds which expert of which layer, and moves between maps.
-//! - [`agree`]: agreement of a group's ranks on one expert map in every step.
-//! - [`estimate`]: popularity of experts, from reports that lag and have gaps.
-//! - [`pace`]: slow and stalled ranks, told apart from hot experts.
-//! - [`pack`](mod@pack): a layer packed anew, but kept as it is where that costs little evenness.
-//! - [`search`]: few changes of slots that even out the ranks of one layer.
-//! - [`policy`]: which moves to make, and why or why not.
-//! - [`planner`]: one group's planner, which takes reports and remembers why it decided so.
-//! - [`order`]: what a lead asks of ranks of ordered engines, and what they say.
-//! - [`switch`]: how the lead of a group of ordered engines brings a map into force.
-//! - [`draft`]: a new map, told as its difference from one that ranks know.
+//! A group is a set of ranks that step in lock-step and together hold the experts of a model. An
+//! expert map says which rank holds which expert. The crate contains no I/O: its types are state
+//! machines and pure functions, which agents and sidecars drive.
+//!
+//! Expert maps:
+//!
+//! - [`map`]: which rank holds which expert of which layer, and the moves between two maps.
+//! - [`search`]: finds a few changes of slots that balance the ranks of one layer.
+//! - [`pack`](mod@pack): repacks a layer, and keeps experts in place where that costs little.
+//!
+//! Groups whose engines step by permit:
+//!
+//! - [`agree`]: agreement of a group's ranks on the expert map of each step.
+//! - [`estimate`]: the popularity of experts, from reports that lag and have gaps.
+//! - [`pace`]: detects slow and stalled ranks, as opposed to ranks with hot experts.
+//! - [`policy`]: decides which moves to make, with the reason.
+//! - [`planner`]: the planner of one group, which collects reports and records its decisions.
+//! - [`steer`]: the cost of one more request on a group, and which requests to defer.
+//!
+//! Groups whose engines take orders:
+//!
+//! - [`order`]: the orders that a lead gives to ranks, and their outcomes.
+//! - [`switch`]: how the lead brings a new map into force.
+//! - [`ahead`]: how many steps ahead the group is held for a switch.
+//! - [`draft`]: encodes a new map as its difference from one that ranks know.
 //! - [`delivery`]: how orders reach many ranks over narrow links.
-//! - [`stall`]: whether a rank goes on with its group's passes.
-//! - [`takeover`]: how another process lets a group go on whose lead has fallen silent.
-//! - [`ahead`]: how many steps ahead a group is held for that.
-//! - [`executor`]: carries a lead's orders out on one rank, each surely or not at all.
-//! - [`demand`]: the demand for experts, out of a sample of the ranks.
-//! - [`even`](mod@even): a map for a demand that has shifted, with few copies.
-//! - [`steer`]: what a request would add to a skewed group, and what to defer.
+//! - [`executor`]: carries out a lead's orders on one rank.
+//! - [`takeover`]: how a deputy releases a held group whose lead no longer answers.
+//! - [`stall`]: detects that a rank makes no progress with its group's passes.
+//! - [`demand`]: the demand for experts, from the counts of a sample of the ranks.
+//! - [`even`]: rebalances a group after a shift of the demand, with few copies.
 
 pub mod agree;
 pub mod ahead;
--- a/crates/groups/src/map.rs
+++ b/crates/groups/src/map.rs
@@ -1,14 +1,14 @@
-//! Which rank holds which expert of which layer, and how one map differs from another.
+//! Expert maps: which rank holds which expert of which layer, and the moves between two maps.
 
 use std::fmt;
 
 use snipemast_core::data;
 
-/// The mark of a slot that holds no expert.
+/// Marks a slot that holds no expert.
 pub const EMPTY: u16 = u16::MAX;
 
 data! {
-    /// One layer of an expert map: a bounded number of slots on each rank.
+    /// One layer of an expert map, with the same number of slots on each rank.
     #[derive(Hash)]
     pub struct Layer {
         ranks: u16,
@@ -34,7 +34,7 @@
         pub slot: u16,
         /// The expert that is loaded, or [`EMPTY`].
         pub loads: u16,
-        /// The expert that gives way, or [`EMPTY`].
+        /// The expert that is evicted, or [`EMPTY`].
         pub evicts: u16,
     }
 }
@@ -57,7 +57,7 @@
 }
 
 impl Layer {
-    /// A layer of empty slots.
+    /// Creates a layer of empty slots.
     pub fn new(ranks: u16, slots: u16) -> Self {
         let count = usize::from(ranks) * usize::from(slots);
         Self {
@@ -67,11 +67,12 @@
         }
     }
 
-    /// A layer with the experts dealt out in turn, each once; slots that remain stay empty.
+    /// Creates a layer with the experts assigned to the ranks round-robin, each once. The remaining
+    /// slots stay empty.
     ///
     /// # Panics
     ///
-    /// Where the experts don't fit into the slots.
+    /// Panics where the experts don't fit into the slots.
     pub fn round_robin(ranks: u16, slots: u16, experts: u16) -> Self {
         let mut layer = Self::new(ranks, slots);
         assert!(usize::from(experts) <= layer.held.len());
@@ -81,11 +82,12 @@
         layer
     }
 
-    /// A layer in which one rank holds what is given, and each other expert is on one other rank.
+    /// Creates a layer in which one rank holds the given experts, and each other expert is on one
+    /// of the other ranks.
     ///
     /// # Panics
     ///
-    /// Where the one rank is the only one and does not hold every expert.
+    /// Panics where there is no other rank and the one rank does not hold every expert.
     pub fn from_rank(rank: u16, held: &[u16], ranks: u16, experts: u16) -> Self {
         let others: Vec<u16> = (0..ranks).filter(|r| *r != rank).collect();
         let rest: Vec<u16> = (0..experts).filter(|e| !held.contains(e)).collect();
@@ -102,18 +104,18 @@
         layer
     }
 
-    /// How many ranks there are.
+    /// Returns the number of ranks.
     pub fn ranks(&self) -> u16 {
         self.ranks
     }
 
-    /// How many slots each rank has.
+    /// Returns the number of slots of each rank.
     pub fn slots(&self) -> u16 {
         self.slots
     }
 
-    /// What a slot holds, or [`EMPTY`].
-    pub fn at(&self, rank: u16, slot: u16) -> u16 {
+    /// Returns the expert in a slot, or [`EMPTY`].
+    pub fn expert_at(&self, rank: u16, slot: u16) -> u16 {
         self.held[self.index(rank, slot)]
     }
 
@@ -123,7 +125,7 @@
         self.held[index] = expert;
     }
 
-    /// All slots of one rank.
+    /// Returns the experts in all slots of one rank, including [`EMPTY`] ones.
     pub fn rank_slots(&self, rank: u16) -> &[u16] {
         let start = self.index(rank, 0);
         &self.held[start..start + usize::from(self.slots)]
@@ -134,7 +136,7 @@
         self.rank_slots(rank).contains(&expert)
     }
 
-    /// How many replicas each expert has.
+    /// Returns the number of replicas of each expert.
     pub fn replicas(&self, experts: usize) -> Vec<u16> {
         let mut counts = vec![0; experts];
         for &expert in self.held.iter().filter(|e| **e != EMPTY) {
@@ -143,12 +145,12 @@
         counts
     }
 
-    /// The load of each rank, where every expert's load is split evenly over its replicas.
+    /// Returns the load of each rank, with every expert's load split evenly over its replicas.
     pub fn rank_loads(&self, loads: &[f64]) -> Vec<f64> {
         self.rank_loads_with(loads, &self.replicas(loads.len()))
     }
 
-    /// The load of each rank, where the number of replicas is known already.
+    /// Returns the load of each rank, given the number of replicas of each expert.
     pub fn rank_loads_with(&self, loads: &[f64], replicas: &[u16]) -> Vec<f64> {
         (0..self.ranks)
             .map(|rank| {
@@ -159,14 +161,14 @@
             .collect()
     }
 
-    /// The moves that lead from this layer to another of the same shape, and how many weights
-    /// they load.
+    /// Returns the moves from this layer to another one of the same shape, and the number of their
+    /// weight loads.
     pub fn moves_to(&self, number: u16, other: &Self) -> (Vec<Move>, usize) {
         let mut moves = Vec::new();
         let mut weights = 0;
         for rank in 0..self.ranks {
             for slot in 0..self.slots {
-                let (evicts, loads) = (self.at(rank, slot), other.at(rank, slot));
+                let (evicts, loads) = (self.expert_at(rank, slot), other.expert_at(rank, slot));
                 if evicts != loads {
                     weights += usize::from(loads != EMPTY && !self.holds(rank, loads));
                     moves.push(Move {
@@ -188,18 +190,19 @@
 }
 
 impl ExpertMap {
-    /// A map with the experts of each layer dealt out in turn.
+    /// Creates a map with the experts of each layer assigned to the ranks round-robin.
     pub fn round_robin(layers: usize, ranks: u16, slots: u16, experts: u16) -> Self {
         Self {
             layers: vec![Layer::round_robin(ranks, slots, experts); layers],
         }
     }
 
-    /// A whole map in which one rank holds what is given, by layer; what others hold is made up.
+    /// Creates a complete map in which one rank holds the given experts, by layer. The other
+    /// experts are assigned to the other ranks arbitrarily.
     ///
     /// # Panics
     ///
-    /// Where the one rank is the only one and does not hold every expert.
+    /// Panics where there is no other rank and the one rank does not hold every expert.
     pub fn from_rank(rank: u16, held: &[Vec<u16>], ranks: u16, experts: u16) -> Self {
         let layers = held.iter();
         Self {
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Whether another map has the same layers, ranks and slots.
+    /// Whether another map has the same number of layers, ranks and slots.
     pub fn is_shaped_like(&self, other: &Self) -> bool {
         let shape = |map: &Self| -> Vec<_> {
             let layers = map.layers.iter();
@@ -218,7 +221,7 @@
         shape(self) == shape(other)
     }
 
-    /// Whether each rank holds the same experts as in another map, in whichever slots.
+    /// Whether each rank holds the same experts as in another map, in any order of slots.
     pub fn has_same_holders(&self, other: &Self) -> bool {
         let same = |(a, b): (&Layer, &Layer)| {
             (0..a.ranks).all(|rank| {
@@ -233,17 +236,17 @@
         self.is_shaped_like(other) && self.layers.iter().zip(&other.layers).all(same)
     }
 
-    /// What all slots hold: by layer, rank and slot.
+    /// Returns the experts of all slots, ordered by layer, rank and slot.
     pub fn slots(&self) -> impl Iterator<Item = u16> + '_ {
         self.layers.iter().flat_map(|l| l.held.iter().copied())
     }
 
-    /// All slots, to be changed.
+    /// Returns all slots mutably, ordered by layer, rank and slot.
     pub fn slots_mut(&mut self) -> impl Iterator<Item = &mut u16> {
         self.layers.iter_mut().flat_map(|l| l.held.iter_mut())
     }
 
-    /// The moves that lead from this map to another of the same shape.
+    /// Returns the moves from this map to another one of the same shape.
     pub fn moves_to(&self, other: &Self) -> Vec<Move> {
         let layers = self.layers.iter().zip(&other.layers).enumerate();
         layers
@@ -251,7 +254,7 @@
             .collect()
     }
 
-    /// The map after these moves.
+    /// Returns the map after these moves.
     #[must_use]
     pub fn with_moves(&self, moves: &[Move]) -> Self {
         let mut next = self.clone();
@@ -268,8 +271,8 @@
     }
 }
 
-/// Counts the weights that moves load: a slot that is only emptied, or that takes an expert
-/// which its rank already holds in another slot of the old map, loads nothing.
+/// Returns the number of weight loads of some moves. A move that only empties a slot, or that moves
+/// an expert within its rank, loads nothing.
 pub fn weight_loads(old: &ExpertMap, moves: &[Move]) -> usize {
     let loads = |m: &&Move| {
         let layer = &old.layers[usize::from(m.layer)];
--- a/crates/groups/src/pack.rs
+++ b/crates/groups/src/pack.rs
@@ -1,42 +1,43 @@
-//! A layer packed anew, but kept as it is where that costs little evenness.
+//! Repacks a layer so that its ranks are balanced, and keeps experts in place where that costs
+//! little.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 use crate::map::{Layer, EMPTY};
 
-/// Packs a layer so that its ranks are even, and leaves an expert where it is as long as its rank
-/// gets no fuller than the least full one by this part of the mean load.
+/// Returns a layer whose ranks are balanced. An expert stays where it is as long as its rank then
+/// exceeds the least full one by at most `tolerance` times the mean load.
 ///
-/// With a patience of nothing that is a full re-pack; the more patience, the fewer loads.
-pub fn pack(old: &Layer, shares: &[f64], patience: f64) -> Layer {
+/// A tolerance of 0 gives a full repack; the higher the tolerance, the fewer the weight loads.
+pub fn pack(old: &Layer, shares: &[f64], tolerance: f64) -> Layer {
     let total: f64 = shares.iter().sum();
     let mean = total / f64::from(old.ranks()).max(1.0);
-    let counts = replica_counts(old, shares, patience);
-    let mut packing = Packing::new(old, patience * mean);
+    let counts = replica_counts(old, shares, tolerance);
+    let mut packing = Packing::new(old, tolerance * mean);
     for (load, expert) in by_size(shares, &counts) {
         packing.place(load, expert);
     }
     packing.into_layer()
 }
 
-/// How many replicas each expert gets: the spare slots go from where they help least to where
-/// they help most, as long as that lowers the largest replica by more than the patience.
-fn replica_counts(old: &Layer, shares: &[f64], patience: f64) -> Vec<u16> {
+/// Returns the number of replicas of each expert. Spare slots move from where they help least to
+/// where they help most, as long as that reduces the largest replica by more than the tolerance.
+fn replica_counts(old: &Layer, shares: &[f64], tolerance: f64) -> Vec<u16> {
     let slots = old.ranks() * old.slots();
     let mut counts: Vec<u16> = old.replicas(shares.len());
     counts.iter_mut().for_each(|c| *c = (*c).max(1));
     let mut used: u16 = counts.iter().sum();
-    let part = |e: usize, count: u16| shares[e] / f64::from(count.max(1));
+    let replica_load = |e: usize, count: u16| shares[e] / f64::from(count.max(1));
     loop {
         let mut hot: Option<(f64, usize)> = None;
         let mut cold: Option<(f64, usize)> = None;
         for (expert, &count) in counts.iter().enumerate() {
-            let now = part(expert, count);
+            let now = replica_load(expert, count);
             if count < old.ranks() && hot.is_none_or(|(most, _)| now > most) {
                 hot = Some((now, expert));
             }
-            let after = part(expert, count - 1);
+            let after = replica_load(expert, count - 1);
             if count > 1 && cold.is_none_or(|(least, _)| after < least) {
                 cold = Some((after, expert));
             }
@@ -50,7 +51,7 @@
             continue;
         }
         match cold {
-            Some((after, cold)) if cold != hot && most > after * (1.0 + patience) + 1e-12 => {
+            Some((after, cold)) if cold != hot && most > after * (1.0 + tolerance) + 1e-12 => {
                 counts[hot] += 1;
                 counts[cold] -= 1;
             }
@@ -59,7 +60,7 @@
     }
 }
 
-/// Every replica with its load, the largest first.
+/// Returns every replica with its load, the largest first.
 fn by_size(shares: &[f64], counts: &[u16]) -> Vec<(f64, u16)> {
     let mut replicas = Vec::new();
     for (expert, (share, count)) in shares.iter().zip(counts).enumerate() {
@@ -74,14 +75,17 @@
 #[derive(Debug)]
 struct Packing<'a> {
     old: &'a Layer,
+    /// The ranks that held each expert in the old layer.
     homes: Vec<Vec<u16>>,
+    /// How much fuller than the least full rank the home of an expert may be.
     slack: f64,
     loads: Vec<f64>,
     held: Vec<Vec<u16>>,
+    /// The ranks with free slots by load, the least full first; may hold outdated entries.
     open: BinaryHeap<Reverse<Filled>>,
 }
 
-/// A rank and its load, in order of load.
+/// A rank and its load, ordered by load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Filled {
     load: f64,
@@ -128,12 +132,12 @@
     }
 
     fn place(&mut self, load: f64, expert: u16) {
-        // The last replicas may find no rank without them; one replica less does no harm.
-        let Some(least) = self.least(expert) else {
+        // No rank may be left for the last replicas of an expert; one replica less does no harm.
+        let Some(least) = self.least_full(expert) else {
             return;
         };
         let homes = self.homes.get(usize::from(expert)).into_iter().flatten();
-        let homes = homes.copied().filter(|r| self.takes(*r, expert));
+        let homes = homes.copied().filter(|r| self.accepts(*r, expert));
         let home = homes.min_by(|a, b| self.load(*a).total_cmp(&self.load(*b)));
         let limit = self.load(least) + self.slack;
         let rank = home.filter(|h| self.load(*h) <= limit).unwrap_or(least);
@@ -145,9 +149,9 @@
         }));
     }
 
-    /// The least full rank that takes an expert. Entries of ranks that have got fuller since
-    /// are dropped where they are met: each rank has a newer one.
-    fn least(&mut self, expert: u16) -> Option<u16> {
+    /// Returns the least full rank that has room for an expert and does not hold it. Outdated
+    /// entries are dropped on the way, because each rank has a newer one.
+    fn least_full(&mut self, expert: u16) -> Option<u16> {
         let mut passed = Vec::new();
         let mut found = None;
         while let Some(Reverse(next)) = self.open.pop() {
@@ -156,7 +160,7 @@
                 continue;
             }
             passed.push(Reverse(next));
-            if self.takes(next.rank, expert) {
+            if self.accepts(next.rank, expert) {
                 found = Some(next.rank);
                 break;
             }
@@ -165,7 +169,7 @@
         found
     }
 
-    fn takes(&self, rank: u16, expert: u16) -> bool {
+    fn accepts(&self, rank: u16, expert: u16) -> bool {
         let held = &self.held[usize::from(rank)];
         held.len() < usize::from(self.old.slots()) && !held.contains(&expert)
     }
@@ -174,12 +178,12 @@
         self.loads[usize::from(rank)]
     }
 
-    /// The layer, with every expert that stays on a rank in the slot that it had.
+    /// Returns the layer. An expert that stays on a rank keeps its slot.
     fn into_layer(self) -> Layer {
         let mut layer = Layer::new(self.old.ranks(), self.old.slots());
         for (rank, held) in (0..self.old.ranks()).zip(&self.held) {
             for slot in 0..self.old.slots() {
-                let expert = self.old.at(rank, slot);
+                let expert = self.old.expert_at(rank, slot);
                 if held.contains(&expert) && !layer.holds(rank, expert) {
                     layer.set(rank, slot, expert);
                 }
@@ -190,7 +194,7 @@
                 .filter(|e| !layer.holds(rank, *e))
                 .collect();
             let free: Vec<u16> = (0..self.old.slots())
-                .filter(|s| layer.at(rank, *s) == EMPTY)
+                .filter(|s| layer.expert_at(rank, *s) == EMPTY)
                 .collect();
             for (slot, expert) in free.into_iter().zip(new) {
                 layer.set(rank, slot, expert);
--- a/crates/groups/src/planner.rs
+++ b/crates/groups/src/planner.rs
@@ -1,4 +1,4 @@
-//! One group's planner: takes reports, decides now and then, and remembers why.
+//! The planner of one group: it collects reports, decides on moves, and records its reasons.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -13,24 +13,24 @@
 use crate::pace::{rank_health, Work};
 use crate::policy::{Decision, Phase, Policy, Reason, Situation};
 
-/// How many decisions are remembered for the status.
-const REMEMBERED: usize = 32;
+/// How many decisions are kept for the status.
+const HISTORY_LENGTH: usize = 32;
 
 data! {
-    /// A decision of the past, as status and time line print it.
-    pub struct Verdict {
-        /// When.
+    /// A past decision, as status and timeline print it.
+    pub struct DecisionRecord {
+        /// When it was made.
         pub at: Moment,
-        /// The map that it was about.
+        /// The map that was in force.
         pub base: MapVersion,
-        /// How many slots would change.
+        /// The number of slots that would change.
         pub moves: u32,
-        /// Why.
+        /// The reason for it.
         pub reason: Reason,
     }
 }
 
-impl fmt::Display for Verdict {
+impl fmt::Display for DecisionRecord {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             at,
@@ -40,33 +40,33 @@
         } = self;
         write!(f, "{at} map {base}: ")?;
         match moves {
-            0 => write!(f, "nothing moved: {reason}"),
+            0 => write!(f, "no moves: {reason}"),
             n => write!(f, "{n} slots change: {reason}"),
         }
     }
 }
 
-/// What a planner is told.
+/// An input of a planner.
 #[derive(Debug, Clone)]
 pub enum PlannerInput {
-    /// Tokens that experts took.
+    /// A report of the tokens of each expert.
     Counts(Counts),
-    /// What each rank did in a step.
+    /// The work of each rank in a step.
     Works(Vec<Work>),
-    /// What the group is doing otherwise.
+    /// The phase that the group is in.
     Phase(Phase),
     /// A map came into force.
     InForce(MapVersion, SharedMap),
-    /// It is time to decide, under this fencing number.
+    /// A decision is due, under this fencing number.
     Decide(Fence),
 }
 
-/// What a planner wants done.
+/// An action that a planner asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlannerOutput {
     /// Propose this map to the group's lead.
     Propose(Proposal),
-    /// For the time line.
+    /// Record an event for the timeline.
     Event(Event, Reason),
 }
 
@@ -79,11 +79,11 @@
     phase: Phase,
     current: Option<(MapVersion, SharedMap)>,
     since: Moment,
-    verdicts: VecDeque<Verdict>,
+    history: VecDeque<DecisionRecord>,
 }
 
 impl Planner {
-    /// A planner that has seen nothing.
+    /// Creates a planner that has no reports yet.
     pub fn new(policy: Policy) -> Self {
         let pace = Smoothing::from_weights(policy.weights.skew, policy.weights.disturbance);
         Self {
@@ -93,28 +93,28 @@
             phase: Phase::default(),
             current: None,
             since: Moment::ZERO,
-            verdicts: VecDeque::new(),
+            history: VecDeque::new(),
         }
     }
 
-    /// Takes an input and says what is to be done.
+    /// Handles an input and returns the actions that follow from it.
     pub fn handle(&mut self, now: Moment, input: PlannerInput) -> Vec<PlannerOutput> {
         match input {
             PlannerInput::Counts(counts) => self.popularity.record(&counts),
             PlannerInput::Works(works) => self.works = works,
             PlannerInput::Phase(phase) => self.phase = phase,
-            PlannerInput::InForce(version, map) => self.comes_into_force(now, version, map),
+            PlannerInput::InForce(version, map) => self.set_map_in_force(now, version, map),
             PlannerInput::Decide(fence) => return self.decide(now, fence),
         }
         Vec::new()
     }
 
-    /// The last decisions, oldest first.
-    pub fn verdicts(&self) -> impl Iterator<Item = &Verdict> {
-        self.verdicts.iter()
+    /// Returns the last decisions, the oldest first.
+    pub fn history(&self) -> impl Iterator<Item = &DecisionRecord> {
+        self.history.iter()
     }
 
-    fn comes_into_force(&mut self, now: Moment, version: MapVersion, map: SharedMap) {
+    fn set_map_in_force(&mut self, now: Moment, version: MapVersion, map: SharedMap) {
         let known = self.current.as_ref().is_some_and(|(v, _)| *v == version);
         if !known {
             self.since = now;
@@ -138,7 +138,7 @@
                 .age(now)
                 .unwrap_or(Span::from_secs(u64::MAX / 1_000_000)),
         });
-        self.remember(now, base, &decision);
+        self.record(now, base, &decision);
         let event = PlannerOutput::Event(decision.event(), decision.reason);
         if decision.moves.is_empty() {
             return vec![event];
@@ -147,11 +147,11 @@
         vec![event, PlannerOutput::Propose(Proposal { fence, base, map })]
     }
 
-    fn remember(&mut self, at: Moment, base: MapVersion, decision: &Decision) {
-        if self.verdicts.len() == REMEMBERED {
-            self.verdicts.pop_front();
+    fn record(&mut self, at: Moment, base: MapVersion, decision: &Decision) {
+        if self.history.len() == HISTORY_LENGTH {
+            self.history.pop_front();
         }
-        self.verdicts.push_back(Verdict {
+        self.history.push_back(DecisionRecord {
             at,
             base,
             moves: decision.moves.len() as u32,
--- a/crates/groups/src/policy.rs
+++ b/crates/groups/src/policy.rs
@@ -1,4 +1,5 @@
-//! The rebalancing policy: a pure function of loads, map, costs and the group's two weights.
+//! The rebalancing policy: a pure function of the loads, the map, the costs and the group's two
+//! weights.
 
 use std::fmt;
 
@@ -7,56 +8,56 @@
 
 use crate::map::{ExpertMap, Move};
 use crate::pace::Health;
-use crate::search::{ways, Path, Point};
+use crate::search::{candidate_paths, Path, Point};
 
 data! {
-    /// The group's two weights, each from 0 to 1000.
+    /// The two weights of a group, each from 0 to 1000.
     #[derive(Copy, Hash)]
     pub struct Weights {
         /// The weight of skew between ranks.
         pub skew: u32,
-        /// The weight of weight loads and disturbed requests.
+        /// The weight of the disturbance by weight loads and disturbed requests.
         pub disturbance: u32,
     }
 
-    /// What moving costs and how long it pays.
+    /// The costs of moves, and how long they pay off.
     #[derive(Copy, Hash)]
     pub struct Costs {
-        /// What one weight load costs, with the requests that it disturbs, in thousandths of the
+        /// The cost of one weight load and the requests that it disturbs, in thousandths of the
         /// time that a layer takes in a step.
         pub load: u32,
-        /// What a switch to another map costs, in the same measure.
+        /// The cost of a switch to another map, in the same unit.
         pub switch: u32,
-        /// For how many steps a move pays, before the loads have drifted away.
+        /// The number of steps for which a move pays off, before the loads have drifted away.
         pub horizon: u32,
     }
 
-    /// How far one decision may go, and how often.
+    /// The limits of decisions.
     #[derive(Copy, Hash)]
     pub struct Bounds {
-        /// Weight loads of one stage, all layers together.
+        /// The most weight loads of one stage, all layers together.
         pub stage: u32,
-        /// Weight loads of one stage in one layer.
+        /// The most weight loads of one stage in one layer.
         pub layer: u32,
-        /// The gap, in thousandths of the mean load, that is left alone.
+        /// The largest gap, in thousandths of the mean load, at which nothing is moved.
         pub still: u32,
-        /// How much more than its cost a move must save, in hundredths.
+        /// The ratio of saving to cost that a move must exceed, in hundredths.
         pub ratio: u32,
-        /// The least time between two switches.
+        /// The shortest time between two switches.
         pub cooldown: Span,
-        /// The age from which reports are too old to move by.
+        /// The age above which reports are too old to base moves on.
         pub stale: Span,
     }
 
-    /// What the group is doing otherwise.
+    /// The phase that a group is in.
     #[derive(Copy, Default, Hash)]
     pub enum Phase {
-        /// It steps.
+        /// It is stepping.
         #[default]
         Stepping,
-        /// It is being formed anew.
+        /// It is forming again.
         Forming,
-        /// A zone or rank is cut off from it.
+        /// An availability zone or a rank is cut off from it.
         CutOff,
         /// The fleet is restarting.
         Restarting,
@@ -64,32 +65,32 @@
         Frozen,
     }
 
-    /// Why moves were made, or not.
+    /// Why moves were made or declined.
     #[derive(Hash)]
     pub enum Reason {
         /// They save more skew than they cost.
         Worthwhile {
-            /// Weight loads.
+            /// The number of weight loads.
             loads: u32,
             /// The mean gap between ranks before, in thousandths of the mean load.
             before: u32,
             /// The mean gap after.
             after: u32,
         },
-        /// The group is not stepping as usual.
+        /// The group is not stepping but in this phase.
         Unsettled(Phase),
-        /// The last switch is too near.
+        /// The last switch was too recent.
         Cooling {
-            /// How long moves wait still.
+            /// How long moves still have to wait.
             left: Span,
         },
-        /// No report is new enough.
+        /// No report is recent enough.
         Stale,
-        /// Ranks are slow themselves, which moving experts would not mend.
+        /// Ranks are slow by themselves, which moving experts would not improve.
         Straggler {
             /// The slowest rank.
             rank: u32,
-            /// How it keeps pace.
+            /// Its health.
             health: Health,
         },
         /// The gap between ranks is small enough.
@@ -97,54 +98,54 @@
             /// The widest gap, in thousandths of the mean load.
             gap: u32,
         },
-        /// What could be saved is less than what it costs.
+        /// The moves would cost more than they save.
         Costly {
-            /// What the best moves would save, in thousandths of a layer's time.
+            /// The saving of the best moves, in thousandths of a layer's time.
             saved: u32,
-            /// What they would cost, in thousandths of a layer's time, at the group's weights.
+            /// Their cost, in thousandths of a layer's time, at the group's weights.
             cost: u32,
         },
     }
 }
 
-/// Everything that a decision depends on.
+/// The state that a decision depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct Situation<'a> {
     /// The map in force.
     pub map: &'a ExpertMap,
     /// Each expert's share of its layer's load, by layer.
     pub shares: &'a [Vec<f64>],
-    /// How each rank keeps pace.
+    /// The health of each rank.
     pub health: &'a [Health],
-    /// What the group is doing otherwise.
+    /// The phase that the group is in.
     pub phase: Phase,
-    /// How long ago the map came into force.
+    /// The time since the map came into force.
     pub since: Span,
-    /// How old the newest report is.
+    /// The age of the newest report.
     pub age: Span,
 }
 
 /// A decision and its reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Decision {
-    /// The moves, none where it was declined.
+    /// The moves; empty where they were declined.
     pub moves: Vec<Move>,
-    /// Why.
+    /// The reason for the decision.
     pub reason: Reason,
 }
 
 /// The policy of one group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Policy {
-    /// What the operator weighs.
+    /// The operator's weights.
     pub weights: Weights,
-    /// What moving costs.
+    /// The costs of moves.
     pub costs: Costs,
-    /// How far one decision may go.
+    /// The limits of decisions.
     pub bounds: Bounds,
 }
 
-/// The best prefix of one layer's path.
+/// The best prefix of a layer's path, with what it saves beyond its cost.
 #[derive(Debug)]
 struct Stage {
     path: Path,
@@ -153,7 +154,7 @@
 }
 
 impl Weights {
-    /// Weights of skew and of disturbance.
+    /// Creates the weights of skew and disturbance.
     pub fn new(skew: u32, disturbance: u32) -> Self {
         Self { skew, disturbance }
     }
@@ -183,7 +184,7 @@
 }
 
 impl Policy {
-    /// A policy with the usual costs and bounds.
+    /// Creates a policy with the default costs and bounds.
     pub fn new(weights: Weights) -> Self {
         Self {
             weights,
@@ -192,14 +193,14 @@
         }
     }
 
-    /// With these costs.
+    /// Sets the costs.
     #[must_use]
     pub fn with_costs(mut self, costs: Costs) -> Self {
         self.costs = costs;
         self
     }
 
-    /// With these bounds.
+    /// Sets the bounds.
     #[must_use]
     pub fn with_bounds(mut self, bounds: Bounds) -> Self {
         self.bounds = bounds;
@@ -208,23 +209,23 @@
 
     /// Decides on the next stage of moves.
     pub fn decide(&self, situation: &Situation<'_>) -> Decision {
-        if let Some(reason) = self.hindrance(situation) {
+        if let Some(reason) = self.find_obstacle(situation) {
             return Decision::declined(reason);
         }
         let layers = situation.map.layers.iter().zip(situation.shares);
         let bound = self.bounds.layer as usize;
-        let ways = layers
+        let paths = layers
             .enumerate()
-            .map(|(n, (layer, shares))| ways(n as u16, layer, shares, bound));
-        self.choose(ways.collect())
+            .map(|(n, (layer, shares))| candidate_paths(n as u16, layer, shares, bound));
+        self.combine(paths.collect())
     }
 
-    /// What forbids any move.
+    /// Returns the reason that forbids any move, if there is one.
     ///
-    /// Failure guarded against: moves on top of another disturbance. A group that is formed
-    /// anew, cut off or restarted shows loads that no rebalancing mends, and its store of
-    /// weights has more urgent work; a slow rank would drive its experts around in circles.
-    fn hindrance(&self, situation: &Situation<'_>) -> Option<Reason> {
+    /// Failure guarded against: moves are made on top of another disturbance. A group that is
+    /// forming, cut off or restarting shows loads that no rebalancing improves, and its weight
+    /// store has more urgent work. A slow rank would make experts move back and forth.
+    fn find_obstacle(&self, situation: &Situation<'_>) -> Option<Reason> {
         if situation.phase != Phase::Stepping {
             return Some(Reason::Unsettled(situation.phase));
         }
@@ -247,10 +248,10 @@
             })
     }
 
-    /// Takes the best prefix of each layer's path, the layers that gain most a load first.
-    fn choose(&self, layers: Vec<Vec<Path>>) -> Decision {
+    /// Combines the best prefix of each layer's paths, first those that gain most per weight load.
+    fn combine(&self, layers: Vec<Vec<Path>>) -> Decision {
         let count = layers.len().max(1) as f64;
-        let gaps = layers.iter().map(|ways| ways[0].points[0].gap);
+        let gaps = layers.iter().map(|paths| paths[0].points[0].gap);
         let before = gaps.clone().sum::<f64>() / count;
         let widest = gaps.fold(0.0, f64::max);
         if thousandths(widest) <= self.bounds.still {
@@ -258,8 +259,11 @@
                 gap: thousandths(widest),
             });
         }
-        let mut stages: Vec<Stage> = layers.into_iter().map(|w| self.best(w)).collect();
-        stages.sort_by(|a, b| a.worth().total_cmp(&b.worth()).reverse());
+        let mut stages: Vec<Stage> = layers
+            .into_iter()
+            .map(|paths| self.best_stage(paths))
+            .collect();
+        stages.sort_by(|a, b| a.net_per_load().total_cmp(&b.net_per_load()).reverse());
         let mut moves = Vec::new();
         let (mut loads, mut net, mut saved) = (0, 0.0, 0.0);
         for stage in &stages {
@@ -271,7 +275,7 @@
                 saved += stage.path.points[0].gap - stage.point.gap;
             }
         }
-        let switch = self.priced(f64::from(self.costs.switch) / 1e3);
+        let switch = self.weighted_cost(f64::from(self.costs.switch) / 1e3);
         if moves.is_empty() || net <= switch {
             return self.too_costly(&stages);
         }
@@ -283,15 +287,15 @@
         Decision { moves, reason }
     }
 
-    /// The way that saves most beyond what it costs.
-    fn best(&self, ways: Vec<Path>) -> Stage {
-        let stages = ways.into_iter().map(|way| self.stage(way));
+    /// Returns the best prefix among all paths, which saves most beyond its cost.
+    fn best_stage(&self, paths: Vec<Path>) -> Stage {
+        let stages = paths.into_iter().map(|path| self.best_prefix(path));
         let best = stages.reduce(|a, b| if b.net > a.net { b } else { a });
-        best.expect("the search from where a layer is, is always a way")
+        best.expect("the search without packing always yields a path")
     }
 
-    /// The prefix of a path that saves most beyond what it costs.
-    fn stage(&self, path: Path) -> Stage {
+    /// Returns the prefix of a path that saves most beyond its cost.
+    fn best_prefix(&self, path: Path) -> Stage {
         let start = path.points[0];
         let mut best = Stage {
             point: start,
@@ -299,7 +303,7 @@
             path: Path::default(),
         };
         for point in &path.points {
-            let net = self.saving(start.gap - point.gap) - self.price(point.loads);
+            let net = self.saving(start.gap - point.gap) - self.load_cost(point.loads);
             if net > best.net {
                 best.net = net;
                 best.point = *point;
@@ -309,18 +313,19 @@
         best
     }
 
-    /// The skew saved over the horizon, in steps, at the group's weight of skew.
+    /// Returns the skew that is saved over the horizon, in steps, at the group's weight of skew.
     fn saving(&self, gap: f64) -> f64 {
         gap * f64::from(self.costs.horizon) * f64::from(self.weights.skew) / 1e3
     }
 
-    /// What loads cost, with the margin that keeps small gains from causing moves.
-    fn price(&self, loads: usize) -> f64 {
+    /// Returns the cost of weight loads, with the margin that keeps small gains from causing moves.
+    fn load_cost(&self, loads: usize) -> f64 {
         let ratio = f64::from(self.bounds.ratio) / 100.0;
-        self.priced(loads as f64 * f64::from(self.costs.load) / 1e3) * ratio
+        self.weighted_cost(loads as f64 * f64::from(self.costs.load) / 1e3) * ratio
     }
 
-    fn priced(&self, steps: f64) -> f64 {
+    /// Returns a cost in steps at the group's weight of disturbance.
+    fn weighted_cost(&self, steps: f64) -> f64 {
         steps * f64::from(self.weights.disturbance) / 1e3
     }
 
@@ -328,7 +333,7 @@
         let best = stages.iter().filter_map(|s| {
             let first = s.path.points.get(1)?;
             let gap = s.path.points[0].gap - first.gap;
-            Some((self.saving(gap), self.price(first.loads)))
+            Some((self.saving(gap), self.load_cost(first.loads)))
         });
         let (saved, cost) = best
             .max_by(|a, b| (a.0 - a.1).total_cmp(&(b.0 - b.1)))
@@ -341,7 +346,7 @@
 }
 
 impl Stage {
-    fn worth(&self) -> f64 {
+    fn net_per_load(&self) -> f64 {
         self.net / self.point.loads.max(1) as f64
     }
 }
@@ -352,7 +357,7 @@
         Self { moves, reason }
     }
 
-    /// The event that the time line shows.
+    /// Returns the event that the timeline shows.
     pub fn event(&self) -> Event {
         if self.moves.is_empty() {
             Event::MoveDeclined
@@ -366,7 +371,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Stepping => "stepping",
-            Self::Forming => "being formed anew",
+            Self::Forming => "forming again",
             Self::CutOff => "cut off",
             Self::Restarting => "restarting",
             Self::Frozen => "frozen by an operator",
@@ -386,15 +391,12 @@
                 write!(f, "{loads} loads bring the gap from {before} to {after}")
             }
             Self::Unsettled(phase) => write!(f, "the group is {phase}"),
-            Self::Cooling { left } => write!(f, "the last switch is near; {left} to wait"),
-            Self::Stale => f.write_str("no report of the experts' load is new enough"),
+            Self::Cooling { left } => write!(f, "the last switch was too recent; {left} to wait"),
+            Self::Stale => f.write_str("no report of the load of experts is recent enough"),
             Self::Straggler { rank, health } => {
-                write!(
-                    f,
-                    "rank {rank} is {health}; moving experts would not mend it"
-                )
+                write!(f, "rank {rank} is {health}; moving experts would not help")
             }
-            Self::Even { gap } => write!(f, "the widest gap is {} only", percent(*gap)),
+            Self::Even { gap } => write!(f, "the widest gap is only {}", percent(*gap)),
             Self::Costly { saved, cost } => {
                 let (saved, cost) = (f64::from(*saved) / 1e3, f64::from(*cost) / 1e3);
                 write!(
--- a/crates/groups/tests/policy.rs
+++ b/crates/groups/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The policy: what it moves, and why it moves nothing.
+//! The policy: the moves that it makes, and the reasons to make none.
 
 use snipemast_core::prelude::*;
 use snipemast_groups::estimate::{Counts, Popularity, Smoothing};
@@ -10,7 +10,7 @@
     skew: 900,
     disturbance: 100,
 };
-const CALM: Weights = Weights {
+const STABLE: Weights = Weights {
     skew: 100,
     disturbance: 900,
 };
@@ -55,10 +55,10 @@
 fn weights_differ() {
     let shares = vec![zipf(64)];
     let (even, many) = settled(SKEW);
-    let (calm, few) = settled(CALM);
-    assert!(gap(&even, &shares) < gap(&calm, &shares));
+    let (stable, few) = settled(STABLE);
+    assert!(gap(&even, &shares) < gap(&stable, &shares));
     assert!(few < many);
-    assert!(even.is_whole(64) && calm.is_whole(64));
+    assert!(even.is_whole(64) && stable.is_whole(64));
 }
 
 #[test]
@@ -67,18 +67,18 @@
     let map = ExpertMap::round_robin(1, 16, 5, 64);
     let decision = Policy::new(SKEW).decide(&situation(&map, &shares));
     assert!(!decision.moves.is_empty());
-    // Applied in order, each move finds what it says that it evicts.
+    // Applied in order, each move evicts the expert that it names.
     let mut now = map.clone();
     for m in &decision.moves {
-        assert_eq!(now.layers[0].at(m.rank, m.slot), m.evicts);
+        assert_eq!(now.layers[0].expert_at(m.rank, m.slot), m.evicts);
         now = now.with_moves(&[*m]);
     }
 }
 
+/// Experts move back and forth although the load does not change, which disturbs requests for
+/// nothing.
 #[test]
-fn settled_stays() {
-    // A group whose load does not change must come to rest: experts that go to and fro disturb
-    // requests for nothing.
+fn settled_map_stays() {
     let shares = vec![zipf(64)];
     let (map, _) = settled(SKEW);
     let decision = Policy::new(SKEW).decide(&situation(&map, &shares));
@@ -133,10 +133,10 @@
     assert_eq!(decision.reason, Reason::Cooling { left });
 }
 
+/// Experts are moved off a rank whose host is slow, although none of them is hot. That would load
+/// the other ranks and not make steps shorter.
 #[test]
-fn slow_rank_known() {
-    // One rank's host is slow: the group's steps are long, but no expert is hot. Moving experts
-    // off it would load its neighbours and mend nothing.
+fn slow_rank_detected() {
     let work = |busy| Work {
         tokens: 1_000,
         busy: Span::from_millis(busy),
@@ -183,9 +183,10 @@
     popularity.shares()[0][3]
 }
 
+/// A short burst is ignored, and lasting drift is followed: an expert is four times as popular for
+/// two reports, or from some report on.
 #[test]
-fn burst_waits_drift_follows() {
-    // An expert is four times as popular for two reports, and later for good.
+fn burst_and_drift() {
     let burst = share_after(|n| if n == 27 || n == 28 { 4_000 } else { 1_000 });
     let drift = share_after(|n| if n > 20 { 4_000 } else { 1_000 });
     assert!((burst - 1.0 / 16.0).abs() < 0.01, "{burst}");
@@ -197,12 +198,12 @@
     let mut popularity = Popularity::new(Smoothing::default());
     popularity.record(&counts(20, 1_000));
     popularity.record(&counts(10, 9_000));
-    assert_eq!(popularity.late(), 1);
+    assert_eq!(popularity.late_reports(), 1);
     assert!((popularity.shares()[0][3] - 1.0 / 16.0).abs() < 1e-9);
 }
 
 #[test]
-fn reasons_read_well() {
+fn reason_text() {
     let reason = Reason::Worthwhile {
         loads: 12,
         before: 1_400,
--- a/crates/groups/tests/steer.rs
+++ b/crates/groups/tests/steer.rs
@@ -1,7 +1,7 @@
-//! What groups tell routing.
+//! The load of groups as routing needs it.
 
 use snipemast_core::prelude::*;
-use snipemast_groups::steer::{choose, GroupLoad};
+use snipemast_groups::steer::{choose_group, GroupLoad};
 
 fn group(skew: u32, requests: u32) -> GroupLoad {
     GroupLoad {
@@ -13,18 +13,18 @@
     }
 }
 
+/// Of two equally full groups, the one with less skew is chosen.
 #[test]
 fn skew_counts() {
-    // Two groups are equally full, but one drags its steps: it must get less.
     let groups = [("even", group(80, 32)), ("skewed", group(900, 32))];
-    let chosen = choose(groups.iter().map(|(name, load)| (name, *load)));
+    let chosen = choose_group(groups.iter().map(|(name, load)| (name, *load)));
     assert_eq!(chosen, Some(&"even"));
 }
 
 #[test]
 fn fill_counts() {
     let groups = [("full", group(80, 60)), ("skewed", group(300, 10))];
-    let chosen = choose(groups.iter().map(|(name, load)| (name, *load)));
+    let chosen = choose_group(groups.iter().map(|(name, load)| (name, *load)));
     assert_eq!(chosen, Some(&"skewed"));
 }
 
