--- a/crates/groups/tests/draft.rs
+++ b/crates/groups/tests/draft.rs
@@ -4,7 +4,7 @@
 
 use quickcheck::quickcheck;
 
-use snipemast_control::Chance;
+use snipemast_control::SplitMix64;
 use snipemast_core::prelude::*;
 use snipemast_groups::draft::{Base, Draft, KnownMaps};
 use snipemast_groups::executor::{Action, Executor, OrderSeq};
@@ -25,7 +25,7 @@
 }
 
 /// Returns the map with other experts in some slots.
-fn changed(map: &ExpertMap, chance: &mut Chance) -> Arc<ExpertMap> {
+fn changed(map: &ExpertMap, chance: &mut SplitMix64) -> Arc<ExpertMap> {
     let mut next = map.clone();
     for _ in 0..chance.below(20) {
         let layer = &mut next.layers[chance.below(3) as usize];
@@ -38,7 +38,7 @@
 quickcheck! {
     /// A rank that knows the base decodes the intended map, one switch after another.
     fn map_decoded(seed: u64) -> bool {
-        let mut chance = Chance::new(seed);
+        let mut chance = SplitMix64::new(seed);
         let (mut known, mut base, mut from) = (KnownMaps::default(), ROUND_ROBIN, Arc::new(first_map()));
         (1..6).map(MapVersion).all(|version| {
             let map = changed(&from, &mut chance);
@@ -54,7 +54,7 @@
 /// the base for another map, or a sidecar knows the base with its experts in other slots.
 #[test]
 fn other_base_rejected() {
-    let mut chance = Chance::new(3);
+    let mut chance = SplitMix64::new(3);
     let mut known = KnownMaps::default();
     let version = MapVersion(1);
     let first = changed(&first_map(), &mut chance);
@@ -78,7 +78,7 @@
 #[test]
 fn full_map_sent() {
     let (from, epoch) = (Arc::new(first_map()), EPOCH);
-    let map = changed(&from, &mut Chance::new(5));
+    let map = changed(&from, &mut SplitMix64::new(5));
     let draft = Draft::new(Base::Known(MapVersion(7)), &from, &map);
     let mut switch = Switch::new(2, Ballot(1));
     let now = Moment::from_millis(0);
