--- a/crates/groups/src/agree/lead.rs
+++ b/crates/groups/src/agree/lead.rs
@@ -124,6 +124,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Plan {
     origin: Origin,
+    /// The version of the map, or of the map it was computed from until the load has begun.
     version: MapVersion,
     map: SharedMap,
     tries: u32,
@@ -137,10 +138,15 @@
     margin: Margin,
     fence: Fence,
     phase: Phase,
+    /// The map in force, or the one that a new incarnation starts with.
     current: Option<(MapVersion, SharedMap)>,
+    /// Whether the incarnation of this term has started.
     formed: bool,
+    /// The step after the last one that any rank has reported as permitted.
     permitted: Step,
+    /// The highest map version that the lead or any rank has seen.
     heard: MapVersion,
+    /// The plan that starts once the current work has ended.
     waiting: Option<Plan>,
     retries: u32,
 }
--- a/crates/groups/tests/agreement.rs
+++ b/crates/groups/tests/agreement.rs
@@ -36,8 +36,8 @@
     assert_eq!(world.held, 0);
 }
 
-/// A control host that was cut off for long comes back with a lower fencing number, and its map
-/// would undo a later one.
+/// Failure guarded against: a control host that was cut off for long comes back with a lower
+/// fencing number, and its map would undo a later one.
 #[test]
 fn old_fence_refused() {
     let mut world = World::new(3, Margin::default());
@@ -51,9 +51,9 @@
     assert_eq!(world.group.last().unwrap().1, MapVersion::new(2));
 }
 
-/// A control host that was cut off comes back with an old fencing number, and its map comes into
-/// force. The group has a new lead, which knows no fencing number, and engines that check nothing;
-/// only the agents refuse it.
+/// Failure guarded against: a control host that was cut off comes back with an old fencing number,
+/// and its map comes into force. The group has a new lead, which knows no fencing number, and
+/// engines that check nothing; only the agents refuse it.
 #[test]
 fn agents_check_fence() {
     let mut world = World::new(3, Margin::default());
@@ -71,8 +71,9 @@
     assert_eq!(world.group.last().unwrap().1, MapVersion::new(2));
 }
 
-/// A restarted agent does not know the fencing number and obeys an old control host that is the
-/// first to contact it. It must refuse every map until it has learnt the number.
+/// Failure guarded against: a restarted agent does not know the fencing number and obeys an old
+/// control host that is the first to contact it. It must refuse every map until it has learnt the
+/// number.
 #[test]
 fn restarted_agent_refuses() {
     let mut world = World::new(3, Margin::default());
@@ -95,8 +96,8 @@
     assert_eq!((active.version, &active.map), (MapVersion::new(3), &map(2)));
 }
 
-/// The abort of an attempt arrives before the request to prepare it. A rank that promised then
-/// would hold the group for a verdict that was already given.
+/// Failure guarded against: the abort of an attempt arrives before the request to prepare it. A
+/// rank that promised then would hold the group for a verdict that was already given.
 #[test]
 fn late_prepare_ignored() {
     let mut world = World::new(3, Margin::default());
@@ -128,8 +129,8 @@
     world.lead(0, LeadInput::Fired(over));
 }
 
-/// The request to prepare arrives so late that the engine is already permitted to enter the switch
-/// with the old map.
+/// Failure guarded against: the request to prepare arrives so late that the engine is already
+/// permitted to enter the switch with the old map.
 #[test]
 fn late_switch_refused() {
     let mut world = World::new(3, Margin::default());
@@ -157,8 +158,9 @@
     assert_eq!(out, [RankOutput::ToLead(near.term, refused)]);
 }
 
-/// Two attempts are open because a second map is proposed while the first is under way. One of the
-/// same control leader must be rejected, and one of a later leader must replace the first.
+/// Failure guarded against: two attempts are open because a second map is proposed while the first
+/// is under way. One of the same control leader must be rejected, and one of a later leader must
+/// replace the first.
 #[test]
 fn second_map_rejected() {
     let mut world = World::new(3, Margin::default());
@@ -174,8 +176,8 @@
     assert_eq!(active.map, map(4));
 }
 
-/// A rank's answer that it applied the first verdict is lost, and a second attempt is opened before
-/// it is repeated. A lead that recovers would find two open attempts.
+/// Failure guarded against: a rank's answer that it applied the first verdict is lost, and a second
+/// attempt is opened before it is repeated. A lead that recovers would find two open attempts.
 #[test]
 fn one_open_attempt() {
     let mut world = World::new(3, Margin::default());
@@ -193,7 +195,8 @@
     assert!(!world.sent.iter().any(loads));
 }
 
-/// An agent and its engine restart and do not get the current map after hundreds of changes.
+/// Failure guarded against: an agent and its engine restart and do not get the current map after
+/// hundreds of changes.
 #[test]
 fn restart_after_changes() {
     let mut world = World::new(3, Margin::default());
@@ -217,8 +220,8 @@
     assert_eq!(world.group.torn(), None);
 }
 
-/// The lead tells only one rank to commit and dies with its host. That rank enters the switch with
-/// the new map, and the others would enter it with the old one.
+/// Failure guarded against: the lead tells only one rank to commit and dies with its host. That
+/// rank enters the switch with the new map, and the others would enter it with the old one.
 #[test]
 fn known_commit_survives() {
     let mut world = World::new(3, Margin::default());
@@ -244,9 +247,9 @@
     assert_eq!(world.group.torn(), None);
 }
 
-/// A rank has reported to the lead of a new incarnation that an attempt is in doubt, and then
-/// another rank's answer with the verdict arrives. A rank that applied it would contradict its own
-/// report.
+/// Failure guarded against: a rank has reported to the lead of a new incarnation that an attempt is
+/// in doubt, and then another rank's answer with the verdict arrives. A rank that applied it would
+/// contradict its own report.
 #[test]
 fn late_answer_ignored() {
     let mut world = World::new(3, Margin::default());
@@ -277,8 +280,9 @@
     assert_eq!(world.agents[2].pending(), Some(attempt));
 }
 
-/// The only rank that knows of a commit enters the switch with the new map and dies with its host,
-/// as does the lead. The other ranks have no verdict, and the group would go back to the old map.
+/// Failure guarded against: the only rank that knows of a commit enters the switch with the new map
+/// and dies with its host, as does the lead. The other ranks have no verdict, and the group would
+/// go back to the old map.
 #[test]
 fn stepped_map_survives() {
     let mut world = World::new(3, Margin::default());
@@ -318,8 +322,8 @@
     matches!(packet, Packet::ToRank(to, LeadMessage::Prepare { .. }) if *to == rank)
 }
 
-/// One rank's agent stalls and does not promise, and the others wait for it at the switch. The
-/// abort must arrive before the switch.
+/// Failure guarded against: one rank's agent stalls and does not promise, and the others wait for
+/// it at the switch. The abort must arrive before the switch.
 #[test]
 fn missing_promise_aborts() {
     let mut world = World::new(3, Margin::default());
@@ -334,8 +338,8 @@
     assert_eq!(world.group.last().unwrap().1, MapVersion::new(1));
 }
 
-/// One rank has promised, another has not, and the lead dies. The map can't have been committed,
-/// and a new incarnation must not start with it.
+/// Failure guarded against: one rank has promised, another has not, and the lead dies. The map
+/// can't have been committed, and a new incarnation must not start with it.
 #[test]
 fn unpromised_map_dropped() {
     let mut world = World::new(3, Margin::default());
@@ -350,8 +354,8 @@
     assert_eq!(world.group.last().unwrap().1, MapVersion::new(1));
 }
 
-/// A lead that did not recover an open attempt asks for a second promise, and a rank would have
-/// promised two attempts.
+/// Failure guarded against: a lead that did not recover an open attempt asks for a second promise,
+/// and a rank would have promised two attempts.
 #[test]
 fn second_attempt_refused() {
     let mut world = World::new(3, Margin::default());
@@ -384,8 +388,9 @@
     assert_eq!(out, [refused]);
 }
 
-/// A start of the group fails after a rank has promised it, and the next start lies below permits
-/// of the failed one that are still under way, because another rank may have begun it.
+/// Failure guarded against: a start of the group fails after a rank has promised it, and the next
+/// start lies below permits of the failed one that are still under way, because another rank may
+/// have begun it.
 #[test]
 fn failed_start_respected() {
     let mut world = World::new(3, Margin::default());
@@ -440,9 +445,9 @@
     }
 }
 
-/// A rank waits at the switch although nothing has failed, because every message takes the longest
-/// delay of normal operation and steps are the shortest. The verdict must arrive before any rank
-/// reaches the switch.
+/// Failure guarded against: a rank waits at the switch although nothing has failed, because every
+/// message takes the longest delay of normal operation and steps are the shortest. The verdict must
+/// arrive before any rank reaches the switch.
 #[test]
 fn slowest_messages_suffice() {
     let margin = Margin::default();
--- a/crates/groups/tests/ahead.rs
+++ b/crates/groups/tests/ahead.rs
@@ -16,16 +16,16 @@
     distance.steps()
 }
 
-/// A new map is late by a whole unbalanced step of 150 ms, although arming takes 60 ms. Holding the
-/// group at the next step makes it stand still for only 12 ms on average.
+/// Failure guarded against: a new map is late by a whole unbalanced step of 150 ms, although arming
+/// takes 60 ms. Holding the group at the next step makes it stand still for only 12 ms on average.
 #[test]
 fn long_steps_held_next() {
     assert_eq!(steps_ahead(150, 60), 1);
     assert_eq!(steps_ahead(150, 30), 1);
 }
 
-/// Streams pause at each new map, because arming takes several short steps and the group is held at
-/// the next one.
+/// Failure guarded against: streams pause at each new map, because arming takes several short steps
+/// and the group is held at the next one.
 #[test]
 fn slow_armings_held_later() {
     assert_eq!(steps_ahead(50, 60), 3);
--- a/crates/groups/tests/delivery.rs
+++ b/crates/groups/tests/delivery.rs
@@ -41,9 +41,9 @@
         .collect()
 }
 
-/// Every stream stands still for seconds, because the group is held while orders to disarm, each
-/// with a full map, leave one host. Orders for a held group must leave a host within a tenth of a
-/// second, at any size of the group.
+/// Failure guarded against: every stream stands still for seconds, because the group is held while
+/// orders to disarm, each with a full map, leave one host. Orders for a held group must leave a
+/// host within a tenth of a second, at any size of the group.
 #[test]
 fn short_orders() {
     let (version, step) = (MapVersion(u64::MAX), Step(u64::MAX));
@@ -75,9 +75,9 @@
     sizes.sum()
 }
 
-/// Answers are late for half a second more after each shift of the demand, because the full map of
-/// 17 kB leaves the lead's host 15 times and each relay's 13 times. A draft with two copies per
-/// rank must leave a host within a tenth of a second.
+/// Failure guarded against: answers are late for half a second more after each shift of the demand,
+/// because the full map of 17 kB leaves the lead's host 15 times and each relay's 13 times. A draft
+/// with two copies per rank must leave a host within a tenth of a second.
 #[test]
 fn short_drafts() {
     for (ranks, sets, slots, experts) in [(72, 12, 3, 144), (192, 10, 3, 384)] {
--- a/crates/groups/tests/demand.rs
+++ b/crates/groups/tests/demand.rs
@@ -26,8 +26,9 @@
     assert!((127.0..129.0).contains(&last), "{last}");
 }
 
-/// Answers are late after a sidecar has restarted, because all choices since its rank's start,
-/// which are minutes of them, are counted as the demand since the last poll.
+/// Failure guarded against: answers are late after a sidecar has restarted, because all choices
+/// since its rank's start, which are minutes of them, are counted as the demand since the last
+/// poll.
 #[test]
 fn restart_counts_nothing() {
     let (mut demand, mut tally) = (Demand::new(LAYERS, 1), Tally::new(70));
@@ -44,9 +45,9 @@
     assert_eq!(demand.total(), before);
 }
 
-/// Answers are late for two seconds instead of one after each shift of the demand. The shift falls
-/// into a poll, a map is computed for the mixture, and the right map waits until that one is in
-/// force.
+/// Failure guarded against: answers are late for two seconds instead of one after each shift of the
+/// demand. The shift falls into a poll, a map is computed for the mixture, and the right map waits
+/// until that one is in force.
 #[test]
 fn shift_settles() {
     let (mut demand, mut tally) = (Demand::new(1, 1), Tally::new(70));
--- a/crates/groups/tests/draft.rs
+++ b/crates/groups/tests/draft.rs
@@ -50,8 +50,9 @@
     }
 }
 
-/// Two ranks decode one draft to different maps. A lead of another incarnation used the number of
-/// the base for another map, or a sidecar knows the base with its experts in other slots.
+/// Failure guarded against: two ranks decode one draft to different maps. A lead of another
+/// incarnation used the number of the base for another map, or a sidecar knows the base with its
+/// experts in other slots.
 #[test]
 fn other_base_rejected() {
     let mut chance = SplitMix64::new(3);
@@ -73,8 +74,8 @@
     assert!(known.decode(EPOCH, MapVersion(2), &draft).is_none());
 }
 
-/// The group keeps its old map and answers are late, because a restarted sidecar can't decode the
-/// new map. That rank must be sent the full map.
+/// Failure guarded against: the group keeps its old map and answers are late, because a restarted
+/// sidecar can't decode the new map. That rank must be sent the full map.
 #[test]
 fn full_map_sent() {
     let (from, epoch) = (Arc::new(first_map()), EPOCH);
--- a/crates/groups/tests/even.rs
+++ b/crates/groups/tests/even.rs
@@ -39,8 +39,8 @@
         .collect()
 }
 
-/// Every pass waits for one rank, which has three times the mean load because its expert has a
-/// fifth of all tokens. A few copies must reduce that.
+/// Failure guarded against: every pass waits for one rank, which has three times the mean load
+/// because its expert has a fifth of all tokens. A few copies must reduce that.
 #[test]
 fn hot_expert_copied() {
     let demand = hot(7);
@@ -55,16 +55,16 @@
     assert!(rebalanced.map.is_whole(usize::from(EXPERTS)));
 }
 
-/// Copies are made for noise and cost more than they gain. A map that is balanced well enough must
-/// stay.
+/// Failure guarded against: copies are made for noise and cost more than they gain. A map that is
+/// balanced well enough must stay.
 #[test]
 fn balanced_map_stays() {
     let demand = vec![vec![1.0 / 64.0; usize::from(EXPERTS)]];
     assert!(rebalance(&first_map(), &demand, &[], &THRESHOLDS).is_none());
 }
 
-/// Every pass waits for the experts of one slow server for as long as it is slow. Its rank takes
-/// five times as long and must shed load.
+/// Failure guarded against: every pass waits for the experts of one slow server for as long as it
+/// is slow. Its rank takes five times as long and must shed load.
 #[test]
 fn slow_rank_sheds() {
     let demand = vec![vec![1.0 / 64.0; usize::from(EXPERTS)]];
--- a/crates/groups/tests/policy.rs
+++ b/crates/groups/tests/policy.rs
@@ -75,8 +75,8 @@
     }
 }
 
-/// Experts move back and forth although the load does not change, which disturbs requests for
-/// nothing.
+/// Failure guarded against: experts move back and forth although the load does not change, which
+/// disturbs requests for nothing.
 #[test]
 fn settled_map_stays() {
     let shares = vec![zipf(64)];
@@ -133,8 +133,8 @@
     assert_eq!(decision.reason, Reason::Cooling { left });
 }
 
-/// Experts are moved off a rank whose host is slow, although none of them is hot. That would load
-/// the other ranks and not make steps shorter.
+/// Failure guarded against: experts are moved off a rank whose host is slow, although none of them
+/// is hot. That would load the other ranks and not make steps shorter.
 #[test]
 fn slow_rank_detected() {
     let work = |busy| Work {
--- a/crates/groups/tests/stall.rs
+++ b/crates/groups/tests/stall.rs
@@ -20,9 +20,9 @@
     }
 }
 
-/// Requests are sent to a group whose passes have stopped and refused 1.5 s later with little time
-/// left, because a rank's host is cut off and the engine waits for it. A rank with requests must
-/// detect it sooner, but not where its group is idle or held.
+/// Failure guarded against: requests are sent to a group whose passes have stopped and refused 1.5
+/// s later with little time left, because a rank's host is cut off and the engine waits for it. A
+/// rank with requests must detect it sooner, but not where its group is idle or held.
 #[test]
 fn stall_detected() {
     let mut stall = StallDetector::new(at(0));
--- a/crates/groups/tests/switch.rs
+++ b/crates/groups/tests/switch.rs
@@ -12,9 +12,9 @@
 use snipemast_groups::executor::{Action, EngineOrder, Executor, OrderSeq};
 use snipemast_groups::switch::{Order, Outcome, RankOrder, Switch};
 
-/// A pass runs on two maps and corrupts an answer. An engine does not answer some orders and
-/// carries them out seconds later, and the lead gives up a switch and releases the group while an
-/// arming is still on its way to one rank.
+/// Failure guarded against: a pass runs on two maps and corrupts an answer. An engine does not
+/// answer some orders and carries them out seconds later, and the lead gives up a switch and
+/// releases the group while an arming is still on its way to one rank.
 fn late_orders(seed: u64, mute: u64) -> TestResult {
     let mut world = World::new(seed, mute);
     world.run(60_000);
@@ -47,8 +47,9 @@
         late_orders(seed, 3)
     }
 
-    /// Every stream stands still, because the lead's process dies while the group is held. Its
-    /// successor must find the hold, settle what was under way, and release the group.
+    /// Failure guarded against: every stream stands still, because the lead's process dies while
+    /// the group is held. Its successor must find the hold, settle what was under way, and release
+    /// the group.
     fn lead_dies(seed: u64, at: u16) -> TestResult {
         let mut world = World::new(seed, 10);
         world.after(u64::from(at), Event::Restart);
@@ -62,9 +63,9 @@
     }
 }
 
-/// A pass runs on two maps in a group that makes no passes for lack of requests. A go gets no
-/// answer and is given again, the next switch holds the group at the same step, and the first go is
-/// carried out while ranks are being armed.
+/// Failure guarded against: a pass runs on two maps in a group that makes no passes for lack of
+/// requests. A go gets no answer and is given again, the next switch holds the group at the same
+/// step, and the first go is carried out while ranks are being armed.
 #[test]
 fn late_go_ignored() {
     for seed in 0..3_000 {
@@ -75,8 +76,9 @@
     }
 }
 
-/// Every stream stands still forever. A hold gets no answer and is given again, the group is
-/// released, and the first copy of the hold is carried out before the step has begun.
+/// Failure guarded against: every stream stands still forever. A hold gets no answer and is given
+/// again, the group is released, and the first copy of the hold is carried out before the step has
+/// begun.
 #[test]
 fn late_hold_released() {
     for seed in [14_974_706_913_388_125_604, 1_911_398_002_110_836_890] {
@@ -84,9 +86,9 @@
     }
 }
 
-/// Every stream stands still forever. A hold gets no answer and its switch is given up, the next
-/// switch holds the group at a later step, arms and releases it, and then the first hold is carried
-/// out at a step before the armed one.
+/// Failure guarded against: every stream stands still forever. A hold gets no answer and its switch
+/// is given up, the next switch holds the group at a later step, arms and releases it, and then the
+/// first hold is carried out at a step before the armed one.
 #[test]
 fn earlier_hold_released() {
     for seed in [3_101_179_205_235_581_143, 3_868_169_542_650_551_705] {
@@ -104,9 +106,9 @@
     assert!(world.step >= 20_000 / PASS - 20, "{}", world.step);
 }
 
-/// The group never gets another map, and answers are late. Polling many ranks takes longer than a
-/// step, so the step at which the lead wants to hold the group has always begun when the hold
-/// arrives.
+/// Failure guarded against: the group never gets another map, and answers are late. Polling many
+/// ranks takes longer than a step, so the step at which the lead wants to hold the group has always
+/// begun when the hold arrives.
 #[test]
 fn slow_polls_switch() {
     let mut world = World::new(7, u64::MAX);
@@ -116,8 +118,8 @@
     assert!(!world.mixed);
 }
 
-/// Streams pause at each new map, because arming many ranks takes longer than the two steps that
-/// the hold lies ahead. The lead must learn how long arming takes.
+/// Failure guarded against: streams pause at each new map, because arming many ranks takes longer
+/// than the two steps that the hold lies ahead. The lead must learn how long arming takes.
 #[test]
 fn slow_arming_learnt() {
     let mut world = World::new(7, u64::MAX);
@@ -127,7 +129,7 @@
     assert!(world.stood <= 400, "{} ms", world.stood);
 }
 
-/// An order that arrives after a later one is carried out.
+/// Failure guarded against: an order that arrives after a later one is carried out.
 #[test]
 fn overtaken_order_refused() {
     let mut executor = Executor::new();
@@ -140,9 +142,9 @@
     assert!(executor.accept(seq(1), go(), EPOCH).is_none());
 }
 
-/// Each new map is held thousands of steps ahead, and answers are late: a rank has crashed and
-/// restarted, its group counts steps from 0, and the hold lies past a step that the rank was held
-/// at before.
+/// Failure guarded against: each new map is held thousands of steps ahead, and answers are late: a
+/// rank has crashed and restarted, its group counts steps from 0, and the hold lies past a step
+/// that the rank was held at before.
 #[test]
 fn restart_resets_holds() {
     let mut executor = Executor::new();
@@ -170,8 +172,8 @@
     Draft::Whole(Arc::default())
 }
 
-/// A pass runs on two maps. A lead loses its group and adopts it again, and a rank's late outcome
-/// of an earlier order is counted for the current one.
+/// Failure guarded against: a pass runs on two maps. A lead loses its group and adopts it again,
+/// and a rank's late outcome of an earlier order is counted for the current one.
 #[test]
 fn earlier_outcome_ignored() {
     let begin = |lead| {
@@ -188,9 +190,9 @@
     assert!(switch.is_idle());
 }
 
-/// A new map is delayed by two seconds, because one of 192 sidecars was restarting when the map was
-/// sent and the switch was given up. The map must be sent to that rank again while the others
-/// continue to copy.
+/// Failure guarded against: a new map is delayed by two seconds, because one of 192 sidecars was
+/// restarting when the map was sent and the switch was given up. The map must be sent to that rank
+/// again while the others continue to copy.
 #[test]
 fn absent_rank_retried() {
     let mut switch = Switch::new(3, Ballot(1));
@@ -209,9 +211,9 @@
     assert!(matches!(next[0].order, Order::Hold { .. }));
 }
 
-/// Every stream stands still for 2.3 s, because one of 192 ranks leaves its orders unanswered for a
-/// while and all others are disarmed while the group is held. That rank must be armed again, for a
-/// bounded time.
+/// Failure guarded against: every stream stands still for 2.3 s, because one of 192 ranks leaves
+/// its orders unanswered for a while and all others are disarmed while the group is held. That rank
+/// must be armed again, for a bounded time.
 #[test]
 fn arming_retried() {
     let mut switch = Switch::new(3, Ballot(1));
--- a/crates/groups/tests/takeover.rs
+++ b/crates/groups/tests/takeover.rs
@@ -12,8 +12,8 @@
 use snipemast_groups::takeover::{DEPUTY_RANK, LEAD_RANK};
 
 quickcheck! {
-    /// Every stream stands still for seconds. The lead's host freezes and continues where it
-    /// stopped, while the deputy, whose host freezes too, is taking over.
+    /// Failure guarded against: every stream stands still for seconds. The lead's host freezes and
+    /// continues where it stopped, while the deputy, whose host freezes too, is taking over.
     fn lead_freezes(seed: u64) -> TestResult {
         frozen_lead(seed, 10)
     }
@@ -47,8 +47,9 @@
     ends_well(world, seed)
 }
 
-/// A pass runs on two maps. The lead's process is killed, also after the pledge, and the deputy
-/// gives its rank orders by old reports of it; lead and deputy freeze as well.
+/// Failure guarded against: a pass runs on two maps. The lead's process is killed, also after the
+/// pledge, and the deputy gives its rank orders by old reports of it; lead and deputy freeze as
+/// well.
 fn killed_lead(seed: u64, mute: u64) -> TestResult {
     let mut world = World::new(seed, mute);
     (world.reach, world.eager) = (30, seed.is_multiple_of(2));
@@ -92,11 +93,11 @@
     TestResult::passed()
 }
 
-/// A pass runs on two maps, for a different reason in each schedule: the deputy continues and
-/// disarms the lead's rank for a map of a later lead; the lead is back and releases the group while
-/// orders to disarm are on their way; the lead's rank is disarmed remotely after it was ordered to
-/// arm again; a pledge crosses the first order of a takeover; a late order to disarm arrives after
-/// ranks were given new orders.
+/// Failure guarded against: a pass runs on two maps, for a different reason in each schedule: the
+/// deputy continues and disarms the lead's rank for a map of a later lead; the lead is back and
+/// releases the group while orders to disarm are on their way; the lead's rank is disarmed remotely
+/// after it was ordered to arm again; a pledge crosses the first order of a takeover; a late order
+/// to disarm arrives after ranks were given new orders.
 #[test]
 fn frozen_lead_schedules() {
     for (seed, mute) in [
@@ -118,8 +119,8 @@
     play_seeds(frozen_lead, [3, 10, 40]);
 }
 
-/// A pass runs on two maps, because a takeover that does not know that it was overtaken cancels the
-/// arming of the next switch on the lead's rank.
+/// Failure guarded against: a pass runs on two maps, because a takeover that does not know that it
+/// was overtaken cancels the arming of the next switch on the lead's rank.
 #[test]
 fn killed_lead_schedules() {
     let result = killed_lead(1_668, 3);
@@ -143,8 +144,9 @@
     }
 }
 
-/// Every stream stands still for four seconds, because the lead's host freezes while the group is
-/// held. The group must continue within half a second, and switch maps again once the lead is back.
+/// Failure guarded against: every stream stands still for four seconds, because the lead's host
+/// freezes while the group is held. The group must continue within half a second, and switch maps
+/// again once the lead is back.
 #[test]
 fn held_group_released() {
     let mut taken = 0;
@@ -198,10 +200,10 @@
     world
 }
 
-/// Every stream stands still for 26 s. The lead's process is killed while it holds a large group,
-/// and orders to disarm with a full map take 4.4 s to leave the deputy's host. The lead is back
-/// meanwhile and overtakes it with orders that take as long, during which its host does not answer
-/// the deputy.
+/// Failure guarded against: every stream stands still for 26 s. The lead's process is killed while
+/// it holds a large group, and orders to disarm with a full map take 4.4 s to leave the deputy's
+/// host. The lead is back meanwhile and overtakes it with orders that take as long, during which
+/// its host does not answer the deputy.
 #[test]
 fn large_group_recovers() {
     for seed in 0..24 {
