--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -1,10 +1,10 @@
-//! Lets requests in: limits of workspaces, fair shares of pools, early refusal.
+//! Admission of requests: limits of workspaces, fair shares of pools and early refusal.
 //!
-//! The decisions stand in `snipemast_routing`; here they are held in shards under locks, and a
-//! request that waits gets its turn over a channel.
+//! `snipemast_routing` makes the decisions. This module keeps their state in shards under locks,
+//! and tells a waiting request its decision over a channel.
 //!
-//! - [`demand`]: what a request asks of admission.
-//! - `turn`: a lane with those who wait at it.
+//! - [`demand`]: the demand of one request.
+//! - `turn`: a lane with its waiting requests.
 //! - [`tell`]: the exchange of demands with other entries.
 
 pub mod demand;
@@ -30,15 +30,15 @@
 use crate::shared::Shared;
 
 pub use demand::Demand;
-pub use tell::tell_forever;
-use turn::{Entered, Gate, Waiting};
+pub use tell::exchange_demands_forever;
+use turn::{Arrived, Waiting, WaitingLane};
 
 /// The number of shards of lanes and of accounts.
 const SHARDS: usize = 8;
-/// How often lanes look whether room has come free elsewhere.
-const LOOK: Span = Span::from_millis(20);
-/// How often demands are settled, in looks.
-const SETTLE: u64 = 50;
+/// The interval at which lanes with waiting requests are checked for capacity that others freed.
+const CHECK_INTERVAL: Span = Span::from_millis(20);
+/// The number of checks from one cleanup to the next.
+const CHECKS_PER_CLEANUP: u64 = 50;
 
 /// The admission state of an entry process.
 #[derive(Debug)]
@@ -46,13 +46,13 @@
     clock: Clock,
     journal: Journal,
     chooser: Arc<Chooser>,
-    lanes: Box<[Mutex<HashMap<Wanted, Gate>>]>,
+    lanes: Box<[Mutex<HashMap<Wanted, WaitingLane>>]>,
     accounts: Box<[Mutex<Limiter>]>,
     demands: Mutex<Demands>,
     wishes: Mutex<Wishes>,
 }
 
-/// Lets a request in, at once or after a wait, or says why not.
+/// Admits a request, at once or after a wait, or returns the reason for its refusal.
 pub async fn admit(shared: &Shared, config: &Config, demand: Demand) -> Result<Admitted, Problem> {
     let admission = &shared.admission;
     if shared.chooser.capacity(&demand.wanted).is_none() {
@@ -60,12 +60,12 @@
     }
     let outcome = admission.admit(config, &demand).await;
     outcome.map_err(|refusal| {
-        admission.note(&demand.workspace, refusal);
+        admission.record_refusal(&demand.workspace, refusal);
         problem(refusal)
     })
 }
 
-/// A refusal in the form that callers get.
+/// Converts a refusal to the problem that the caller gets.
 fn problem(refusal: Refusal) -> Problem {
     let kind = match refusal.reason {
         Reason::Requests | Reason::Tokens | Reason::Concurrency | Reason::Queue => {
@@ -76,19 +76,19 @@
     Problem::new(kind, refusal.reason).with_retry(refusal.retry)
 }
 
-/// Looks again and again whether what waits may run.
+/// Checks at a fixed interval whether waiting requests may run.
 pub async fn admit_forever(shared: Arc<Shared>) {
-    for look in 0_u64.. {
-        smol::Timer::after(LOOK.as_duration()).await;
-        shared.admission.look();
-        if look % SETTLE == 0 {
-            shared.admission.settle();
+    for check in 0_u64.. {
+        smol::Timer::after(CHECK_INTERVAL.as_duration()).await;
+        shared.admission.check_lanes();
+        if check % CHECKS_PER_CLEANUP == 0 {
+            shared.admission.clean_up();
         }
     }
 }
 
 impl Admission {
-    /// The state of a process that has let nothing in yet.
+    /// Creates the state of a process that has admitted nothing yet.
     pub fn new(process: &ProcessId, chooser: Arc<Chooser>, journal: Journal) -> Self {
         Self {
             clock: Clock::new(),
@@ -101,27 +101,27 @@
         }
     }
 
-    /// Takes the time that a summary needs to reach every other entry.
-    pub fn set_pace(&self, pace: Span) {
-        self.demands.lock().set_interval(pace);
+    /// Sets the interval of the exchange, the time that a summary needs to reach every other entry.
+    pub fn set_summary_interval(&self, interval: Span) {
+        self.demands.lock().set_interval(interval);
     }
 
-    /// This entry's demands, for the membership exchange to carry about once a second.
+    /// Returns this entry's demands, which membership carries to the others about once a second.
     pub fn summary(&self) -> Summary {
         self.demands.lock().next_summary(self.clock.now())
     }
 
-    /// Takes another entry's demands from the membership exchange.
+    /// Merges another entry's demands, as membership carried them.
     pub fn merge(&self, summary: &Summary) {
         self.demands.lock().merge(self.clock.now(), summary);
     }
 
-    /// Gives back the part of an entry that is known to be gone, not merely cut off.
+    /// Releases the share of an entry that is known to have ended, not merely to be cut off.
     pub fn forget(&self, host: &HostId) {
         self.demands.lock().forget(host);
     }
 
-    /// The loads that control should order, within the platform's budget.
+    /// Returns the model loads that control should order, within the platform's budget.
     pub fn due_loads(&self) -> Vec<Wish> {
         self.wishes.lock().due_loads(self.clock.now())
     }
@@ -131,41 +131,44 @@
         config: &Config,
         demand: &Demand,
     ) -> Result<Admitted, Refusal> {
-        let account = self.charge(config, demand)?;
+        let admitted = self.charge(config, demand)?;
         let weight = config
             .workspaces
             .get(&demand.workspace)
             .map_or(1, |w| w.weight);
         let waiting = match self.arrive(demand, f64::from(weight.max(1)))? {
-            Entered::Open => return Ok(account.run()),
-            Entered::Wait(waiting) => waiting,
+            Arrived::Run => return Ok(admitted.start()),
+            Arrived::Wait(waiting) => waiting,
         };
-        waiting.turn(demand.left).await?;
-        Ok(account.run())
+        waiting.wait(demand.left).await?;
+        Ok(admitted.start())
     }
 
-    /// Charges the workspace's limits; what is returned gives them back when it is dropped.
+    /// Charges the workspace's limits; dropping the result releases them.
     fn charge(self: &Arc<Self>, config: &Config, demand: &Demand) -> Result<Admitted, Refusal> {
         let now = self.clock.now();
         let limits = config.workspaces.get(&demand.workspace).map(|w| &w.limits);
         let limits = limits.cloned().unwrap_or_default();
-        let part = self.part(now, demand, limits.concurrency);
-        let shard = self.account_of(&demand.workspace);
-        let charged =
-            self.accounts[shard]
-                .lock()
-                .admit(now, &demand.workspace, &limits, part, demand.tokens);
+        let limit_share = self.limit_share(now, demand, limits.concurrency);
+        let shard = self.account_shard(&demand.workspace);
+        let charged = self.accounts[shard].lock().admit(
+            now,
+            &demand.workspace,
+            &limits,
+            limit_share,
+            demand.tokens,
+        );
         charged.map(|()| Admitted {
             admission: Arc::clone(self),
             demand: demand.clone(),
-            begun: now,
+            started: now,
             running: false,
-            whole: false,
+            completed: false,
         })
     }
 
-    /// This entry's part of the workspace's limits, by the demand that entries have told.
-    fn part(&self, now: Moment, demand: &Demand, concurrency: Option<u32>) -> LimitShare {
+    /// Returns this entry's share of the workspace's limits, by the demands that entries published.
+    fn limit_share(&self, now: Moment, demand: &Demand, concurrency: Option<u32>) -> LimitShare {
         let topic = Topic::workspace(&demand.workspace);
         let pool = Topic::pool(demand.wanted.family());
         let mut demands = self.demands.lock();
@@ -177,10 +180,10 @@
         }
     }
 
-    fn arrive(self: &Arc<Self>, demand: &Demand, weight: f64) -> Result<Entered, Refusal> {
+    fn arrive(self: &Arc<Self>, demand: &Demand, weight: f64) -> Result<Arrived, Refusal> {
         let now = self.clock.now();
-        let Some(room) = self.room(now, &demand.wanted) else {
-            return Err(self.unloaded(now, &demand.wanted));
+        let Some(capacity) = self.pool_capacity(now, &demand.wanted) else {
+            return Err(self.refuse_unloaded(now, &demand.wanted));
         };
         let arrival = Arrival {
             workspace: demand.workspace.clone(),
@@ -189,27 +192,31 @@
             tokens: demand.tokens,
             deadline: now + demand.left,
         };
-        let mut lanes = self.lanes[lane_of(&demand.wanted)].lock();
-        let gate = lanes.entry(demand.wanted.clone()).or_insert_with(Gate::new);
-        match gate.lane.arrive(now, arrival, room) {
-            Decision::Run => Ok(Entered::Open),
+        let mut lanes = self.lanes[lane_shard(&demand.wanted)].lock();
+        let lane = lanes
+            .entry(demand.wanted.clone())
+            .or_insert_with(WaitingLane::new);
+        match lane.queue.arrive(now, arrival, capacity) {
+            Decision::Run => Ok(Arrived::Run),
             Decision::Refused(refusal) => Err(refusal),
             Decision::Wait(ticket) => {
-                let (sender, turn) = bounded(1);
-                gate.turns.insert(ticket, sender);
-                Ok(Entered::Wait(Waiting {
+                let (sender, receiver) = bounded(1);
+                lane.waiters.insert(ticket, sender);
+                Ok(Arrived::Wait(Waiting {
                     admission: Arc::clone(self),
                     demand: demand.clone(),
                     ticket,
-                    turn,
-                    called: false,
+                    receiver,
+                    admitted: false,
                 }))
             }
         }
     }
 
-    /// Never a silent wait for what nothing offers: a model is wished for, and the caller told.
-    fn unloaded(&self, now: Moment, wanted: &Wanted) -> Refusal {
+    /// Returns the refusal for a request that no server can take, and records the wish for a model.
+    ///
+    /// The caller learns the reason at once instead of waiting without an answer.
+    fn refuse_unloaded(&self, now: Moment, wanted: &Wanted) -> Refusal {
         match wanted {
             Wanted::Model { .. } => self.wishes.lock().record_request(now, wanted),
             Wanted::Service(_) => Refusal {
@@ -219,8 +226,8 @@
         }
     }
 
-    /// The pool as it is now, or nothing where no server offers what is wanted.
-    fn room(&self, now: Moment, wanted: &Wanted) -> Option<PoolCapacity> {
+    /// Returns the current capacity of a pool, or `None` if no server offers it.
+    fn pool_capacity(&self, now: Moment, wanted: &Wanted) -> Option<PoolCapacity> {
         let (slots, load) = self.chooser.capacity(wanted)?;
         let share = self.demands.lock().share(now, Topic::pool(wanted.family()));
         Some(PoolCapacity {
@@ -229,33 +236,33 @@
         })
     }
 
-    /// Calls what may run now in one pool.
-    fn call(&self, wanted: &Wanted) {
+    /// Starts the waiting requests of one pool that may run now.
+    fn start_waiting(&self, wanted: &Wanted) {
         let now = self.clock.now();
-        let mut lanes = self.lanes[lane_of(wanted)].lock();
-        let Some(gate) = lanes.get_mut(wanted) else {
+        let mut lanes = self.lanes[lane_shard(wanted)].lock();
+        let Some(lane) = lanes.get_mut(wanted) else {
             return;
         };
-        if gate.lane.waiting() == 0 {
+        if lane.queue.waiting() == 0 {
             return;
         }
-        let room = self.room(now, wanted).unwrap_or_default();
-        gate.call(now, room);
+        let capacity = self.pool_capacity(now, wanted).unwrap_or_default();
+        lane.start_waiting(now, capacity);
     }
 
-    fn look(&self) {
+    fn check_lanes(&self) {
         for shard in &self.lanes {
-            let busy = |(wanted, gate): (&Wanted, &Gate)| {
-                (gate.lane.waiting() > 0).then(|| wanted.clone())
+            let has_waiting = |(wanted, lane): (&Wanted, &WaitingLane)| {
+                (lane.queue.waiting() > 0).then(|| wanted.clone())
             };
-            let waiting: Vec<_> = shard.lock().iter().filter_map(busy).collect();
+            let waiting: Vec<_> = shard.lock().iter().filter_map(has_waiting).collect();
             for wanted in waiting {
-                self.call(&wanted);
+                self.start_waiting(&wanted);
             }
         }
     }
 
-    fn settle(&self) {
+    fn clean_up(&self) {
         self.demands.lock().set_aside_silent(self.clock.now());
         for wish in self.due_loads() {
             if self.chooser.capacity(&wish.wanted).is_some() {
@@ -263,16 +270,16 @@
             }
         }
         for shard in &self.lanes {
-            let idle = |g: &Gate| g.lane.waiting() == 0 && g.lane.running() == 0;
+            let idle = |g: &WaitingLane| g.queue.waiting() == 0 && g.queue.running() == 0;
             shard
                 .lock()
                 .retain(|w, g| !idle(g) || self.chooser.capacity(w).is_some());
         }
     }
 
-    fn note(&self, workspace: &WorkspaceId, refusal: Refusal) {
+    fn record_refusal(&self, workspace: &WorkspaceId, refusal: Refusal) {
         let now = self.clock.now();
-        let shard = self.account_of(workspace);
+        let shard = self.account_shard(workspace);
         if self.accounts[shard]
             .lock()
             .record_refusal(now, workspace, refusal)
@@ -281,11 +288,11 @@
         }
     }
 
-    fn account_of(&self, workspace: &WorkspaceId) -> usize {
+    fn account_shard(&self, workspace: &WorkspaceId) -> usize {
         (stable_hash(workspace) % SHARDS as u64) as usize
     }
 
-    /// Who is held back and why, and what waits where.
+    /// Returns the workspaces that are held back with their reasons, and the state of each lane.
     pub fn status(&self) -> LimitStatus {
         let now = self.clock.now();
         let mut status = LimitStatus {
@@ -297,23 +304,23 @@
             let held = shard.lock().held_back(now);
             status
                 .held
-                .extend(held.into_iter().map(|(workspace, back)| HeldWorkspace {
+                .extend(held.into_iter().map(|(workspace, refused)| HeldWorkspace {
                     share: percent(self.demands.lock().share(now, Topic::workspace(&workspace))),
                     workspace,
-                    reason: back.reason,
-                    rate: (back.rate * 60.0).round() as u32,
-                    retry: back.retry,
+                    reason: refused.reason,
+                    rate: (refused.rate * 60.0).round() as u32,
+                    retry: refused.retry,
                 }));
         }
         for shard in &self.lanes {
-            for (wanted, gate) in shard.lock().iter() {
-                let room = self.room(now, wanted).unwrap_or_default();
+            for (wanted, lane) in shard.lock().iter() {
+                let capacity = self.pool_capacity(now, wanted).unwrap_or_default();
                 status.lanes.push(LaneStatus {
                     pool: wanted.to_string(),
-                    running: gate.lane.running(),
-                    waiting: gate.lane.waiting() as u32,
-                    share: room.own_slots.round() as u32,
-                    free: room.free_slots.round() as u32,
+                    running: lane.queue.running(),
+                    waiting: lane.queue.waiting() as u32,
+                    share: capacity.own_slots.round() as u32,
+                    free: capacity.free_slots.round() as u32,
                 });
             }
         }
@@ -325,30 +332,30 @@
     }
 }
 
-/// A request that was let in; it counts until this is dropped.
+/// An admitted request, which counts against its limits until this is dropped.
 #[derive(Debug)]
 pub struct Admitted {
     admission: Arc<Admission>,
     demand: Demand,
-    begun: Moment,
+    started: Moment,
     running: bool,
-    whole: bool,
+    completed: bool,
 }
 
 impl Admitted {
-    /// The prefix of the request's prompt.
+    /// Returns the prefix of the request's prompt.
     pub fn prefix(&self) -> Option<Prefix> {
         self.demand.prefix
     }
 
-    /// Says that the request was answered in whole; unsaid, its time says nothing of the pool.
-    pub fn finish(&mut self) {
-        self.whole = true;
+    /// Marks the request as answered completely; without it, its duration is not counted for the pool.
+    pub fn mark_completed(&mut self) {
+        self.completed = true;
     }
 
-    fn run(mut self) -> Self {
+    fn start(mut self) -> Self {
         self.running = true;
-        self.begun = self.admission.clock.now();
+        self.started = self.admission.clock.now();
         self
     }
 }
@@ -362,7 +369,7 @@
             ..
         } = &self.demand;
         let now = self.admission.clock.now();
-        let shard = self.admission.account_of(workspace);
+        let shard = self.admission.account_shard(workspace);
         if !self.running {
             self.admission.accounts[shard]
                 .lock()
@@ -372,11 +379,14 @@
         self.admission.accounts[shard]
             .lock()
             .finish(now, workspace, *tokens, *tokens);
-        let took = self.whole.then(|| now.since(self.begun));
-        if let Some(gate) = self.admission.lanes[lane_of(wanted)].lock().get_mut(wanted) {
-            gate.lane.depart(&self.demand.departure(took));
+        let took = self.completed.then(|| now.since(self.started));
+        if let Some(lane) = self.admission.lanes[lane_shard(wanted)]
+            .lock()
+            .get_mut(wanted)
+        {
+            lane.queue.depart(&self.demand.departure(took));
         }
-        self.admission.call(wanted);
+        self.admission.start_waiting(wanted);
     }
 }
 
@@ -384,6 +394,6 @@
     (part * 100.0).round() as u32
 }
 
-fn lane_of(wanted: &Wanted) -> usize {
+fn lane_shard(wanted: &Wanted) -> usize {
     (wanted.family() % SHARDS as u64) as usize
 }
--- a/crates/entry/src/admit/demand.rs
+++ b/crates/entry/src/admit/demand.rs
@@ -1,4 +1,4 @@
-//! What a request asks of admission, read from the request itself.
+//! The demand of one request, read from the request itself.
 
 use serde::Deserialize;
 
@@ -6,41 +6,41 @@
 use snipemast_core::prelude::*;
 use snipemast_routing::{Departure, Prefix, Priority, Wanted};
 
-/// The tokens that a request which names none is taken to ask for.
-const TOKENS: f64 = 256.0;
-/// The bytes of a prompt that count as its prefix.
-const PREFIX: usize = 512;
+/// The tokens that a request is assumed to ask for if it names no number.
+const DEFAULT_TOKENS: f64 = 256.0;
+/// The number of a prompt's first bytes that count as its prefix.
+const PREFIX_BYTES: usize = 512;
 
-/// What a request asks of admission.
+/// The demand of one request.
 #[derive(Debug, Clone)]
 pub struct Demand {
-    /// Who pays.
+    /// The workspace that is charged.
     pub workspace: WorkspaceId,
-    /// What it wants.
+    /// The offer that the request needs.
     pub wanted: Wanted,
-    /// The tokens that it asks for.
+    /// The number of tokens that the request asks for.
     pub tokens: f64,
-    /// The prefix of its prompt.
+    /// The prefix of the prompt.
     pub prefix: Option<Prefix>,
-    /// Its order within the workspace.
+    /// The priority within the workspace.
     pub priority: Priority,
-    /// The time that it has.
+    /// The time until the deadline.
     pub left: Span,
 }
 
 impl Demand {
-    /// What a request asks for.
+    /// Reads the demand of a request.
     pub fn new(workspace: &WorkspaceId, wanted: &Wanted, ask: &Ask, left: Span) -> Self {
         let shape = match &ask.target {
-            Target::Model { .. } => Shape::read(&ask.body),
-            Target::Plain { .. } => Shape::plain(),
+            Target::Model { .. } => RequestShape::parse(&ask.body),
+            Target::Plain { .. } => RequestShape::plain(),
         };
-        let prefix = |text: &String| Prefix::new(workspace, head(text.as_bytes()));
+        let prefix = |text: &String| Prefix::new(workspace, prompt_head(text.as_bytes()));
         Self {
             workspace: workspace.clone(),
             wanted: wanted.clone(),
-            tokens: shape.max_tokens.unwrap_or(TOKENS).max(1.0),
-            prefix: shape.text().map(prefix),
+            tokens: shape.max_tokens.unwrap_or(DEFAULT_TOKENS).max(1.0),
+            prefix: shape.prompt_text().map(prefix),
             priority: Priority::Normal,
             left,
         }
@@ -50,7 +50,7 @@
 impl Demand {
     pub(super) fn departure(&self, took: Option<Span>) -> Departure {
         let workspace = self.workspace.clone();
-        // What the engine generated is not known here, so the whole is charged.
+        // The number of generated tokens is not known here, so all requested tokens are charged.
         Departure {
             workspace,
             asked: self.tokens,
@@ -60,14 +60,14 @@
     }
 }
 
-fn head(text: &[u8]) -> &[u8] {
-    &text[..text.len().min(PREFIX)]
+fn prompt_head(text: &[u8]) -> &[u8] {
+    &text[..text.len().min(PREFIX_BYTES)]
 }
 
-/// The fields of a model request that admission looks at.
+/// The fields of a model request that admission reads.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-struct Shape {
+struct RequestShape {
     max_tokens: Option<f64>,
     prompt: Option<String>,
     messages: Vec<Message>,
@@ -79,9 +79,9 @@
     content: Option<String>,
 }
 
-impl Shape {
-    /// Another shape than these fields is the engine's matter; admission takes the usual.
-    fn read(body: &[u8]) -> Self {
+impl RequestShape {
+    /// Parses the body; a body of another form gets the defaults, and the engine decides about it.
+    fn parse(body: &[u8]) -> Self {
         serde_json::from_slice(body).unwrap_or_default()
     }
 
@@ -92,7 +92,7 @@
         }
     }
 
-    fn text(&self) -> Option<&String> {
+    fn prompt_text(&self) -> Option<&String> {
         let first = self.messages.first().and_then(|m| m.content.as_ref());
         self.prompt.as_ref().or(first)
     }
--- a/crates/entry/src/admit/tell.rs
+++ b/crates/entry/src/admit/tell.rs
@@ -1,4 +1,4 @@
-//! Tells the other entries this one's demands by membership's exchange, and takes theirs.
+//! Exchanges demands with the other entries over membership's piggybacked values.
 
 use std::sync::Arc;
 
@@ -9,52 +9,55 @@
 
 use crate::shared::Shared;
 
-/// How often demands are told in a small fleet.
-const PACE: Span = Span::from_secs(1);
-/// How much longer that takes for each entry: the exchange has a budget of bytes.
-const PACE_EACH: Span = Span::from_millis(50);
-/// How many times the pace a told demand lives.
-const LIFE: u64 = 4;
-/// How often others' demands are looked at between two tellings.
-const HEARINGS: u64 = 4;
+/// The interval between two summaries in a small fleet.
+const BASE_INTERVAL: Span = Span::from_secs(1);
+/// The addition to the interval for each entry, since the exchange has a budget of bytes.
+const INTERVAL_PER_ENTRY: Span = Span::from_millis(50);
+/// The lifetime of a published summary, in intervals.
+const LIFE_INTERVALS: u64 = 4;
+/// How often the others' summaries are read in one interval.
+const READS_PER_INTERVAL: u64 = 4;
 
-/// Tells the other entries this one's demands, and takes theirs, again and again.
-pub async fn tell_forever(shared: Arc<Shared>) {
+/// Publishes this entry's demands and merges those of the others, at a fixed interval.
+pub async fn exchange_demands_forever(shared: Arc<Shared>) {
     let admission = &shared.admission;
     loop {
         let entries = shared
             .gossip
             .with_node(|_, node| node.table().rows().len())
             .unwrap_or_default();
-        let pace = pace(entries as u64);
-        admission.set_pace(pace);
+        let interval = summary_interval(entries as u64);
+        admission.set_summary_interval(interval);
         let summary = encode(&admission.summary());
-        shared
-            .gossip
-            .publish(&shared, gossip::Topic::Demand, summary, pace.times(LIFE));
-        for _ in 0..HEARINGS {
-            let part = Span::from_micros(pace.as_micros() / HEARINGS);
-            smol::Timer::after(part.as_duration()).await;
-            hear(&shared);
+        shared.gossip.publish(
+            &shared,
+            gossip::Topic::Demand,
+            summary,
+            interval.times(LIFE_INTERVALS),
+        );
+        for _ in 0..READS_PER_INTERVAL {
+            let pause = Span::from_micros(interval.as_micros() / READS_PER_INTERVAL);
+            smol::Timer::after(pause.as_duration()).await;
+            merge_demands(&shared);
         }
     }
 }
 
-fn hear(shared: &Shared) {
+fn merge_demands(shared: &Shared) {
     for (_, value) in shared.gossip.values(gossip::Topic::Demand) {
-        // A value of a later release that can't be read is an entry that says nothing.
+        // An entry whose value can't be read, as from a later release, counts as silent.
         if let Ok(summary) = decode::<Summary>(&value) {
             shared.admission.merge(&summary);
         }
     }
-    // Only a zone buries its own entries: one that is merely cut off keeps its part.
-    let buried = |_, node: &gossip::Node| node.table().tombstones().keys().cloned().collect();
-    let gone: Vec<HostId> = shared.gossip.with_node(buried).unwrap_or_default();
-    for host in gone {
+    // Only the entry's own zone sets its tombstone, so an entry that is merely cut off keeps its share.
+    let tombstones = |_, node: &gossip::Node| node.table().tombstones().keys().cloned().collect();
+    let removed: Vec<HostId> = shared.gossip.with_node(tombstones).unwrap_or_default();
+    for host in removed {
         shared.admission.forget(&host);
     }
 }
 
-fn pace(entries: u64) -> Span {
-    Span::from_micros(PACE.as_micros() + PACE_EACH.times(entries).as_micros())
+fn summary_interval(entries: u64) -> Span {
+    Span::from_micros(BASE_INTERVAL.as_micros() + INTERVAL_PER_ENTRY.times(entries).as_micros())
 }
--- a/crates/entry/src/admit/turn.rs
+++ b/crates/entry/src/admit/turn.rs
@@ -1,4 +1,4 @@
-//! A lane with those who wait at it, and the wait itself.
+//! A lane with its waiting requests, and the wait of one request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,33 +9,33 @@
 use snipemast_core::prelude::*;
 use snipemast_routing::{Dequeued, Lane, LanePolicy, PoolCapacity, Reason, Refusal, Ticket};
 
-use super::{lane_of, Admission, Demand};
+use super::{lane_shard, Admission, Demand};
 
-/// A lane, and whom its tickets belong to.
+/// A lane, and the channels to the requests that wait in it.
 #[derive(Debug)]
-pub(super) struct Gate {
-    pub(super) lane: Lane,
-    pub(super) turns: HashMap<Ticket, Sender<Turn>>,
+pub(super) struct WaitingLane {
+    pub(super) queue: Lane,
+    pub(super) waiters: HashMap<Ticket, Sender<TurnResult>>,
 }
 
-pub(super) type Turn = Result<(), Refusal>;
+pub(super) type TurnResult = Result<(), Refusal>;
 
-impl Gate {
+impl WaitingLane {
     pub(super) fn new() -> Self {
         Self {
-            lane: Lane::new(LanePolicy::default()),
-            turns: HashMap::new(),
+            queue: Lane::new(LanePolicy::default()),
+            waiters: HashMap::new(),
         }
     }
 
-    pub(super) fn call(&mut self, now: Moment, room: PoolCapacity) {
-        while let Some(called) = self.lane.dequeue(now, room) {
-            let (ticket, turn) = match called {
+    pub(super) fn start_waiting(&mut self, now: Moment, capacity: PoolCapacity) {
+        while let Some(dequeued) = self.queue.dequeue(now, capacity) {
+            let (ticket, turn) = match dequeued {
                 Dequeued::Run(ticket) => (ticket, Ok(())),
                 Dequeued::Refused(ticket, refusal) => (ticket, Err(refusal)),
             };
-            if let Some(sender) = self.turns.remove(&ticket) {
-                // The receiver counts the request as ended where it can't take its turn.
+            if let Some(sender) = self.waiters.remove(&ticket) {
+                // A receiver that is gone counts the request as ended in its drop.
                 let _ = sender.try_send(turn);
             }
         }
@@ -43,56 +43,56 @@
 }
 
 #[derive(Debug)]
-pub(super) enum Entered {
-    Open,
+pub(super) enum Arrived {
+    Run,
     Wait(Waiting),
 }
 
-/// A request that waits; dropped, it leaves its place.
+/// A waiting request, which leaves its lane when it is dropped.
 #[derive(Debug)]
 pub(super) struct Waiting {
     pub(super) admission: Arc<Admission>,
     pub(super) demand: Demand,
     pub(super) ticket: Ticket,
-    pub(super) turn: Receiver<Turn>,
-    pub(super) called: bool,
+    pub(super) receiver: Receiver<TurnResult>,
+    pub(super) admitted: bool,
 }
 
 impl Waiting {
-    /// Waits for the turn, at most as long as the request has.
+    /// Waits until the request may run, at most until its deadline.
     ///
-    /// A request that is given up gets its final answer at once: its caller would hold on to a
-    /// connection for nothing.
-    pub(super) async fn turn(mut self, left: Span) -> Result<(), Refusal> {
-        let late = Refusal {
+    /// A request whose deadline passes gets its final answer at once, since its caller would
+    /// otherwise keep a connection open for nothing.
+    pub(super) async fn wait(mut self, left: Span) -> Result<(), Refusal> {
+        let deadline_passed = Refusal {
             reason: Reason::Deadline,
             retry: Span::from_secs(1),
         };
-        let called = async { self.turn.recv().await.unwrap_or(Err(late)) };
+        let received = async { self.receiver.recv().await.unwrap_or(Err(deadline_passed)) };
         let timer = async {
             smol::Timer::after(left.as_duration()).await;
-            Err(late)
+            Err(deadline_passed)
         };
-        let turn = called.or(timer).await;
-        self.called = turn.is_ok();
+        let turn = received.or(timer).await;
+        self.admitted = turn.is_ok();
         turn
     }
 }
 
 impl Drop for Waiting {
     fn drop(&mut self) {
-        if self.called {
+        if self.admitted {
             return;
         }
-        let mut lanes = self.admission.lanes[lane_of(&self.demand.wanted)].lock();
-        let Some(gate) = lanes.get_mut(&self.demand.wanted) else {
+        let mut lanes = self.admission.lanes[lane_shard(&self.demand.wanted)].lock();
+        let Some(lane) = lanes.get_mut(&self.demand.wanted) else {
             return;
         };
-        if gate.turns.remove(&self.ticket).is_some() {
-            gate.lane.abandon(self.ticket);
-        } else if matches!(self.turn.try_recv(), Ok(Ok(()))) {
-            // The turn came just as its caller left: the slot must not stay taken.
-            gate.lane.depart(&self.demand.departure(None));
+        if lane.waiters.remove(&self.ticket).is_some() {
+            lane.queue.abandon(self.ticket);
+        } else if matches!(self.receiver.try_recv(), Ok(Ok(()))) {
+            // The request was let in just as its caller left, so the slot must be freed.
+            lane.queue.depart(&self.demand.departure(None));
         }
     }
 }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,4 +1,7 @@
-//! The shell around one request's decisions: connections, timers and the choice of a server.
+//! Drives the state machine of one request.
+//!
+//! The [`RequestDriver`] opens connections, sets timers, chooses servers and claims keys as the
+//! [`RequestMachine`] asks, and feeds the results back to it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -25,87 +28,88 @@
 use crate::keys::ClaimOutcome;
 use crate::shared::Shared;
 
-/// What a request asks for.
+/// The content of a request.
 #[derive(Debug)]
-pub struct Order {
+pub struct RequestSpec {
     /// The request.
     pub request: RequestId,
-    /// The workspace that pays.
+    /// The workspace that the request is charged to.
     pub workspace: WorkspaceId,
-    /// What a backend server must offer.
+    /// The offer that a backend server must have.
     pub wanted: Wanted,
     /// The prefix of its prompt.
     pub prefix: Option<Prefix>,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub key: Option<RequestKey>,
-    /// The fingerprint of what the caller asked.
+    /// The fingerprint of the caller's request.
     pub fingerprint: Fingerprint,
-    /// What to ask the backend server.
+    /// The call to the backend server.
     pub call: Call,
 }
 
-/// What a request gives to its caller next.
+/// The next part of a request's answer to its caller.
 #[derive(Debug)]
 pub enum Step {
     /// The head of the answer.
     Head(u16, Vec<Header>),
     /// The next bytes of the body.
     Data(Vec<u8>),
-    /// The answer is whole.
+    /// The answer is complete.
     End,
-    /// The answer is not whole.
+    /// The answer is incomplete, for the given reason.
     Failed(Verdict),
 }
 
-/// One request that is under way.
+/// Performs one request from its start to the end of its answer.
 #[derive(Debug)]
-pub struct Run {
+pub struct RequestDriver {
     shared: Arc<Shared>,
-    order: Order,
+    spec: RequestSpec,
     plan: Plan,
     machine: RequestMachine,
-    queue: Outputs,
+    outputs: Outputs,
     reader: Option<(Link, FrameReader<Stream>)>,
     peer: Option<Arc<Peer>>,
-    member: Option<Picked>,
+    picked: Option<Picked>,
     tried: Vec<ProcessId>,
-    /// The crash that the request is suspected of, and how often it was claimed for that.
+    /// The crash that the request is suspected of, and the number of its last claim for it.
     suspect: Option<(Crash, u64)>,
     timer: smol::Timer,
-    armed: Moment,
+    /// The time at which `timer` is set to fire.
+    timer_due: Moment,
 }
 
-impl Run {
-    /// Begins a request.
-    pub fn start(shared: Arc<Shared>, plan: Plan, order: Order) -> Self {
+impl RequestDriver {
+    /// Starts a request.
+    pub fn start(shared: Arc<Shared>, plan: Plan, spec: RequestSpec) -> Self {
         shared.retries.lock().earn();
-        let mut run = Self {
+        let mut driver = Self {
             shared,
-            order,
+            spec,
             plan,
             machine: RequestMachine::new(plan),
-            queue: VecDeque::new(),
+            outputs: VecDeque::new(),
             reader: None,
             peer: None,
-            member: None,
+            picked: None,
             tried: Vec::new(),
             suspect: None,
             timer: smol::Timer::never(),
-            armed: Moment::NEVER,
+            timer_due: Moment::NEVER,
         };
-        run.feed(Input::Start);
-        run
+        driver.feed(Input::Start);
+        driver
     }
 
-    /// The request.
+    /// Returns the id of the request.
     pub fn request(&self) -> &RequestId {
-        &self.order.request
+        &self.spec.request
     }
 
-    /// What the caller gets next.
+    /// Waits for the next part of the answer.
     pub async fn next(&mut self) -> Step {
         loop {
-            while let Some(output) = self.queue.pop_front() {
+            while let Some(output) = self.outputs.pop_front() {
                 if let Some(step) = self.perform(output).await {
                     return step;
                 }
@@ -115,25 +119,25 @@
         }
     }
 
-    /// The next bytes of the body, where they have come already.
-    pub fn ready(&mut self) -> Option<Vec<u8>> {
-        if self.queue.is_empty() {
+    /// Returns the next bytes of the body, if they have already arrived.
+    pub fn next_ready(&mut self) -> Option<Vec<u8>> {
+        if self.outputs.is_empty() {
             let (link, reader) = self.reader.as_mut()?;
             let frame = reader.ready().ok()??;
             let input = Input::Frame(*link, frame);
             self.feed(input);
         }
-        match self.queue.pop_front()? {
+        match self.outputs.pop_front()? {
             Output::Data(bytes) => Some(bytes),
             other => {
-                self.queue.push_front(other);
+                self.outputs.push_front(other);
                 None
             }
         }
     }
 
-    /// Ends the request because its caller left.
-    pub fn leave(mut self) {
+    /// Ends the request because its caller disconnected, and cancels its attempts.
+    pub fn abort(mut self) {
         self.abandon();
     }
 
@@ -143,23 +147,23 @@
         }
         self.record(Event::CallerGone, "");
         self.feed(Input::CallerGone);
-        while let Some(output) = self.queue.pop_front() {
+        while let Some(output) = self.outputs.pop_front() {
             match output {
                 Output::Cancel(target) => self.cancel(target),
                 Output::Bar(target) => self.bar(target),
                 _ => {}
             }
         }
-        self.hang_up();
+        self.close_stream();
     }
 
     fn feed(&mut self, input: Input) {
         let now = self.shared.clock.now();
-        self.machine.handle(now, input, &mut self.queue);
+        self.machine.handle(now, input, &mut self.outputs);
     }
 
     async fn wait(&mut self) -> Input {
-        self.arm();
+        self.arm_timer();
         let timer = &mut self.timer;
         let tick = async {
             timer.await;
@@ -178,124 +182,128 @@
             None => tick.await,
         };
         match input {
-            Input::Tick => self.armed = Moment::NEVER,
-            Input::Lost(..) => self.hang_up(),
+            Input::Tick => self.timer_due = Moment::NEVER,
+            Input::Lost(..) => self.close_stream(),
             _ => {}
         }
         input
     }
 
-    /// Sets the timer where it would ring too late; one that rings early does no harm, and
-    /// setting it anew for each frame would cost more than the frame.
-    fn arm(&mut self) {
+    /// Sets the timer if it would otherwise fire too late.
+    ///
+    /// A timer that fires early is harmless, and setting it again for each frame would cost more
+    /// than the frame.
+    fn arm_timer(&mut self) {
         let wake = self.machine.next_wake();
-        if wake < self.armed {
+        if wake < self.timer_due {
             let left = self.shared.clock.now().until(wake);
             self.timer.set_after(left.as_duration());
-            self.armed = wake;
+            self.timer_due = wake;
         }
     }
 
     async fn perform(&mut self, output: Output) -> Option<Step> {
         match output {
-            Output::Choose => self.choose().await,
-            Output::Claim(target, number) => self.claim(target, number).await,
+            Output::Choose => self.choose_server().await,
+            Output::Claim(target, number) => self.claim_key(target, number).await,
             Output::Dispatch(link, target) => self.dispatch(link, target).await,
             Output::Settle(link, target) => self.settle(link, target).await,
             Output::Resume(link, target, offset) => self.resume(link, target, offset).await,
             Output::Cancel(target) => self.cancel(target),
             Output::Bar(target) => self.bar(target),
             Output::Retire(target) => {
-                self.ended(RequestEnd::Failed);
+                self.record_end(RequestEnd::Failed);
                 self.retire(&target);
             }
             Output::Crashed(crash) => {
-                self.ended(RequestEnd::Failed);
+                self.record_end(RequestEnd::Failed);
                 self.record(Event::RequestSuspected, &crash.agent);
                 let shared = Arc::clone(&self.shared);
-                let fingerprint = self.order.fingerprint;
-                shared.keys.crashed(&shared, fingerprint, crash).await;
+                let fingerprint = self.spec.fingerprint;
+                shared.keys.record_crash(&shared, fingerprint, crash).await;
             }
             Output::Dropped => self.record(Event::FrameDropped, ""),
             Output::Head(status, headers) => {
                 self.record(Event::AnswerBegun, status);
-                if let Some(member) = &self.member {
-                    member.first();
+                if let Some(picked) = &self.picked {
+                    picked.record_first();
                 }
                 return Some(Step::Head(status, headers));
             }
             Output::Data(bytes) => {
-                if let Some(member) = &self.member {
-                    member.moved();
+                if let Some(picked) = &self.picked {
+                    picked.record_progress();
                 }
                 return Some(Step::Data(bytes));
             }
             Output::End(load) => {
-                self.ended(RequestEnd::Answered);
-                if let Some(member) = &self.member {
-                    member.report(&load);
+                self.record_end(RequestEnd::Answered);
+                if let Some(picked) = &self.picked {
+                    picked.report(&load);
                 }
                 let now = self.shared.clock.now();
-                self.shared.keys.finished(now, self.order.fingerprint);
+                self.shared
+                    .keys
+                    .record_completion(now, self.spec.fingerprint);
                 self.record(Event::AnswerDelivered, "");
-                self.let_go();
+                self.release_server();
                 return Some(Step::End);
             }
             Output::Fail(verdict) => {
-                self.hang_up();
-                self.let_go();
+                self.close_stream();
+                self.release_server();
                 return Some(Step::Failed(verdict));
             }
         }
         None
     }
 
-    async fn choose(&mut self) {
-        self.hang_up();
-        let again = self.machine.attempts() > 0;
-        if again && !self.shared.retries.lock().spend() {
+    async fn choose_server(&mut self) {
+        self.close_stream();
+        let is_retry = self.machine.attempts() > 0;
+        if is_retry && !self.shared.retries.lock().spend() {
             return self.feed(Input::NoServer);
         }
-        let Some(member) = self.pick() else {
+        let Some(picked) = self.pick_server() else {
             return self.feed(Input::NoServer);
         };
-        self.let_go();
-        let agent = member.announce.agent.clone();
-        let event = match again {
+        self.release_server();
+        let agent = picked.announce.agent.clone();
+        let event = match is_retry {
             true => Event::RequestRetried,
             false => Event::RequestRouted,
         };
-        self.record(event, &member.announce.info.server);
+        self.record(event, &picked.announce.info.server);
         self.tried.push(agent.clone());
-        self.peer = Some(Arc::clone(&member.peer));
-        self.member = Some(member);
+        self.peer = Some(Arc::clone(&picked.peer));
+        self.picked = Some(picked);
         let id = self.shared.next_dispatch();
         let target = Target { id, agent };
-        let refused = self.admit(&target).await;
-        self.feed(refused.unwrap_or(Input::Chosen(target)));
+        let obstacle = self.check_suspicion(&target).await;
+        self.feed(obstacle.unwrap_or(Input::Chosen(target)));
     }
 
-    /// An agent that was not tried yet, or any where all were.
-    fn pick(&self) -> Option<Picked> {
-        let wanted = &self.order.wanted;
-        let fresh = choose(&self.shared, wanted, self.order.prefix, &self.tried);
-        fresh
-            .or_else(|_| choose(&self.shared, wanted, self.order.prefix, &[]))
+    /// Picks an agent that was not tried yet, or any agent once all were tried.
+    fn pick_server(&self) -> Option<Picked> {
+        let wanted = &self.spec.wanted;
+        let untried = choose(&self.shared, wanted, self.spec.prefix, &self.tried);
+        untried
+            .or_else(|_| choose(&self.shared, wanted, self.spec.prefix, &[]))
             .ok()
     }
 
-    /// Claims the caller's key for an attempt.
-    async fn claim(&mut self, target: Target, number: u64) {
-        let Some(key) = self.order.key.clone() else {
+    /// Claims the caller's key for an attempt and feeds the result back.
+    async fn claim_key(&mut self, target: Target, number: u64) {
+        let Some(key) = self.spec.key.clone() else {
             return self.feed(Input::Claimed(ClaimResult::Undecided, number));
         };
-        let workspace = self.order.workspace.clone();
+        let workspace = self.spec.workspace.clone();
         let key = ClaimKey::Key { workspace, key };
-        let outcome = self.claim_for(key, number, target).await;
+        let outcome = self.send_claim(key, number, target).await;
         match (&outcome.claimed, &outcome.value) {
             (ClaimResult::Held(_), Some(value)) => {
                 self.record(Event::KeyAttached, &value.target.id);
-                self.let_go();
+                self.release_server();
                 self.peer = Some(Arc::new(Peer::new(value.address)));
             }
             (ClaimResult::Won, _) => self.record(Event::KeyClaimed, outcome.attempt),
@@ -304,7 +312,7 @@
         self.feed(Input::Claimed(outcome.claimed, outcome.attempt));
     }
 
-    async fn claim_for(&self, key: ClaimKey, number: u64, target: Target) -> ClaimOutcome {
+    async fn send_claim(&self, key: ClaimKey, number: u64, target: Target) -> ClaimOutcome {
         let Some(peer) = &self.peer else {
             return ClaimOutcome {
                 claimed: ClaimResult::Undecided,
@@ -315,21 +323,22 @@
         let value = ClaimValue {
             target,
             address: peer.address(),
-            body: self.order.fingerprint,
+            body: self.spec.fingerprint,
         };
         let shared = Arc::clone(&self.shared);
         shared.keys.claim(&shared, key, number, value).await
     }
 
-    /// Whether a request may run, as far as crashes of backend servers are concerned.
+    /// Returns the input that stops a request suspected of crashing backend servers, if it may
+    /// not run now.
     ///
-    /// Failure guarded against: a request that kills whatever runs it, sent to many entries.
-    /// It shows as one server lost after the other. A suspect runs once at a time over the
-    /// whole fleet, under a claim for that crash; after the second crash it runs no more.
-    async fn admit(&mut self, target: &Target) -> Option<Input> {
+    /// Failure guarded against: a request that crashes every server that runs it is sent to many
+    /// entries, and one server is lost after the other. A suspected request runs once at a time
+    /// in the whole fleet, under a claim for that crash. After the second crash it no longer runs.
+    async fn check_suspicion(&mut self, target: &Target) -> Option<Input> {
         let shared = Arc::clone(&self.shared);
-        let fingerprint = self.order.fingerprint;
-        let crash = match shared.keys.standing(shared.clock.now(), fingerprint) {
+        let fingerprint = self.spec.fingerprint;
+        let crash = match shared.keys.suspicion_state(shared.clock.now(), fingerprint) {
             SuspicionState::Clear => return None,
             SuspicionState::Quarantined => {
                 self.record(Event::RequestQuarantined, fingerprint);
@@ -337,7 +346,7 @@
             }
             SuspicionState::Suspect(crash) => crash,
         };
-        // Another claim for one crash follows only on an attempt that did not crash a server.
+        // A second claim for the same crash follows only an attempt that crashed no server.
         let number = match &self.suspect {
             Some((known, number)) if *known == crash => number + 1,
             Some(_) | None => 1,
@@ -347,7 +356,7 @@
             return None;
         }
         let key = ClaimKey::Suspect { fingerprint, crash };
-        let outcome = self.claim_for(key, number, target.clone()).await;
+        let outcome = self.send_claim(key, number, target.clone()).await;
         (outcome.claimed != ClaimResult::Won).then_some(Input::SuspectRuns)
     }
 
@@ -355,15 +364,15 @@
         self.record(Event::RequestDispatched, &target.id);
         let message = Dispatch {
             id: target.id,
-            request: self.order.request.clone(),
+            request: self.spec.request.clone(),
             agent: target.agent,
-            left: self.left(),
-            keep: self.keep(),
-            workspace: self.order.workspace.clone(),
+            left: self.time_left(),
+            keep: self.retention(),
+            workspace: self.spec.workspace.clone(),
             idempotent: self.plan.idempotent,
             keyed: self.plan.keyed,
             suspect: self.suspect.is_some(),
-            call: self.order.call.clone(),
+            call: self.spec.call.clone(),
         };
         let Some(peer) = self.peer.clone() else {
             return self.feed(Input::Lost(link, Loss::Unsent));
@@ -371,7 +380,7 @@
         let opened = peer
             .open(path::DISPATCH, &message, self.plan.max_silence)
             .await;
-        self.opened(link, opened);
+        self.handle_opened(link, opened);
     }
 
     async fn resume(&mut self, link: Link, target: Target, offset: u64) {
@@ -389,13 +398,13 @@
         if opened.is_ok() {
             self.record(Event::StreamResumed, offset);
         }
-        self.opened(link, opened);
+        self.handle_opened(link, opened);
     }
 
-    fn opened(&mut self, link: Link, opened: PeerResult<Stream>) {
+    fn handle_opened(&mut self, link: Link, opened: PeerResult<Stream>) {
         match opened {
             Ok(stream) => self.reader = Some((link, FrameReader::new(stream))),
-            Err(report) => self.feed(Input::Lost(link, loss(report.current_context()))),
+            Err(report) => self.feed(Input::Lost(link, classify_loss(report.current_context()))),
         }
     }
 
@@ -403,7 +412,7 @@
         let message = Settle {
             id: target.id,
             agent: target.agent,
-            keep: self.left(),
+            keep: self.time_left(),
         };
         let Some(peer) = self.peer.clone() else {
             return self.feed(Input::Lost(link, Loss::Unsent));
@@ -416,37 +425,39 @@
                 self.record(Event::AttemptSettled, format_args!("{id} {settled:?}"));
                 self.feed(Input::Settled(link, id, settled));
             }
-            Err(report) => self.feed(Input::Lost(link, loss(report.current_context()))),
+            Err(report) => self.feed(Input::Lost(link, classify_loss(report.current_context()))),
         }
     }
 
-    /// Tells the agent in the background that nobody waits; a word that is lost costs only work.
+    /// Tells the agent in the background that nobody waits for the answer.
+    ///
+    /// If the message is lost, the only cost is unneeded work.
     fn cancel(&self, target: Target) {
         let message = Cancel {
             id: target.id,
             agent: target.agent,
             keep: self.shared.settings.limits.deadline,
         };
-        self.tell(path::CANCEL, message);
+        self.notify_agent(path::CANCEL, message);
     }
 
-    /// Bars an attempt in the background, should it never have arrived.
+    /// Bars an attempt in the background, in case it has not arrived yet.
     fn bar(&self, target: Target) {
         let message = Settle {
             id: target.id,
             agent: target.agent,
             keep: self.shared.settings.limits.deadline,
         };
-        self.tell(path::SETTLE, message);
+        self.notify_agent(path::SETTLE, message);
     }
 
-    fn tell<M: Serialize + Send + Sync + 'static>(&self, path: &'static str, message: M) {
+    fn notify_agent<M: Serialize + Send + Sync + 'static>(&self, path: &'static str, message: M) {
         let Some(peer) = self.peer.clone() else {
             return;
         };
         let timeout = self.plan.max_silence;
         spawn(async move {
-            // An agent that can't be told finds out by itself that nobody reads.
+            // An agent that the message doesn't reach notices by itself that nobody reads.
             let _ = peer
                 .call_fresh::<_, Settlement>(path, &message, timeout)
                 .await;
@@ -455,60 +466,60 @@
     }
 
     fn retire(&mut self, target: &Target) {
-        self.hang_up();
+        self.close_stream();
         self.record(Event::ConnectionRetired, &target.agent);
         if let Some(peer) = &self.peer {
             peer.retire();
         }
     }
 
-    /// Closes the connection under the current stream.
-    fn hang_up(&mut self) {
+    /// Closes the connection of the current stream.
+    fn close_stream(&mut self) {
         if let Some((_, reader)) = self.reader.take() {
             reader.into_inner().abort();
         }
     }
 
-    /// Tells the choice of servers how the present attempt went.
-    fn ended(&mut self, how: RequestEnd) {
-        if let Some(member) = &mut self.member {
-            member.done(how);
+    /// Reports to the chooser how the current attempt ended.
+    fn record_end(&mut self, end: RequestEnd) {
+        if let Some(picked) = &mut self.picked {
+            picked.set_end(end);
         }
     }
 
-    /// No longer counts the request at its agent.
-    fn let_go(&mut self) {
-        self.member = None;
+    /// Stops counting the request as in flight at its agent.
+    fn release_server(&mut self) {
+        self.picked = None;
     }
 
-    /// How long an agent must remember the request: as long as its key's claim stands.
-    fn keep(&self) -> Span {
+    /// Returns how long an agent must remember the request, which is as long as its key's claim is held.
+    fn retention(&self) -> Span {
         match self.plan.keyed {
             true => self.shared.settings.limits.hold,
             false => Span::default(),
         }
     }
 
-    fn left(&self) -> Span {
+    fn time_left(&self) -> Span {
         self.shared.clock.now().until(self.plan.deadline)
     }
 
     fn record(&self, event: Event, detail: impl std::fmt::Display) {
         self.shared
             .journal
-            .record(event, &self.order.request, detail);
+            .record(event, &self.spec.request, detail);
     }
 }
 
-impl Drop for Run {
+impl Drop for RequestDriver {
     fn drop(&mut self) {
         self.abandon();
-        self.let_go();
+        self.release_server();
     }
 }
 
-/// Whether a call surely never reached the other process.
-fn loss(error: &PeerError) -> Loss {
+/// Returns whether a failed call certainly did not reach the other process.
+fn classify_loss(error: &PeerError) -> Loss {
     match error.kind {
         PeerErrorKind::Unreachable => Loss::Unsent,
         PeerErrorKind::Broken
--- a/crates/entry/src/choose.rs
+++ b/crates/entry/src/choose.rs
@@ -1,4 +1,4 @@
-//! Holds the routing state in shards, each under its own lock, and chooses servers out of it.
+//! The routing state, in shards with a lock each, and the choice of a backend server from it.
 
 use std::collections::BTreeMap;
 use std::ops::Deref;
@@ -17,16 +17,19 @@
 use crate::registry::Member;
 use crate::shared::Shared;
 
-/// The number of shards; a model or service belongs to one.
+/// The number of shards; each model or service belongs to one.
 const SHARDS: usize = 8;
 
-/// How often the view is taken over; a member that is missed is looked for at once.
-const SYNC: Span = Span::from_millis(50);
+/// The interval at which the registry's members are copied.
+///
+/// A request that finds no server copies them at once.
+const SYNC_INTERVAL: Span = Span::from_millis(50);
 
-/// The backend servers of one pool and tier that an entry keeps to, where there are twice as many.
-const SUBSET: usize = 24;
-/// How often the progress of an answer is told.
-const TELL: Span = Span::from_millis(100);
+/// The number of backend servers of one pool and tier that an entry restricts itself to, if there
+/// are at least twice as many.
+const SUBSET_SERVERS: usize = 24;
+/// The shortest interval between two progress records of one answer.
+const PROGRESS_INTERVAL: Span = Span::from_millis(100);
 
 /// Chooses a backend server and counts a request as sent to it until the pick is dropped.
 pub fn choose(
@@ -42,17 +45,18 @@
     })
 }
 
-/// Takes the view over again and again.
+/// Copies the registry's members and the entry's subset at a fixed interval.
 pub async fn sync_forever(shared: Arc<Shared>) {
     loop {
         shared.chooser.sync(&shared.registry.members());
-        shared.chooser.sit(seat(&shared));
-        smol::Timer::after(SYNC.as_duration()).await;
+        shared.chooser.set_subset(own_subset(&shared));
+        smol::Timer::after(SYNC_INTERVAL.as_duration()).await;
     }
 }
 
-/// The entry's seat: its place by name among the entries of its zone that membership knows.
-fn seat(shared: &Shared) -> Option<Subset> {
+/// Returns the entry's subset of servers, numbered by its place by name among the known entries of
+/// its zone.
+fn own_subset(shared: &Shared) -> Option<Subset> {
     let zone = &shared.settings.zone;
     let number = shared.gossip.with_node(|_, node| {
         let rows = node.table().rows().values();
@@ -60,7 +64,9 @@
         here.map(|row| &row.card.process.host)
             .position(|host| *host == shared.process.host)
     });
-    number.flatten().map(|number| Subset::new(number, SUBSET))
+    number
+        .flatten()
+        .map(|number| Subset::new(number, SUBSET_SERVERS))
 }
 
 /// The routing state of an entry process.
@@ -73,10 +79,10 @@
 }
 
 impl Chooser {
-    /// An entry at this place that knows no server yet.
-    pub fn new(place: Location, process: &ProcessId, journal: Journal) -> Self {
+    /// Creates the state of an entry at this location that knows no server yet.
+    pub fn new(location: Location, process: &ProcessId, journal: Journal) -> Self {
         let seed = stable_hash(process);
-        let shard = |n| Mutex::new(Router::new(place.clone(), seed.wrapping_add(n)));
+        let shard = |n| Mutex::new(Router::new(location.clone(), seed.wrapping_add(n)));
         Self {
             clock: Clock::new(),
             journal,
@@ -85,36 +91,37 @@
         }
     }
 
-    /// Takes the entry's seat among the entries of its zone, or none for all servers.
-    pub fn sit(&self, seat: Option<Subset>) {
+    /// Sets the subset of servers that the entry uses, or `None` for all servers.
+    pub fn set_subset(&self, subset: Option<Subset>) {
         for shard in &self.shards {
-            shard.lock().set_subset(seat);
+            shard.lock().set_subset(subset);
         }
     }
 
-    /// Takes the view as it is now: what is new, changed or gone.
+    /// Updates the routing state to these members: adds new ones, updates changed ones and removes
+    /// the others.
     pub fn sync(&self, members: &[Arc<Member>]) {
         for member in members {
             self.update(member);
         }
-        // A choice takes a shard's lock first and then this one, so no shard is locked under it.
-        let mut gone = Vec::new();
+        // A choice locks a shard first and then the members, so no shard may be locked here.
+        let mut removed = Vec::new();
         self.members.write().retain(|host, _| {
-            let stays = members.iter().any(|m| m.announce.agent.host == *host);
-            if !stays {
-                gone.push(host.clone());
+            let is_known = members.iter().any(|m| m.announce.agent.host == *host);
+            if !is_known {
+                removed.push(host.clone());
             }
-            stays
+            is_known
         });
-        for host in gone {
+        for host in removed {
             self.remove(&host);
         }
     }
 
-    /// Takes what one agent announced, where it is new.
+    /// Applies what one agent announced, if it changed.
     pub fn update(&self, member: &Arc<Member>) {
         let host = &member.announce.agent.host;
-        let first = {
+        let is_first = {
             let mut known = self.members.write();
             let old = known.insert(host.clone(), Arc::clone(member));
             if old.as_ref().is_some_and(|o| Arc::ptr_eq(o, member)) {
@@ -124,11 +131,11 @@
         };
         let now = self.clock.now();
         let announce = &member.announce;
-        // The first servers that a starting entry learns of were there before it.
-        let fresh = !first && now.as_micros() > Span::from_secs(5).as_micros();
+        // The first servers that a starting entry learns of are older than the entry.
+        let is_new = !is_first && now.as_micros() > Span::from_secs(5).as_micros();
         for shard in self.shards_of(&announce.info) {
             let mut router = self.shards[shard].lock();
-            router.upsert(now, facts(member), fresh);
+            router.upsert(now, server_facts(member), is_new);
             router.record_load(now, host, &announce.load);
         }
     }
@@ -140,6 +147,8 @@
     }
 
     /// Chooses a backend server and counts a request as sent to it.
+    ///
+    /// Unlike the function [`choose`], this doesn't copy the registry's members.
     pub fn choose(
         self: &Arc<Self>,
         wanted: &Wanted,
@@ -152,7 +161,7 @@
         let mut router = self.shards[shard].lock();
         let choice = router.choose(now, &query);
         for notice in router.take_notices() {
-            self.journal_notice(&notice);
+            self.record_notice(&notice);
         }
         let slot = choice?.server;
         let member = {
@@ -169,19 +178,20 @@
             shard,
             slot,
             sent: now,
-            told: AtomicU64::new(now.as_micros()),
-            how: RequestEnd::Neutral,
+            last_progress: AtomicU64::new(now.as_micros()),
+            end: RequestEnd::Neutral,
         })
     }
 
-    /// The slots of all servers that take work for this, and the requests that run or wait there.
+    /// Returns the slots of all servers that accept requests for this, and the requests that run or
+    /// wait there.
     pub fn capacity(&self, wanted: &Wanted) -> Option<(f64, f64)> {
         self.shards[shard_of(wanted)]
             .lock()
             .capacity(self.clock.now(), wanted)
     }
 
-    /// The servers that are ejected.
+    /// Returns the ejected servers, sorted.
     pub fn ejected(&self) -> Vec<ServerId> {
         let now = self.clock.now();
         let mut ejected: Vec<_> = self
@@ -194,22 +204,22 @@
         ejected
     }
 
-    fn journal_notice(&self, notice: &Notice) {
+    fn record_notice(&self, notice: &Notice) {
         match notice {
             Notice::Ejected(server, cause) => {
-                let why = match cause {
+                let detail = match cause {
                     EjectionCause::Failures => "it failed requests in a row",
                     EjectionCause::Stalled => "it has work and shows no progress",
                 };
-                self.journal.record(Event::ServerEjected, server, why);
+                self.journal.record(Event::ServerEjected, server, detail);
             }
             Notice::Returned(server) => {
                 self.journal.record(Event::ServerReturned, server, "");
             }
             Notice::Spilled(near, begun) => {
-                let what = if *begun { "begun" } else { "ended" };
+                let change = if *begun { "begun" } else { "ended" };
                 self.journal
-                    .record(Event::ZoneSpilled, format_args!("{near:?}"), what);
+                    .record(Event::ZoneSpilled, format_args!("{near:?}"), change);
             }
         }
     }
@@ -223,7 +233,7 @@
     }
 }
 
-/// A server that was chosen, and a request that counts as in flight there until this is dropped.
+/// A chosen server, at which a request counts as in flight until this is dropped.
 #[derive(Debug)]
 pub struct Picked {
     chooser: Arc<Chooser>,
@@ -231,38 +241,38 @@
     shard: usize,
     slot: ServerIndex,
     sent: Moment,
-    /// When its progress was last told, in microseconds.
-    told: AtomicU64,
-    how: RequestEnd,
+    /// The time of the last progress record, in microseconds.
+    last_progress: AtomicU64,
+    end: RequestEnd,
 }
 
 impl Picked {
-    /// The member that was chosen.
+    /// Returns the chosen member.
     pub fn member(&self) -> &Arc<Member> {
         &self.member
     }
 
-    /// Notes the first sign of the server's answer.
-    pub fn first(&self) {
+    /// Records the first part of the server's answer.
+    pub fn record_first(&self) {
         let now = self.chooser.clock.now();
         let mut router = self.chooser.shards[self.shard].lock();
         router.record_first(now, self.slot, now.since(self.sent));
     }
 
-    /// Notes that the answer moved on; a heartbeat of the agent is no such sign.
-    pub fn moved(&self) {
+    /// Records that the answer made progress; a heartbeat of the agent is no progress.
+    pub fn record_progress(&self) {
         let now = self.chooser.clock.now();
-        // A lock for each token would cost more than the token.
-        let last = Moment::from_micros(self.told.load(Ordering::Relaxed));
-        if now.since(last) > TELL {
-            self.told.store(now.as_micros(), Ordering::Relaxed);
+        // Locking for each token would cost more than the token.
+        let last = Moment::from_micros(self.last_progress.load(Ordering::Relaxed));
+        if now.since(last) > PROGRESS_INTERVAL {
+            self.last_progress.store(now.as_micros(), Ordering::Relaxed);
             self.chooser.shards[self.shard]
                 .lock()
                 .record_progress(now, self.slot);
         }
     }
 
-    /// Takes the load report that came with the answer.
+    /// Records the load report that came with the answer.
     pub fn report(&self, load: &LoadReport) {
         let now = self.chooser.clock.now();
         let host = &self.member.announce.agent.host;
@@ -271,9 +281,9 @@
             .record_load(now, host, load);
     }
 
-    /// Says how the request ended; unsaid, it says nothing of the server.
-    pub fn done(&mut self, how: RequestEnd) {
-        self.how = how;
+    /// Sets how the request ended; without it, the end doesn't count for or against the server.
+    pub fn set_end(&mut self, end: RequestEnd) {
+        self.end = end;
     }
 }
 
@@ -291,7 +301,7 @@
         let agent = &self.member.announce.agent;
         self.chooser.shards[self.shard]
             .lock()
-            .record_end(now, self.slot, agent, self.how);
+            .record_end(now, self.slot, agent, self.end);
     }
 }
 
@@ -299,7 +309,7 @@
     (wanted.family() % SHARDS as u64) as usize
 }
 
-fn facts(member: &Member) -> ServerFacts {
+fn server_facts(member: &Member) -> ServerFacts {
     let announce = &member.announce;
     ServerFacts {
         agent: announce.agent.clone(),
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -1,4 +1,4 @@
-//! The control role of this host, or the way to a host that has it.
+//! The control role of this host, or the forwarding of patches to a host that has it.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -23,27 +23,28 @@
 /// The result of submitting a patch.
 pub type Result<T> = std::result::Result<T, ControlError>;
 
-/// How long the control hosts may take to come to a verdict; longer than an election.
-const DECISION: Span = Span::from_secs(3);
-/// How long one host may take to answer a patch that is passed on.
-const TIMEOUT: Span = Span::from_secs(4);
-/// How many hosts are tried with one patch.
-const ATTEMPTS: usize = 3;
-/// How many hosts may pass a patch on before it reaches a control host.
-const HOPS: u8 = 3;
-/// How often a control host notes what it knows of its leader.
-const ATTEST: Span = Span::from_millis(250);
-/// How long an operator's host waits for a version that it was told of to be in force here.
-const CATCH_UP: Span = Span::from_secs(1);
+/// How long the control hosts may take to reach a verdict; longer than an election.
+const DECISION_TIMEOUT: Span = Span::from_secs(3);
+/// How long one host may take to answer a forwarded patch.
+const FORWARD_TIMEOUT: Span = Span::from_secs(4);
+/// The most hosts that one patch is forwarded to.
+const MAX_ATTEMPTS: usize = 3;
+/// The most hosts that may forward a patch on its way to a control host.
+const MAX_HOPS: u8 = 3;
+/// The interval at which a control host records the state of its leader.
+const LINK_INTERVAL: Span = Span::from_millis(250);
+/// How long a submission waits for its accepted version to be in force on this host.
+const CATCH_UP_TIMEOUT: Span = Span::from_secs(1);
 
-/// A patch without a verdict.
+/// The reason why a patch has no verdict.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ControlError {
-    /// No majority of the control hosts is in reach; nothing was accepted.
+    /// No majority of the control hosts is reachable; nothing was accepted.
     Minority,
-    /// No control host is in reach; nothing was accepted.
+    /// No control host is reachable; nothing was accepted.
     Unreachable,
-    /// An answer was lost: the patch may be in force. A resend under the same id learns.
+    /// An answer was lost, and the patch may be in force; resending it with the same id gives the
+    /// verdict.
     Unknown,
 }
 
@@ -65,14 +66,14 @@
 #[derive(Debug)]
 pub struct Control {
     voter: Voter,
-    machine: Held,
+    machine: SharedMachine,
 }
 
-/// The state machine, which the voter drives and operators look into.
+/// The state machine, which the voter drives and operators' requests read.
 #[derive(Debug, Clone, Default)]
-struct Held(Arc<Mutex<ConfigMachine>>);
+struct SharedMachine(Arc<Mutex<ConfigMachine>>);
 
-impl StateMachine for Held {
+impl StateMachine for SharedMachine {
     fn apply(&mut self, index: Index, command: &[u8]) -> Vec<u8> {
         self.0.lock().apply(index, command)
     }
@@ -91,14 +92,14 @@
 }
 
 impl Control {
-    /// Begins the role on the host that listens at this address.
+    /// Starts the role on the host that listens at this address.
     pub fn start(
         shared: &Arc<Shared>,
         settings: &ControlSettings,
         address: SocketAddr,
     ) -> std::result::Result<Self, Report<VoterError>> {
         let options = VoterOptions {
-            log: place(settings)?,
+            log: log_storage(settings)?,
             location: Location {
                 host: shared.settings.host.clone(),
                 zone: shared.settings.zone.clone(),
@@ -106,14 +107,14 @@
             },
             voters: settings.voters.clone(),
             timing: Timing::default(),
-            unique_id: fresh_number(shared),
+            unique_id: process_number(shared),
         };
-        let machine = Held::default();
-        let process: Weak<Shared> = Arc::downgrade(shared);
-        let watch = move |machine: &Held| {
+        let machine = SharedMachine::default();
+        let weak_shared: Weak<Shared> = Arc::downgrade(shared);
+        let watch = move |machine: &SharedMachine| {
             let config = Arc::clone(machine.0.lock().config());
-            if let Some(process) = process.upgrade() {
-                process.apply(config);
+            if let Some(shared) = weak_shared.upgrade() {
+                shared.apply(config);
             }
         };
         let journal = shared.journal.clone();
@@ -121,12 +122,12 @@
         Ok(Self { voter, machine })
     }
 
-    /// The voter.
+    /// Returns the voter.
     pub fn voter(&self) -> &Voter {
         &self.voter
     }
 
-    /// Looks into the state machine.
+    /// Reads the state machine under its lock.
     pub fn read<T>(&self, read: impl FnOnce(&ConfigMachine) -> T) -> T {
         read(&self.machine.0.lock())
     }
@@ -137,7 +138,7 @@
 
     async fn submit(&self, submission: Submission) -> PatchAnswer {
         let command = Command::Submit(submission).to_bytes();
-        match self.voter.submit(command, DECISION).await {
+        match self.voter.submit(command, DECISION_TIMEOUT).await {
             Ok(reply) => match Reply::from_bytes(&reply) {
                 Reply::Verdict(verdict) => PatchAnswer::Verdict(verdict),
                 Reply::Unknown => PatchAnswer::Unknown,
@@ -151,10 +152,12 @@
     }
 }
 
-/// Failure guarded against: a control host whose settings lost the line of its data folder. It
-/// would vote, forget at its next restart, and let accepted versions be lost. To forget has to
-/// be asked for, and a voter among others may not.
-fn place(settings: &ControlSettings) -> std::result::Result<LogStorage, Report<VoterError>> {
+/// Returns where the log is kept.
+///
+/// Failure guarded against: a control host whose settings lack the data folder by mistake votes,
+/// forgets its log at the next restart, and accepted versions are lost. A log in memory must be
+/// asked for, and is allowed only for a single voter.
+fn log_storage(settings: &ControlSettings) -> std::result::Result<LogStorage, Report<VoterError>> {
     let alone = settings.voters.len() <= 1;
     match &settings.data {
         Some(folder) => Ok(LogStorage::Folder(folder.clone())),
@@ -163,51 +166,52 @@
     }
 }
 
-/// A number that no other process has: hosts differ by name, starts of a host by incarnation.
-fn fresh_number(shared: &Shared) -> u64 {
+/// Returns a number that no other process has: hosts differ by name, and starts of one host by
+/// incarnation.
+fn process_number(shared: &Shared) -> u64 {
     let hash = snipemast_config::KeyHash::of(&shared.process.to_string());
     hash.prefix()
 }
 
-/// Submits a patch here, or through the hosts that this one follows.
+/// Submits a patch to the voter of this host, or through the hosts that this one follows.
 pub async fn submit(shared: &Shared, submission: &Submission) -> Result<Verdict> {
-    let ask = PatchAsk {
+    let patch_ask = PatchAsk {
         submission: submission.clone(),
-        hops: HOPS,
+        hops: MAX_HOPS,
     };
-    let verdict = match take(shared, ask).await {
+    let verdict = match handle_patch(shared, patch_ask).await {
         PatchAnswer::Verdict(verdict) => verdict,
         PatchAnswer::Minority => return Err(ControlError::Minority),
         PatchAnswer::Unreachable => return Err(ControlError::Unreachable),
         PatchAnswer::Unknown => return Err(ControlError::Unknown),
     };
-    record(shared, submission, &verdict);
+    record_verdict(shared, submission, &verdict);
     if let Verdict::Accepted { version } = verdict {
-        see(shared, version).await;
+        wait_for_version(shared, version).await;
     }
     Ok(verdict)
 }
 
-/// Takes a patch of this or another process.
-pub async fn take(shared: &Shared, ask: PatchAsk) -> PatchAnswer {
+/// Submits or forwards a patch of this or another process.
+pub async fn handle_patch(shared: &Shared, patch_ask: PatchAsk) -> PatchAnswer {
     if let Some(control) = shared.control() {
-        return control.submit(ask.submission).await;
+        return control.submit(patch_ask.submission).await;
     }
-    match ask.hops.checked_sub(1) {
-        Some(hops) => pass_on(shared, PatchAsk { hops, ..ask }).await,
+    match patch_ask.hops.checked_sub(1) {
+        Some(hops) => forward(shared, PatchAsk { hops, ..patch_ask }).await,
         None => PatchAnswer::Unreachable,
     }
 }
 
-/// Tries the hosts that this one follows in turn.
+/// Forwards a patch to the hosts that this one follows, one after the other.
 ///
-/// A patch may be sent twice: by its id the second arrival learns the first verdict. One that
-/// may have arrived anywhere without an answer counts as unknown.
-async fn pass_on(shared: &Shared, ask: PatchAsk) -> PatchAnswer {
+/// A patch may arrive twice; by its id the second arrival gets the first verdict. A patch that may
+/// have arrived at a host without an answer counts as unknown.
+async fn forward(shared: &Shared, patch_ask: PatchAsk) -> PatchAnswer {
     let mut worst = PatchAnswer::Unreachable;
-    for address in shared.settings.seeds.iter().take(ATTEMPTS) {
+    for address in shared.settings.seeds.iter().take(MAX_ATTEMPTS) {
         let peer = Peer::new(*address);
-        match peer.call(path::PATCH, &ask, TIMEOUT).await {
+        match peer.call(path::PATCH, &patch_ask, FORWARD_TIMEOUT).await {
             Ok(PatchAnswer::Verdict(verdict)) => return PatchAnswer::Verdict(verdict),
             Ok(PatchAnswer::Unreachable) => {}
             Ok(PatchAnswer::Minority) if worst == PatchAnswer::Unreachable => {
@@ -224,17 +228,20 @@
     worst
 }
 
-/// Waits until an accepted version is in force here, so that an operator reads what it wrote.
-async fn see(shared: &Shared, version: Version) {
+/// Waits until an accepted version is in force here, so that an operator reads its own writes.
+async fn wait_for_version(shared: &Shared, version: Version) {
     if let Some(control) = shared.control() {
         shared.apply(control.config());
     }
     let before = Version::new(version.get().saturating_sub(1));
-    // A host that lags says so in its status; the verdict stands either way.
-    shared.distributor.wait_after(before, CATCH_UP).await;
+    // A lagging host shows it in its status; the verdict is valid either way.
+    shared
+        .distributor
+        .wait_after(before, CATCH_UP_TIMEOUT)
+        .await;
 }
 
-fn record(shared: &Shared, submission: &Submission, verdict: &Verdict) {
+fn record_verdict(shared: &Shared, submission: &Submission, verdict: &Verdict) {
     let patch = &submission.patch;
     let journal = &shared.journal;
     match verdict {
@@ -246,8 +253,8 @@
     }
 }
 
-/// Notes again and again how fresh the word of the control leader is, on hosts that vote.
-pub async fn attest_forever(shared: Arc<Shared>) {
+/// Records the control leader's last confirmation at a fixed interval, on hosts that vote.
+pub async fn update_link_forever(shared: Arc<Shared>) {
     let Some(control) = shared.control() else {
         return;
     };
@@ -256,14 +263,14 @@
         let (linked, age) = if control.voter().is_leader() {
             (true, Some(Span::default()))
         } else if status.leader.is_some() && !status.ended {
-            // A follower gives its leader up after one election timeout of silence.
+            // A follower drops its leader after one election timeout without a message.
             let timing = Timing::default();
             let longest = timing.election_timeout.as_micros() + timing.election_jitter.as_micros();
             (true, Some(Span::from_micros(longest)))
         } else {
             (false, shared.distributor.age())
         };
-        shared.distributor.note(linked, age, status.fence);
-        smol::Timer::after(ATTEST.as_duration()).await;
+        shared.distributor.set_link(linked, age, status.fence);
+        smol::Timer::after(LINK_INTERVAL.as_duration()).await;
     }
 }
--- a/crates/entry/src/copy.rs
+++ b/crates/entry/src/copy.rs
@@ -1,7 +1,7 @@
-//! The local copy of the configuration, on hosts with a disk.
+//! The copy of the configuration on the local disk.
 //!
-//! A process that starts while every other one is out of reach serves with this copy. The file
-//! holds a line with its format, the version, the length and the CRC-32 of what follows.
+//! A process that starts while all others are unreachable serves with this copy. The file starts
+//! with a line of its format, the version, and the length and CRC-32 of what follows.
 
 use std::fmt;
 use std::fs::{self, File};
@@ -22,12 +22,12 @@
 /// The first word of the file; another format gets another word.
 const FORMAT: &str = "snipemast-config-1";
 
-/// A copy that can't be used.
+/// The reason why a copy can't be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CopyError {
     /// The file can't be read or written.
     Disk(PathBuf),
-    /// The file is not what was written.
+    /// The content of the file is damaged.
     Corrupt(PathBuf),
 }
 
@@ -49,22 +49,22 @@
 }
 
 impl Copy {
-    /// The copy in this folder.
+    /// Creates a handle to the copy in this folder.
     pub fn new(folder: impl Into<PathBuf>) -> Self {
         Self {
             folder: folder.into(),
         }
     }
 
-    /// Where the copy lies.
+    /// Returns the path of the copy.
     pub fn path(&self) -> PathBuf {
         self.folder.join("configuration")
     }
 
-    /// Reads the copy, or nothing where there is none.
+    /// Reads the copy, or returns `None` if there is none.
     ///
-    /// Failure guarded against: a copy that a crash cut short or a disk damaged. It would come
-    /// into force with entries missing. Length and checksum are compared before it is used.
+    /// Failure guarded against: a copy that a crash cut short or a disk damaged is put into force
+    /// with entries missing. The length and the checksum are compared before it is used.
     pub fn read(&self) -> Result<Option<Config>> {
         let path = self.path();
         let bytes = match fs::read(&path) {
@@ -76,7 +76,7 @@
         Ok(Some(config))
     }
 
-    /// Replaces the copy, so that a crash leaves either the old or the new one.
+    /// Replaces the copy atomically, so that a crash leaves either the old or the new one.
     pub fn write(&self, config: &Config) -> Result<()> {
         let path = self.path();
         let disk = || CopyError::Disk(path.clone());
@@ -84,7 +84,7 @@
         fs::create_dir_all(&self.folder).change_context_lazy(disk)?;
         write_synced(&fresh, &to_bytes(config)).change_context_lazy(disk)?;
         fs::rename(&fresh, &path).change_context_lazy(disk)?;
-        // The new name lasts once the folder is synced.
+        // The rename is durable once the folder is synced.
         let folder = File::open(&self.folder).change_context_lazy(disk)?;
         folder.sync_all().change_context_lazy(disk)
     }
@@ -123,23 +123,23 @@
     head.read(&bytes[end + 1..])
 }
 
-/// Writes each later version to the disk; versions that follow fast are written once.
-pub async fn keep_forever(shared: Arc<Shared>, copy: Copy) {
-    let mut kept = shared.config().version;
+/// Writes later versions to the disk; of versions in quick succession only the last is written.
+pub async fn write_copies_forever(shared: Arc<Shared>, copy: Copy) {
+    let mut written = shared.config().version;
     loop {
-        if !shared.distributor.wait_after(kept, RECHECK).await {
+        if !shared.distributor.wait_after(written, VERSION_WAIT).await {
             continue;
         }
         let config = shared.config();
         let writer = copy.clone();
-        kept = config.version;
+        written = config.version;
         if let Err(report) = smol::unblock(move || writer.write(&config)).await {
-            // The process serves on: the copy only matters to its next start.
+            // The process continues, since only its next start needs the copy.
             let error = report.current_context();
-            shared.journal.record(Event::StorageRefused, kept, error);
+            shared.journal.record(Event::StorageRefused, written, error);
         }
     }
 }
 
-/// How often a wait for the next version is begun again.
-const RECHECK: Span = Span::from_secs(30);
+/// The longest wait for the next version before the wait is started again.
+const VERSION_WAIT: Span = Span::from_secs(30);
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -1,4 +1,4 @@
-//! The interface towards operators: HTTP and JSON.
+//! The interface for operators, over HTTP with JSON.
 
 use std::sync::Arc;
 
@@ -24,11 +24,11 @@
 type Result<T> = std::result::Result<T, Problem>;
 
 /// The largest patch, in bytes.
-const MAX_PATCH: u64 = 8 << 20;
-/// When an operator is asked to come back after control was out of reach.
+const MAX_PATCH_BYTES: u64 = 8 << 20;
+/// The retry delay given to an operator when the control hosts are unreachable.
 const RETRY_AFTER: Span = Span::from_secs(2);
-/// The most versions of the history that are shown at once.
-const MAX_LINES: usize = 1_024;
+/// The most versions in one answer about the history.
+const MAX_HISTORY_LINES: usize = 1_024;
 
 /// A request that is suspected of crashing backend servers.
 #[derive(Debug, Serialize)]
@@ -37,37 +37,40 @@
     crashes: usize,
 }
 
-/// Whether there was something to lift.
+/// Whether the request was suspected before it was cleared.
 #[derive(Debug, Serialize)]
 struct Lifted {
     lifted: bool,
 }
 
-/// Serves operators.
+/// Handles operators' requests.
 #[derive(Debug)]
-pub struct Desk {
+pub struct OperatorApi {
     shared: Arc<Shared>,
 }
 
-impl Desk {
-    /// Serves them from this state.
+impl OperatorApi {
+    /// Creates the handler over the shared state.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
 
     async fn serve(&self, conn: &mut Conn) -> Result<Answer> {
         let method = conn.method().as_str();
-        let route = Route::read(method, conn.path(), conn.querystring()).map_err(misdirected)?;
+        let route = Route::read(method, conn.path(), conn.querystring()).map_err(route_problem)?;
         let author = self.authorize(conn, &route)?;
         match route {
             Route::Submit => self.submit(conn, author).await,
             Route::DryRun => self.dry_run(conn).await,
             Route::Config { at: None } => Answer::ok(self.shared.config().as_ref()),
-            Route::Config { at: Some(version) } => {
-                Answer::ok(self.look(|m| m.history().config_at(version))?.as_ref())
+            Route::Config { at: Some(version) } => Answer::ok(
+                self.with_machine(|m| m.history().config_at(version))?
+                    .as_ref(),
+            ),
+            Route::Diff { from, to } => {
+                Answer::ok(&self.with_machine(|m| m.history().diff(from, to))?)
             }
-            Route::Diff { from, to } => Answer::ok(&self.look(|m| m.history().diff(from, to))?),
-            Route::Back { to } => Answer::ok(&self.back(to)?),
+            Route::Back { to } => Answer::ok(&self.revert_patch(to)?),
             Route::History { last } => Answer::ok(&self.history(last)?),
             Route::Status => Answer::ok(&self.status()),
             Route::Suspects => Answer::ok(&self.suspects()),
@@ -91,11 +94,11 @@
         let key = bearer(conn)?;
         let control = self.shared.settings.control.as_ref();
         let first = control.and_then(|c| c.operator.as_ref());
-        authorize(&self.shared.config(), first, &key, route.role()).map_err(denied)
+        authorize(&self.shared.config(), first, &key, route.role()).map_err(denied_problem)
     }
 
     async fn submit(&self, conn: &mut Conn, author: Author) -> Result<Answer> {
-        let patch = match read(conn).await? {
+        let patch = match read_patch(conn).await? {
             Ok(patch) => patch,
             Err(answer) => return Answer::verdict(answer),
         };
@@ -105,12 +108,12 @@
             time: WallTime::now(),
         };
         let verdict = control::submit(&self.shared, &submission).await;
-        Answer::verdict(verdict.map_err(undecided)?.into())
+        Answer::verdict(verdict.map_err(control_problem)?.into())
     }
 
-    /// What a patch would come to against the version in force here.
+    /// Answers with the verdict and the change that a patch would have on the version in force here.
     async fn dry_run(&self, conn: &mut Conn) -> Result<Answer> {
-        let patch = match read(conn).await? {
+        let patch = match read_patch(conn).await? {
             Ok(patch) => patch,
             Err(verdict) => {
                 return Answer::ok(&Dry {
@@ -136,9 +139,9 @@
         Answer::ok(&dry)
     }
 
-    fn back(&self, to: Version) -> Result<Patch> {
+    fn revert_patch(&self, to: Version) -> Result<Patch> {
         let (now, then) =
-            self.look(|m| Ok((Arc::clone(m.config()), m.history().config_at(to)?)))?;
+            self.with_machine(|m| Ok((Arc::clone(m.config()), m.history().config_at(to)?)))?;
         let id = format!("back-to-{to}-from-{}", now.version);
         let id = id
             .parse()
@@ -148,24 +151,27 @@
     }
 
     fn history(&self, last: usize) -> Result<Vec<HistoryLine>> {
-        self.look(|machine| {
+        self.with_machine(|machine| {
             let newest = machine.history().entries().rev();
-            Ok(newest.take(last.min(MAX_LINES)).map(line).collect())
+            Ok(newest
+                .take(last.min(MAX_HISTORY_LINES))
+                .map(history_line)
+                .collect())
         })
     }
 
-    /// Looks into the state machine, which control hosts have.
-    fn look<T>(
+    /// Reads the state machine, which only control hosts have.
+    fn with_machine<T>(
         &self,
-        look: impl FnOnce(&ConfigMachine) -> std::result::Result<T, HistoryError>,
+        read: impl FnOnce(&ConfigMachine) -> std::result::Result<T, HistoryError>,
     ) -> Result<T> {
-        let elsewhere = || {
+        let not_control_host = || {
             let detail = "only control hosts know other versions than the one in force";
             Problem::new(ProblemKind::Unavailable, detail)
         };
-        let looked = self.shared.control().map(|control| control.read(look));
+        let result = self.shared.control().map(|control| control.read(read));
         let unknown = |e| Problem::new(ProblemKind::NotFound, e);
-        looked.ok_or_else(elsewhere)?.map_err(unknown)
+        result.ok_or_else(not_control_host)?.map_err(unknown)
     }
 
     fn status(&self) -> StatusReport {
@@ -195,7 +201,7 @@
 }
 
 #[async_trait]
-impl Handler for Desk {
+impl Handler for OperatorApi {
     async fn run(&self, mut conn: Conn) -> Conn {
         match self.serve(&mut conn).await {
             Ok(Answer { status, body }) => conn
@@ -230,15 +236,15 @@
     }
 }
 
-/// Reads a patch; one with faults comes back as its verdict.
-async fn read(conn: &mut Conn) -> Result<std::result::Result<Patch, VerdictAnswer>> {
-    let body = conn.request_body().await.with_max_len(MAX_PATCH);
-    let malformed = |e| Problem::new(ProblemKind::TooLarge, e);
-    let bytes = body.read_bytes().await.map_err(malformed)?;
+/// Reads a patch, or returns the verdict on a patch with faults.
+async fn read_patch(conn: &mut Conn) -> Result<std::result::Result<Patch, VerdictAnswer>> {
+    let body = conn.request_body().await.with_max_len(MAX_PATCH_BYTES);
+    let too_large = |e| Problem::new(ProblemKind::TooLarge, e);
+    let bytes = body.read_bytes().await.map_err(too_large)?;
     Ok(Patch::parse(&bytes).map_err(VerdictAnswer::from))
 }
 
-fn line(entry: &HistoryEntry) -> HistoryLine {
+fn history_line(entry: &HistoryEntry) -> HistoryLine {
     HistoryLine {
         version: entry.version,
         patch: entry.patch.clone(),
@@ -249,7 +255,7 @@
     }
 }
 
-fn misdirected(error: RouteError) -> Problem {
+fn route_problem(error: RouteError) -> Problem {
     let kind = match error {
         RouteError::NotFound => ProblemKind::NotFound,
         RouteError::Method => ProblemKind::Method,
@@ -258,11 +264,11 @@
     Problem::new(kind, error)
 }
 
-fn denied(denied: Denied) -> Problem {
+fn denied_problem(denied: Denied) -> Problem {
     Problem::new(ProblemKind::Unauthorized, denied)
 }
 
-fn undecided(error: ControlError) -> Problem {
+fn control_problem(error: ControlError) -> Problem {
     let outcome = match error {
         ControlError::Minority | ControlError::Unreachable => Outcome::NotRun,
         ControlError::Unknown => Outcome::Unknown,
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps up with the configuration of the hosts that the settings name.
+//! Fetches the configuration from the hosts that the settings name.
 
 use std::sync::Arc;
 
@@ -8,12 +8,12 @@
 
 use crate::shared::Shared;
 
-/// Follows the seeds, unless this host decides on the configuration itself.
+/// Follows the seeds' configuration, unless this host has the control role.
 pub async fn follow_forever(shared: Arc<Shared>) {
     if shared.settings.control.is_some() {
         return;
     }
-    // Any number that differs between hosts spreads their pauses.
+    // The seed only has to differ between hosts, so that they don't pause in step.
     let seed = shared.process.incarnation.get() ^ u64::from(shared.settings.own.port()) << 32;
     let follower = Follower::new(shared.settings.seeds.len(), shared.config(), seed);
     snipemast_wire::follow_forever(shared.as_ref(), &shared.settings.seeds, follower).await;
@@ -40,6 +40,6 @@
     }
 
     fn note(&self, linked: bool, age: Option<Span>, fence: Fence) {
-        self.distributor.note(linked, age, fence);
+        self.distributor.set_link(linked, age, fence);
     }
 }
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface towards callers.
+//! The HTTP interface for callers.
 
 use std::sync::Arc;
 
@@ -12,27 +12,29 @@
 use snipemast_core::prelude::*;
 use snipemast_wire::{pipe, spawn};
 
-use crate::relay::{begin, Begun};
+use crate::relay::{start_request, StartedAnswer};
 use crate::shared::Shared;
 
-/// Pieces of an answer that wait for a slow caller before no more are read.
-const PIPE_BOUND: usize = 16;
+/// The number of chunks that may wait for a slow caller before reading from the server pauses.
+const MAX_PIPE_CHUNKS: usize = 16;
 
-/// Filler in front of a stream: the HTTP library holds a response's first bytes back until
-/// about this many have come, and the first token would wait with them.
+/// The bytes of padding in front of a stream.
+///
+/// The HTTP library holds back a response's first bytes until about this many have been written,
+/// which would delay the first token.
 const PADDING: usize = 1_024;
 
-/// When a caller comes back whom a leaving host refused: its balancer knows by then.
+/// The retry delay given by a stopping host; its balancer has noticed the stop by then.
 const RETRY_AFTER: Span = Span::from_secs(1);
 
-/// Serves callers.
+/// Handles callers' requests.
 #[derive(Debug)]
-pub struct Front {
+pub struct CallerApi {
     shared: Arc<Shared>,
 }
 
-impl Front {
-    /// Serves callers from this state.
+impl CallerApi {
+    /// Creates the handler over the shared state.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
@@ -40,7 +42,7 @@
     async fn answer(&self, mut conn: Conn) -> Conn {
         let request = self.shared.next_request();
         match self.serve(&mut conn, &request).await {
-            Ok(Reply { begun, stream }) => write(conn, begun, stream).await,
+            Ok(Reply { started, stream }) => write_answer(conn, started, stream).await,
             Err(problem) => {
                 self.shared
                     .journal
@@ -60,12 +62,12 @@
         let workspace = authorize(&config, conn)?;
         let ask = Ask::read(conn, self.shared.settings.limits.body).await?;
         let stream = matches!(ask.target, Target::Model { stream: true, .. });
-        let begun = begin(&self.shared, &config, workspace, ask, request.clone());
-        // A caller that leaves drops the request, and its attempt is cancelled.
-        let left = || Err(Problem::new(ProblemKind::Failed, "the caller left"));
-        let begun = conn.cancel_on_disconnect(begun).await;
-        let begun = begun.unwrap_or_else(left)?;
-        Ok(Reply { begun, stream })
+        let started = start_request(&self.shared, &config, workspace, ask, request.clone());
+        // A caller that disconnects drops the request, and its attempt is cancelled.
+        let caller_left = || Err(Problem::new(ProblemKind::Failed, "the caller left"));
+        let started = conn.cancel_on_disconnect(started).await;
+        let started = started.unwrap_or_else(caller_left)?;
+        Ok(Reply { started, stream })
     }
 
     fn models(&self, conn: Conn) -> Conn {
@@ -97,7 +99,7 @@
 }
 
 #[async_trait]
-impl Handler for Front {
+impl Handler for CallerApi {
     async fn run(&self, conn: Conn) -> Conn {
         match conn.path() {
             "/healthz" => conn.ok("ok\n"),
@@ -109,7 +111,7 @@
 }
 
 struct Reply {
-    begun: Begun,
+    started: StartedAnswer,
     stream: bool,
 }
 
@@ -119,13 +121,13 @@
     config.workspace_of(&hash).cloned().ok_or_else(unknown)
 }
 
-async fn write(conn: Conn, begun: Begun, stream: bool) -> Conn {
-    let Begun {
+async fn write_answer(conn: Conn, started: StartedAnswer, stream: bool) -> Conn {
+    let StartedAnswer {
         status,
         headers,
-        rest,
-    } = begun;
-    let request = rest.request().to_string();
+        body,
+    } = started;
+    let request = body.request().to_string();
     let mut conn = conn
         .with_status(status)
         .with_response_header(REQUEST_HEADER, request);
@@ -133,7 +135,7 @@
         conn = conn.with_response_header(header.name, header.value);
     }
     if !stream {
-        return match rest.whole().await {
+        return match body.read_whole().await {
             Ok(body) => conn
                 .with_response_header(OUTCOME_HEADER, Outcome::Ran.as_str())
                 .with_body(body)
@@ -141,11 +143,11 @@
             Err(problem) => problem.answer(conn),
         };
     }
-    let (writer, reader) = pipe(PIPE_BOUND);
+    let (writer, reader) = pipe(MAX_PIPE_CHUNKS);
     spawn(async move {
         let filler = format!(":{:PADDING$}\n\n", "");
         if writer.send(filler.into_bytes()).await.is_ok() {
-            rest.pass(writer).await;
+            body.stream_to(writer).await;
         }
     })
     .detach();
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The shell around membership: sends what the state machine wants sent, and keeps the registry.
+//! Runs membership's state machine: sends its messages, and updates the registry.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,34 +18,34 @@
 
 use crate::shared::Shared;
 
-/// How often the loads of agents are taken over into the registry.
-const LOADS: Span = Span::from_millis(250);
+/// The interval at which the loads of agents are copied to the registry.
+const LOAD_INTERVAL: Span = Span::from_millis(250);
 
-/// The most connections pools that are kept; beyond it all are dropped and opened as needed.
+/// The most connection pools that are kept; beyond it all are dropped and opened as needed.
 const MAX_PEERS: usize = 1_024;
 
-/// Membership of an entry process.
+/// The membership of an entry process.
 #[derive(Debug)]
 pub struct Gossip {
     clock: Clock,
     node: OnceLock<Mutex<Node>>,
     peers: Mutex<HashMap<SocketAddr, Arc<Peer>>>,
-    woken: (Sender<()>, Receiver<()>),
+    wake_channel: (Sender<()>, Receiver<()>),
 }
 
 impl Gossip {
-    /// Membership that has not begun: the process's address is not bound yet.
+    /// Creates a membership that has not started, since the process's address is not bound yet.
     pub fn new() -> Self {
         Self {
             clock: Clock::new(),
             node: OnceLock::new(),
             peers: Mutex::default(),
-            woken: async_channel::bounded(1),
+            wake_channel: async_channel::bounded(1),
         }
     }
 
-    /// Begins, with the address under which others reach this process.
-    pub fn begin(&self, shared: &Shared, address: SocketAddr) {
+    /// Starts membership with the address at which others reach this process.
+    pub fn start(&self, shared: &Shared, address: SocketAddr) {
         let settings = &shared.settings;
         let card = NodeCard {
             process: shared.process.clone(),
@@ -61,22 +61,22 @@
         let seed = snipemast_routing::hash::stable_hash(&shared.process);
         let seeds = settings.seeds.clone();
         let node = Node::new(self.clock.now(), card, seeds, tuning, seed);
-        // A process begins once; a second word changes nothing.
+        // A process starts membership once; a second call changes nothing.
         let _ = self.node.set(Mutex::new(node));
     }
 
-    /// Looks at the state machine, where membership has begun.
-    pub fn with_node<T>(&self, look: impl FnOnce(Moment, &Node) -> T) -> Option<T> {
+    /// Reads the state machine under its lock, if membership has started.
+    pub fn with_node<T>(&self, read: impl FnOnce(Moment, &Node) -> T) -> Option<T> {
         let node = self.node.get()?;
-        Some(look(self.clock.now(), &node.lock()))
+        Some(read(self.clock.now(), &node.lock()))
     }
 
-    /// Publishes a value that spreads with membership; a later one of the topic replaces it.
+    /// Publishes a value that membership's packets carry; a later value of the topic replaces it.
     pub fn publish(&self, shared: &Arc<Shared>, topic: Topic, value: Vec<u8>, life: Span) {
         self.handle(shared, Input::Publish(topic, value, life));
     }
 
-    /// The values that entries published, by source.
+    /// Returns the values that entries published, by source.
     pub fn values(&self, topic: Topic) -> Vec<(ProcessId, Vec<u8>)> {
         let read = |_, node: &Node| {
             let values = node.piggyback().values(topic);
@@ -85,7 +85,7 @@
         self.with_node(read).unwrap_or_default()
     }
 
-    /// Tells the others that this process is on its way out.
+    /// Tells the others that this process is draining.
     pub fn drain(&self, shared: &Arc<Shared>) {
         self.handle(shared, Input::Drain);
     }
@@ -96,28 +96,28 @@
     }
 
     /// Answers an exchange that another entry began.
-    pub fn exchange(&self, shared: &Arc<Shared>, packet: Packet) -> Option<Packet> {
+    pub fn answer_exchange(&self, shared: &Arc<Shared>, packet: Packet) -> Option<Packet> {
         match self.handle(shared, Input::Asked(Box::new(packet)))? {
-            Answer::Packet(packet) => Some(*packet),
-            Answer::Lease(_) => None,
+            NodeAnswer::Packet(packet) => Some(*packet),
+            NodeAnswer::Lease(_) => None,
         }
     }
 
     /// Answers an agent.
-    pub fn lease(&self, shared: &Arc<Shared>, message: AgentMessage) -> Option<LeaseReply> {
+    pub fn answer_agent(&self, shared: &Arc<Shared>, message: AgentMessage) -> Option<LeaseReply> {
         match self.handle(shared, Input::Agent(message))? {
-            Answer::Lease(reply) => Some(reply),
-            Answer::Packet(_) => None,
+            NodeAnswer::Lease(reply) => Some(reply),
+            NodeAnswer::Packet(_) => None,
         }
     }
 
-    fn handle(&self, shared: &Arc<Shared>, input: Input) -> Option<Answer> {
+    fn handle(&self, shared: &Arc<Shared>, input: Input) -> Option<NodeAnswer> {
         let node = self.node.get()?;
         let now = self.clock.now();
         let mut outputs = {
             let mut node = node.lock();
             let outputs = node.handle(now, input);
-            self.take_views(now, shared, &node, &outputs);
+            self.apply_views(now, shared, &node, &outputs);
             outputs
         };
         let mut answer = None;
@@ -129,8 +129,8 @@
                     packet,
                     timeout,
                 } => self.send(shared, token, to, &packet, timeout),
-                Output::Reply(packet) => answer = Some(Answer::Packet(packet)),
-                Output::Lease(reply) => answer = Some(Answer::Lease(reply)),
+                Output::Reply(packet) => answer = Some(NodeAnswer::Packet(packet)),
+                Output::Lease(reply) => answer = Some(NodeAnswer::Lease(reply)),
                 Output::Event {
                     event,
                     subject,
@@ -139,34 +139,34 @@
                 Output::Changed(_) => {}
             }
         }
-        // A full channel means that the loop will look at its next deadline anyway.
-        let _ = self.woken.0.try_send(());
+        // If the channel is full, the loop already has a wake-up pending.
+        let _ = self.wake_channel.0.try_send(());
         answer
     }
 
-    /// Takes changes of the view over into the registry while the view stands still.
-    fn take_views(&self, now: Moment, shared: &Shared, node: &Node, outputs: &[Output]) {
+    /// Applies changed views to the registry, under the node's lock.
+    fn apply_views(&self, now: Moment, shared: &Shared, node: &Node, outputs: &[Output]) {
         for output in outputs {
             if let Output::Changed(hosts) = output {
                 for host in hosts {
-                    self.take_view(now, shared, node, host);
+                    self.apply_view(now, shared, node, host);
                 }
             }
         }
     }
 
-    fn take_view(&self, now: Moment, shared: &Shared, node: &Node, host: &HostId) {
+    fn apply_view(&self, now: Moment, shared: &Shared, node: &Node, host: &HostId) {
         match node.agent_view(host) {
             Some(view) if view.reach != snipemast_membership::Reach::CutOff => {
                 let load = load_of(now, node, &view);
-                shared.registry.update(announce(view.card, load));
+                shared.registry.update(announcement(view.card, load));
             }
             _ => shared.registry.remove(host),
         }
     }
 
-    /// Takes loads over that are newer than the registry's.
-    fn take_loads(&self, shared: &Shared) {
+    /// Copies loads that are newer than the registry's.
+    fn update_loads(&self, shared: &Shared) {
         let Some(node) = self.node.get() else {
             return;
         };
@@ -174,7 +174,7 @@
         let node = node.lock();
         for view in node.agents().filter(AgentView::is_routable) {
             let load = load_of(now, &node, &view);
-            shared.registry.report(&view.card.agent, load);
+            shared.registry.update_load(&view.card.agent, load);
         }
     }
 
@@ -186,7 +186,7 @@
         packet: &Packet,
         timeout: Span,
     ) {
-        let peer = self.peer(to, shared.journal.ring());
+        let peer = self.peer_at(to, shared.journal.ring());
         let bytes = Packed::new(packet);
         let shared = Arc::clone(shared);
         spawn(async move {
@@ -206,7 +206,7 @@
         .detach();
     }
 
-    fn peer(&self, address: SocketAddr, ring: &Arc<Ring>) -> Arc<Peer> {
+    fn peer_at(&self, address: SocketAddr, ring: &Arc<Ring>) -> Arc<Peer> {
         let mut peers = self.peers.lock();
         if peers.len() >= MAX_PEERS {
             peers.clear();
@@ -217,9 +217,9 @@
         Arc::clone(peer)
     }
 
-    fn wake(&self) -> Span {
+    fn time_to_wake(&self) -> Span {
         let left = self.with_node(|now, node| now.until(node.next_tick()));
-        left.unwrap_or(LOADS).min(LOADS)
+        left.unwrap_or(LOAD_INTERVAL).min(LOAD_INTERVAL)
     }
 }
 
@@ -229,23 +229,23 @@
     }
 }
 
-/// What the state machine answers to a message.
-enum Answer {
+/// The state machine's answer to a message.
+enum NodeAnswer {
     Packet(Box<Packet>),
     Lease(LeaseReply),
 }
 
-/// Runs membership's clock and takes loads over, again and again.
+/// Runs membership's timers and copies loads at a fixed interval.
 pub async fn gossip_forever(shared: Arc<Shared>) {
     let gossip = &shared.gossip;
-    let mut loads = Moment::ZERO;
+    let mut loads_due = Moment::ZERO;
     loop {
         let sleep = async {
-            smol::Timer::after(gossip.wake().as_duration()).await;
+            smol::Timer::after(gossip.time_to_wake().as_duration()).await;
         };
         let woken = async {
-            // The sender lives as long as the process's state, so the channel never closes.
-            let _ = gossip.woken.1.recv().await;
+            // The sender is part of the process's state, so the channel never closes.
+            let _ = gossip.wake_channel.1.recv().await;
         };
         sleep.or(woken).await;
         let due = gossip.with_node(|now, node| now >= node.next_tick());
@@ -253,14 +253,14 @@
             gossip.handle(&shared, Input::Tick);
         }
         let now = gossip.clock.now();
-        if now >= loads {
-            loads = now + LOADS;
-            gossip.take_loads(&shared);
+        if now >= loads_due {
+            loads_due = now + LOAD_INTERVAL;
+            gossip.update_loads(&shared);
         }
     }
 }
 
-/// An agent's load: its own within the zone, its pool's mean from another zone.
+/// Returns an agent's load: its own if it is in this zone, else the mean of its pool.
 fn load_of(now: Moment, node: &Node, view: &AgentView<'_>) -> LoadReport {
     let own = node.loads().load(now, &view.card.agent.host);
     own.or_else(|| pool_mean(now, node, view.card))
@@ -278,7 +278,7 @@
     })
 }
 
-fn announce(card: &AgentCard, load: LoadReport) -> Announce {
+fn announcement(card: &AgentCard, load: LoadReport) -> Announce {
     Announce {
         agent: card.agent.clone(),
         address: card.address,
--- a/crates/entry/src/keys.rs
+++ b/crates/entry/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keys and suspicions of an entry: its own share as a keeper, and its claims at others.
+//! Idempotency keys and suspected requests: this entry's keeper, and its claims at other keepers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,21 +18,21 @@
 
 use crate::shared::Shared;
 
-/// The claims that one keeper holds at most.
-const CLAIMS: usize = 100_000;
-/// How long a keeper gets to answer.
-const PATIENCE: Span = Span::from_millis(500);
-/// How often the table is looked at and missing shards are copied.
-const LOOK: Span = Span::from_millis(200);
-/// How often another entry is asked for suspicions.
-const ASK: u32 = 10;
-/// The pools of connections that are kept.
+/// The most claims that one keeper holds.
+const MAX_CLAIMS: usize = 100_000;
+/// How long another entry may take to answer.
+const ANSWER_TIMEOUT: Span = Span::from_millis(500);
+/// The interval at which the table of keepers is checked and missing shards are copied.
+const CHECK_INTERVAL: Span = Span::from_millis(200);
+/// The number of checks from one fetch of another entry's suspicions to the next.
+const CHECKS_PER_QUERY: u32 = 10;
+/// The most connection pools that are kept; beyond it all are dropped and opened as needed.
 const MAX_PEERS: usize = 1_024;
 
-/// What a claim came to: the verdict, the value that was chosen, and which attempt it is.
+/// The outcome of a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimOutcome {
-    /// The verdict.
+    /// The result.
     pub claimed: ClaimResult,
     /// The value that was chosen.
     pub value: Option<ClaimValue>,
@@ -40,7 +40,7 @@
     pub attempt: u64,
 }
 
-/// An entry's share of the keys.
+/// An entry's keeper of claims and its suspicions.
 #[derive(Debug)]
 pub struct Keys {
     keeper: Mutex<Keeper>,
@@ -49,12 +49,12 @@
 }
 
 impl Keys {
-    /// A share that is empty, in a process whose clock starts now.
+    /// Creates an empty state in a process whose clock starts now.
     ///
-    /// Claims are held for longer than any deadline, so that a key outlives every attempt that
-    /// was made for it.
+    /// `hold` is longer than any deadline, so that a key outlives every attempt that was made for
+    /// it.
     pub fn new(process: &ProcessId, hold: Span) -> Self {
-        let keeper = Keeper::new(process.clone(), Moment::ZERO, hold, CLAIMS);
+        let keeper = Keeper::new(process.clone(), Moment::ZERO, hold, MAX_CLAIMS);
         Self {
             keeper: Mutex::new(keeper),
             suspicions: RwLock::new(Suspicions::new(process.clone(), hold)),
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Answers a claimer or another keeper.
-    pub fn keep(&self, shared: &Shared, ask: KeeperAsk) -> KeeperAnswer {
+    /// Answers an ask from a claimer or another keeper.
+    pub fn answer_ask(&self, shared: &Shared, ask: KeeperAsk) -> KeeperAnswer {
         let config = shared.config();
         let now = shared.clock.now();
         let mut keeper = self.keeper.lock();
@@ -71,7 +71,7 @@
         keeper.handle(now, ask)
     }
 
-    /// Whether this entry has a say in every shard that it keeps.
+    /// Returns whether this entry votes in every shard that it keeps.
     pub fn is_ready(&self, shared: &Shared) -> bool {
         let (config, now) = (shared.config(), shared.clock.now());
         let mut keeper = self.keeper.lock();
@@ -79,13 +79,13 @@
         keeper.is_ready(now)
     }
 
-    /// How many claims this entry holds as a keeper.
-    pub fn claims(&self) -> usize {
+    /// Returns the number of claims that this entry holds as a keeper.
+    pub fn claim_count(&self) -> usize {
         self.keeper.lock().len()
     }
 
-    /// What is known of a request.
-    pub fn standing(&self, now: Moment, fingerprint: Fingerprint) -> SuspicionState {
+    /// Returns whether a request is clear, suspected or quarantined.
+    pub fn suspicion_state(&self, now: Moment, fingerprint: Fingerprint) -> SuspicionState {
         let suspicions = self.suspicions.read();
         if suspicions.is_empty() {
             return SuspicionState::Clear;
@@ -93,45 +93,45 @@
         suspicions.state(now, fingerprint)
     }
 
-    /// Every request under suspicion, with the number of its crashes.
+    /// Returns every suspected request with the number of its crashes.
     pub fn suspects(&self, now: Moment) -> Vec<(Fingerprint, usize)> {
         let list = self.suspicions.read().list(now);
         list.into_iter().map(|(f, c)| (f, c.len())).collect()
     }
 
-    /// Clears a request that finished.
-    pub fn finished(&self, now: Moment, fingerprint: Fingerprint) {
+    /// Clears a request that completed.
+    pub fn record_completion(&self, now: Moment, fingerprint: Fingerprint) {
         if !self.suspicions.read().is_empty() {
             self.suspicions.write().record_completion(now, fingerprint);
         }
     }
 
-    /// Clears a request by an operator's word, and tells the other entries.
+    /// Clears a request at an operator's request, and tells the other entries.
     pub async fn lift(&self, shared: &Shared, fingerprint: Fingerprint) -> bool {
         let lifted = self
             .suspicions
             .write()
             .lift(shared.clock.now(), fingerprint);
         if lifted {
-            self.tell(shared).await;
+            self.broadcast_suspicions(shared).await;
         }
         lifted
     }
 
-    /// Takes note of a crash, and tells the other entries before anything else happens.
+    /// Records a crash, and tells the other entries before it returns.
     ///
-    /// Failure guarded against: a caller that sends a crashing request again to many entries at
-    /// once. It shows as one server lost for each entry. A caller can send again only after it
-    /// was answered, and it is answered after the entries that can be reached know.
-    pub async fn crashed(&self, shared: &Shared, fingerprint: Fingerprint, crash: Crash) {
+    /// Failure guarded against: a caller resends a crashing request to many entries at once, and
+    /// one server is lost for each entry. A caller can resend only after it was answered, and it is
+    /// answered after the reachable entries know of the crash.
+    pub async fn record_crash(&self, shared: &Shared, fingerprint: Fingerprint, crash: Crash) {
         let now = shared.clock.now();
         self.suspicions
             .write()
             .record_crash(now, fingerprint, crash);
-        self.tell(shared).await;
+        self.broadcast_suspicions(shared).await;
     }
 
-    async fn tell(&self, shared: &Shared) {
+    async fn broadcast_suspicions(&self, shared: &Shared) {
         let delta = self
             .suspicions
             .read()
@@ -140,25 +140,25 @@
             known: KnownFacts::default(),
             delta,
         };
-        let tell = |address| {
-            let (peer, message) = (self.peer(address), message.clone());
+        let send = |address| {
+            let (peer, message) = (self.peer_at(address), message.clone());
             spawn(async move {
-                let told = peer
-                    .call::<_, Suspected>(path::SUSPECTED, &message, PATIENCE)
+                let sent = peer
+                    .call::<_, Suspected>(path::SUSPECTED, &message, ANSWER_TIMEOUT)
                     .await;
-                if told.is_err() {
+                if sent.is_err() {
                     peer.retire();
                 }
             })
         };
-        let tasks: Vec<_> = others(shared).into_values().map(tell).collect();
+        let tasks: Vec<_> = other_entries(shared).into_values().map(send).collect();
         for task in tasks {
             task.await;
         }
     }
 
-    /// Takes what another entry suspects, and answers with what it lacks.
-    pub fn take(&self, shared: &Shared, message: Suspected) -> Suspected {
+    /// Merges another entry's suspicions, and returns those that it lacks.
+    pub fn exchange_suspicions(&self, shared: &Shared, message: Suspected) -> Suspected {
         let now = shared.clock.now();
         self.merge(now, message.delta);
         let suspicions = self.suspicions.read();
@@ -168,19 +168,19 @@
         }
     }
 
-    /// What this entry suspects and another lacks, for whatever carries it.
+    /// Returns the suspicions that an entry with these known facts lacks.
     pub fn delta(&self, now: Moment, known: &KnownFacts) -> Vec<SuspicionEntry> {
         self.suspicions.read().delta(now, known)
     }
 
-    /// Takes what other entries suspect.
+    /// Merges the suspicions of other entries.
     pub fn merge(&self, now: Moment, delta: Vec<SuspicionEntry>) {
         if !delta.is_empty() {
             self.suspicions.write().merge(now, delta);
         }
     }
 
-    /// Claims an attempt of a key at its keepers.
+    /// Claims an attempt of a key at the key's keepers.
     pub async fn claim(
         &self,
         shared: &Shared,
@@ -205,10 +205,10 @@
             match step {
                 ClaimStep::Ask(keepers, ask) => {
                     for keeper in keepers {
-                        self.ask(shared, &hosts[keeper], ask.clone(), {
+                        self.ask_keeper(shared, &hosts[keeper], ask.clone(), {
                             let (sender, round) = (sender.clone(), round.clone());
                             move |answer| {
-                                // A claim that is decided waits for no more answers.
+                                // A claim that is decided no longer receives answers.
                                 let _ = sender.try_send((round, keeper, answer));
                             }
                         });
@@ -235,35 +235,35 @@
         }
     }
 
-    /// Asks one keeper in the background; nothing comes back where it does not answer in time.
-    fn ask(
+    /// Asks one keeper in the background; `on_answer` gets `None` if it doesn't answer in time.
+    fn ask_keeper(
         &self,
         shared: &Shared,
         host: &HostId,
         ask: KeeperAsk,
-        done: impl FnOnce(Option<KeeperAnswer>) + Send + 'static,
+        on_answer: impl FnOnce(Option<KeeperAnswer>) + Send + 'static,
     ) {
         if *host == shared.process.host {
-            return done(Some(self.keep(shared, ask)));
+            return on_answer(Some(self.answer_ask(shared, ask)));
         }
-        let address = others(shared).remove(host);
+        let address = other_entries(shared).remove(host);
         let Some(address) = address else {
-            return done(None);
+            return on_answer(None);
         };
-        let peer = self.peer(address);
+        let peer = self.peer_at(address);
         spawn(async move {
             let answer = peer
-                .call::<_, KeeperAnswer>(path::KEEPER, &ask, PATIENCE)
+                .call::<_, KeeperAnswer>(path::KEEPER, &ask, ANSWER_TIMEOUT)
                 .await;
             if answer.is_err() {
                 peer.retire();
             }
-            done(answer.ok());
+            on_answer(answer.ok());
         })
         .detach();
     }
 
-    fn peer(&self, address: SocketAddr) -> Arc<Peer> {
+    fn peer_at(&self, address: SocketAddr) -> Arc<Peer> {
         let mut peers = self.peers.lock();
         if peers.len() >= MAX_PEERS {
             peers.clear();
@@ -277,14 +277,14 @@
     async fn copy_missing(&self, shared: &Shared) {
         let missing = self.keeper.lock().missing_copies();
         for (shard, host) in missing {
-            let Some(address) = others(shared).remove(&host) else {
+            let Some(address) = other_entries(shared).remove(&host) else {
                 continue;
             };
             let to = shared.process.clone();
             let ask = KeeperAsk::Copy { shard, to };
             let answer = self
-                .peer(address)
-                .call_fresh::<_, KeeperAnswer>(path::KEEPER, &ask, PATIENCE)
+                .peer_at(address)
+                .call_fresh::<_, KeeperAnswer>(path::KEEPER, &ask, ANSWER_TIMEOUT)
                 .await;
             if let Ok(KeeperAnswer::Copied { claims }) = answer {
                 let now = shared.clock.now();
@@ -293,20 +293,22 @@
         }
     }
 
-    /// Asks one other entry for what this one lacks: how a restarted entry learns suspicions.
-    async fn ask_suspicions(&self, shared: &Shared, turn: u32) {
-        let others: Vec<_> = others(shared).into_values().collect();
+    /// Fetches the suspicions that this entry lacks from one other entry.
+    ///
+    /// A restarted entry learns the suspicions in this way.
+    async fn fetch_suspicions(&self, shared: &Shared, check: u32) {
+        let others: Vec<_> = other_entries(shared).into_values().collect();
         if others.is_empty() {
             return;
         }
-        let peer = self.peer(others[turn as usize % others.len()]);
+        let peer = self.peer_at(others[check as usize % others.len()]);
         let known = self.suspicions.read().known_facts();
         let message = Suspected {
             known,
             delta: Vec::new(),
         };
         let answer = peer
-            .call::<_, Suspected>(path::SUSPECTED, &message, PATIENCE)
+            .call::<_, Suspected>(path::SUSPECTED, &message, ANSWER_TIMEOUT)
             .await;
         if let Ok(answer) = answer {
             self.merge(shared.clock.now(), answer.delta);
@@ -314,8 +316,8 @@
     }
 }
 
-/// Where the other entries listen, by host.
-fn others(shared: &Shared) -> HashMap<HostId, SocketAddr> {
+/// Returns the addresses of the other entries by host.
+fn other_entries(shared: &Shared) -> HashMap<HostId, SocketAddr> {
     let own = &shared.process.host;
     let read = |_, node: &snipemast_membership::Node| {
         let rows = node.table().rows().iter();
@@ -327,9 +329,10 @@
     shared.gossip.with_node(read).unwrap_or_default()
 }
 
-/// Keeps the share in step with the table, copies what is missing and forgets what has run out.
+/// Applies the table of keepers, copies missing shards and drops what has expired, at a fixed
+/// interval.
 pub async fn keep_keys_forever(shared: Arc<Shared>) {
-    let mut turn = 0u32;
+    let mut check = 0u32;
     loop {
         let config = shared.config();
         let now = shared.clock.now();
@@ -339,11 +342,14 @@
             keeper.expire(now);
         }
         shared.keys.copy_missing(&shared).await;
-        if turn.is_multiple_of(ASK) {
+        if check.is_multiple_of(CHECKS_PER_QUERY) {
             shared.keys.suspicions.write().expire(now);
-            shared.keys.ask_suspicions(&shared, turn / ASK).await;
+            shared
+                .keys
+                .fetch_suspicions(&shared, check / CHECKS_PER_QUERY)
+                .await;
         }
-        turn = turn.wrapping_add(1);
-        smol::Timer::after(LOOK.as_duration()).await;
+        check = check.wrapping_add(1);
+        smol::Timer::after(CHECK_INTERVAL.as_duration()).await;
     }
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,25 +1,25 @@
-//! The entry host process: takes callers' requests and brings back whole answers.
+//! The entry host process, which accepts callers' requests and returns complete answers.
 //!
-//! - [`admit`]: limits, fair shares and early refusal.
-//! - [`process`]: start, drain, stop.
-//! - [`shared`]: what all requests of the process share.
-//! - [`gossip`]: the shell around membership.
-//! - [`registry`]: the agents that requests can go to.
+//! - [`admit`]: admission of requests by limits, fair shares and early refusal.
+//! - [`process`]: the process's life cycle: start, drain and stop.
+//! - [`shared`]: the state that all requests of the process share.
+//! - [`gossip`]: sends and receives membership's messages.
+//! - [`registry`]: the agents that requests can be sent to.
 //! - [`choose`]: the routing state, in shards, and the choice of a server.
-//! - [`front`]: the HTTP interface towards callers.
-//! - [`relay`]: one request's way to a backend server and its answer's way back.
-//! - [`attempt`]: the shell around one request's decisions.
-//! - [`keys`]: keys and suspicions: its own share as a keeper, and its claims at others.
-//! - [`own`]: the interface towards the system's own processes.
-//! - [`control`]: the control role of this host, or the way to a host that has it.
-//! - [`desk`]: the interface towards operators.
-//! - [`metrics`]: reports the metrics, again and again.
-//! - [`timeline`]: collects the events of every process that this one knows.
-//! - [`follow`]: keeps up with the configuration of other hosts.
-//! - [`orders`]: orders of the control leader.
-//! - [`spread`]: passes the configuration on.
-//! - [`copy`]: the local copy of the configuration, on hosts with a disk.
-//! - [`voter`]: the control role: one voter of the replicated log.
+//! - [`front`]: the HTTP interface for callers.
+//! - [`relay`]: passes a request to a backend server and its answer back to the caller.
+//! - [`attempt`]: performs the connections, timers and choices that one request's state machine asks for.
+//! - [`keys`]: idempotency keys and suspected requests: this entry's keeper, and its claims at other keepers.
+//! - [`own`]: the HTTP interface for the system's own processes.
+//! - [`control`]: the control role of this host, or the forwarding of patches to a host that has it.
+//! - [`desk`]: the HTTP interface for operators.
+//! - [`metrics`]: reports the metrics at a fixed interval.
+//! - [`timeline`]: collects and merges the events of every known process.
+//! - [`follow`]: fetches the configuration from the hosts that the settings name.
+//! - [`orders`]: sends the control leader's orders and collects fencing numbers.
+//! - [`spread`]: serves the configuration to the processes that poll for it.
+//! - [`copy`]: the copy of the configuration on the local disk.
+//! - [`voter`]: one voter of the replicated log, which is the control role.
 
 pub mod admit;
 pub mod attempt;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Reports the entry's metrics, again and again.
+//! Reports the entry's metrics at a fixed interval.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 
 use crate::shared::Shared;
 
-/// Reports once an interval.
+/// Reports the metrics once per interval.
 pub async fn report_forever(shared: Arc<Shared>, mut metrics: Metrics) {
     loop {
         smol::Timer::after(INTERVAL.as_duration()).await;
--- a/crates/entry/src/orders.rs
+++ b/crates/entry/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of the control leader, and what control hosts tell of fencing numbers.
+//! Sends the control leader's orders, and collects the control hosts' fencing numbers.
 
 use std::sync::Arc;
 
@@ -13,20 +13,20 @@
 use crate::registry::Member;
 use crate::shared::Shared;
 
-/// How often the leader looks for servers that lack something.
-const ROUND: Span = Span::from_secs(1);
+/// The interval at which the leader checks what servers lack.
+const ROUND_INTERVAL: Span = Span::from_secs(1);
 /// How long an order may take.
-const ORDER: Span = Span::from_secs(120);
-/// How long another host may take to tell its fencing number.
-const TIMEOUT: Span = Span::from_millis(800);
+const ORDER_TIMEOUT: Span = Span::from_secs(120);
+/// How long another host may take to report its fencing number.
+const FENCE_TIMEOUT: Span = Span::from_millis(800);
 
-/// Orders, while this host leads, what servers lack.
-pub async fn order_forever(shared: Arc<Shared>) {
+/// Orders what servers lack, at a fixed interval while this host leads.
+pub async fn send_orders_forever(shared: Arc<Shared>) {
     if shared.control().is_none() {
         return;
     }
     loop {
-        smol::Timer::after(ROUND.as_duration()).await;
+        smol::Timer::after(ROUND_INTERVAL.as_duration()).await;
         let config = shared.config();
         if config.servers.is_empty() {
             continue;
@@ -39,7 +39,7 @@
                 let (shared, config) = (Arc::clone(&shared), Arc::clone(&config));
                 spawn(async move {
                     for action in wishes(&config, &member.announce.info) {
-                        order(&shared, &member, config.version, action).await;
+                        send_order(&shared, &member, config.version, action).await;
                     }
                 })
             })
@@ -50,10 +50,11 @@
     }
 }
 
-/// Sends one order, with the fencing number that holds at this moment.
-async fn order(shared: &Shared, member: &Member, version: Version, action: Action) {
-    // Failure guarded against: a leader that lost its office while it went through the
-    // servers. The number is asked for before each order, and there is none without a lease.
+/// Sends one order, with the fencing number that is valid at this moment.
+async fn send_order(shared: &Shared, member: &Member, version: Version, action: Action) {
+    // Failure guarded against: a leader loses its leadership while it goes through the servers,
+    // and keeps ordering. The number is read before each order, and there is none without a
+    // lease.
     let Some(fence) = shared.control().and_then(|c| c.voter().fence()) else {
         return;
     };
@@ -61,12 +62,12 @@
         id: order_id(member, version, &action),
         agent: member.announce.agent.clone(),
         fence,
-        left: ORDER,
+        left: ORDER_TIMEOUT,
         action,
     };
     let answer = member
         .peer
-        .call::<_, OrderAnswer>(path::ORDER, &order, ORDER)
+        .call::<_, OrderAnswer>(path::ORDER, &order, ORDER_TIMEOUT)
         .await;
     if let Ok(OrderAnswer::Refused(refusal)) = answer {
         shared
@@ -75,7 +76,8 @@
     }
 }
 
-/// The same order in the same version has the same id, whichever leader gives it.
+/// Returns the id of an order, which is the same for the same order in the same version, whichever
+/// leader sends it.
 fn order_id(member: &Member, version: Version, action: &Action) -> OrderId {
     let text = format!("{} {version} {action:?}", member.announce.agent);
     let hash = KeyHash::of(&text).to_string();
@@ -84,9 +86,9 @@
         .expect("digits and letters make a name")
 }
 
-/// What this host and those that it can reach know of fencing numbers.
-pub async fn fences(shared: &Shared, ask: FenceAsk) -> FenceReport {
-    let mut report = own_word(shared);
+/// Returns the fencing numbers of this host and of the hosts that it can reach.
+pub async fn collect_fences(shared: &Shared, ask: FenceAsk) -> FenceReport {
+    let mut report = own_report(shared);
     let Some(hops) = ask.hops.checked_sub(1) else {
         return report;
     };
@@ -106,7 +108,7 @@
             spawn(async move {
                 let peer = Peer::new(address);
                 let ask = FenceAsk { hops };
-                peer.call::<_, FenceReport>(path::FENCES, &ask, TIMEOUT)
+                peer.call::<_, FenceReport>(path::FENCES, &ask, FENCE_TIMEOUT)
                     .await
                     .ok()
             })
@@ -119,12 +121,12 @@
     report
 }
 
-/// This host's own word, where it votes.
+/// Returns this host's own fencing number, if it is a voter.
 ///
-/// Failure guarded against: a host that has no vote counts towards a majority, and the highest
-/// number is missed. A voter's term is told, since no leader of a lower term can be elected or
-/// confirmed with its help any more.
-fn own_word(shared: &Shared) -> FenceReport {
+/// Failure guarded against: a host without a vote counts towards a majority, and the highest number
+/// is missed. A voter reports at least its term, since it no longer helps to elect or confirm a
+/// leader of a lower term.
+fn own_report(shared: &Shared) -> FenceReport {
     let Some(control) = shared.control() else {
         return FenceReport::default();
     };
--- a/crates/entry/src/own.rs
+++ b/crates/entry/src/own.rs
@@ -1,4 +1,4 @@
-//! The interface towards the system's own processes.
+//! The HTTP interface for the system's own processes.
 
 use std::sync::Arc;
 
@@ -17,38 +17,38 @@
 use crate::shared::Shared;
 use crate::{control, orders};
 
-/// Where the messages between control hosts stand.
-const CONTROL: &str = "/own/control/";
+/// The path prefix of the messages between control hosts.
+const CONTROL_PREFIX: &str = "/own/control/";
 
-/// Serves the system's own processes.
+/// Handles messages of the system's own processes.
 #[derive(Debug)]
-pub struct Own {
+pub struct InternalApi {
     shared: Arc<Shared>,
 }
 
-impl Own {
-    /// Serves them from this state.
+impl InternalApi {
+    /// Creates the handler over the shared state.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
 
-    /// An agent speaks about its lease.
+    /// Answers an agent's message about its lease.
     async fn lease(&self, mut conn: Conn) -> Conn {
-        let Some(asked) = unpacked::<AgentMessage>(&mut conn).await else {
+        let Some(asked) = read_packed::<AgentMessage>(&mut conn).await else {
             return malformed(conn);
         };
-        match self.shared.gossip.lease(&self.shared, asked) {
+        match self.shared.gossip.answer_agent(&self.shared, asked) {
             Some(answer) => reply(conn, &Packed::new(&answer)),
             None => conn.with_status(Status::ServiceUnavailable).halt(),
         }
     }
 
-    /// Another entry begins an exchange.
+    /// Answers another entry's exchange.
     async fn exchange(&self, mut conn: Conn) -> Conn {
-        let Some(asked) = unpacked::<Packet>(&mut conn).await else {
+        let Some(asked) = read_packed::<Packet>(&mut conn).await else {
             return malformed(conn);
         };
-        match self.shared.gossip.exchange(&self.shared, asked) {
+        match self.shared.gossip.answer_exchange(&self.shared, asked) {
             Some(answer) => reply(conn, &Packed::new(&answer)),
             None => conn.with_status(Status::ServiceUnavailable).halt(),
         }
@@ -63,7 +63,7 @@
             standing,
             below,
         } = poll;
-        self.shared.distributor.note_asker(standing, below);
+        self.shared.distributor.record_asker(standing, below);
         let answer = self.shared.distributor.answer(ask).await;
         reply(conn, &answer)
     }
@@ -72,14 +72,14 @@
         let Some(ask) = message::<PatchAsk>(&mut conn).await else {
             return malformed(conn);
         };
-        reply(conn, &control::take(&self.shared, ask).await)
+        reply(conn, &control::handle_patch(&self.shared, ask).await)
     }
 
     async fn fences(&self, mut conn: Conn) -> Conn {
         let Some(ask) = message::<FenceAsk>(&mut conn).await else {
             return malformed(conn);
         };
-        reply(conn, &orders::fences(&self.shared, ask).await)
+        reply(conn, &orders::collect_fences(&self.shared, ask).await)
     }
 
     async fn control(&self, conn: Conn) -> Conn {
@@ -90,28 +90,31 @@
     }
 
     async fn page(&self, mut conn: Conn) -> Conn {
-        let Some(ask) = unpacked::<PageRequest>(&mut conn).await else {
+        let Some(ask) = read_packed::<PageRequest>(&mut conn).await else {
             return malformed(conn);
         };
         let page = Page::answer(self.shared.journal.ring(), &ask);
         reply(conn, &Packed::new(&page))
     }
 
-    /// A claimer or another keeper asks about keys.
+    /// Answers an ask from a claimer or another keeper.
     async fn keeper(&self, mut conn: Conn) -> Conn {
         let Some(ask) = message::<KeeperAsk>(&mut conn).await else {
             return malformed(conn);
         };
-        let answer = self.shared.keys.keep(&self.shared, ask);
+        let answer = self.shared.keys.answer_ask(&self.shared, ask);
         reply(conn, &answer)
     }
 
-    /// Another entry tells what it suspects.
+    /// Exchanges suspicions with another entry.
     async fn suspected(&self, mut conn: Conn) -> Conn {
         let Some(suspected) = message::<Suspected>(&mut conn).await else {
             return malformed(conn);
         };
-        let answer = self.shared.keys.take(&self.shared, suspected);
+        let answer = self
+            .shared
+            .keys
+            .exchange_suspicions(&self.shared, suspected);
         reply(conn, &answer)
     }
 
@@ -124,7 +127,7 @@
 }
 
 #[async_trait]
-impl Handler for Own {
+impl Handler for InternalApi {
     async fn run(&self, conn: Conn) -> Conn {
         match conn.path() {
             gossip::path::LEASE => self.lease(conn).await,
@@ -136,13 +139,13 @@
             path::KEEPER => self.keeper(conn).await,
             path::SUSPECTED => self.suspected(conn).await,
             path::EVENTS => self.events(conn).await,
-            path if path.starts_with(CONTROL) => self.control(conn).await,
+            path if path.starts_with(CONTROL_PREFIX) => self.control(conn).await,
             _ => conn.with_status(Status::NotFound).halt(),
         }
     }
 }
 
-/// Reads a message whose fields go by position.
-async fn unpacked<T: serde::de::DeserializeOwned>(conn: &mut Conn) -> Option<T> {
+/// Reads a message whose fields are encoded by position.
+async fn read_packed<T: serde::de::DeserializeOwned>(conn: &mut Conn) -> Option<T> {
     message::<Packed>(conn).await?.unpack().ok()
 }
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -1,4 +1,4 @@
-//! The life of an entry process: start, drain, stop.
+//! The life cycle of an entry process: start, drain and stop.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,33 +13,33 @@
 use snipemast_settings::EntrySettings;
 use snipemast_wire::{listen, spawn, Listening, Stamped};
 
-use crate::admit::{admit_forever, tell_forever};
+use crate::admit::{admit_forever, exchange_demands_forever};
 use crate::choose::sync_forever;
-use crate::control::{attest_forever, Control};
-use crate::copy::{keep_forever, Copy};
-use crate::desk::Desk;
+use crate::control::{update_link_forever, Control};
+use crate::copy::{write_copies_forever, Copy};
+use crate::desk::OperatorApi;
 use crate::follow::follow_forever;
-use crate::front::Front;
+use crate::front::CallerApi;
 use crate::gossip::gossip_forever;
 use crate::keys::keep_keys_forever;
 use crate::metrics::report_forever;
-use crate::orders::order_forever;
-use crate::own::Own;
+use crate::orders::send_orders_forever;
+use crate::own::InternalApi;
 use crate::shared::Shared;
 use crate::timeline::TimelineHandler;
 
-/// How long the last word to the other entries may take.
-const FAREWELL: Span = Span::from_millis(100);
+/// The time that the leave message to the other entries gets.
+const LEAVE_TIMEOUT: Span = Span::from_millis(100);
 
 /// The result of starting an entry.
 pub type Result<T> = std::result::Result<T, Report<EntryError>>;
 
-/// An entry that can't start.
+/// The reason why an entry can't start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryError {
     /// The address can't be bound.
     Bind(SocketAddr),
-    /// The control role can't begin.
+    /// The control role can't start.
     Control,
     /// Metrics can't be sent to the address.
     Metrics(SocketAddr),
@@ -68,7 +68,7 @@
 }
 
 impl Entry {
-    /// Starts an entry: binds its addresses and follows the configuration.
+    /// Starts an entry: binds its addresses and starts its background tasks.
     pub async fn start(
         settings: EntrySettings,
         incarnation: Incarnation,
@@ -78,25 +78,25 @@
         let shared = Arc::new(Shared::new(settings, process, journal));
         let copy = shared.settings.data.as_ref().map(Copy::new);
         if let Some(copy) = &copy {
-            start_from(&shared, copy);
+            load_copy(&shared, copy);
         }
         let settings = &shared.settings;
         let own = bind(
             settings.own,
             Stamped::new(
                 Arc::clone(shared.journal.ring()),
-                Own::new(Arc::clone(&shared)),
+                InternalApi::new(Arc::clone(&shared)),
             ),
         )
         .await?;
         if let Some(control) = &settings.control {
             let control = Control::start(&shared, control, own.address());
-            shared.begin_control(control.change_context(EntryError::Control)?);
+            shared.set_control(control.change_context(EntryError::Control)?);
         }
-        shared.gossip.begin(&shared, own.address());
-        let callers = bind(settings.callers, Front::new(Arc::clone(&shared))).await?;
+        shared.gossip.start(&shared, own.address());
+        let callers = bind(settings.callers, CallerApi::new(Arc::clone(&shared))).await?;
         let operators = match settings.operators {
-            Some(address) => Some(bind(address, operators(&shared)).await?),
+            Some(address) => Some(bind(address, operator_handler(&shared)).await?),
             None => None,
         };
         shared
@@ -105,13 +105,13 @@
         let follow = spawn(follow_forever(Arc::clone(&shared)));
         let gossip = spawn(gossip_forever(Arc::clone(&shared)));
         let sync = spawn(sync_forever(Arc::clone(&shared)));
-        let attest = spawn(attest_forever(Arc::clone(&shared)));
-        let order = spawn(order_forever(Arc::clone(&shared)));
+        let link = spawn(update_link_forever(Arc::clone(&shared)));
+        let orders = spawn(send_orders_forever(Arc::clone(&shared)));
         let keys = spawn(keep_keys_forever(Arc::clone(&shared)));
         let admit = spawn(admit_forever(Arc::clone(&shared)));
-        let tell = spawn(tell_forever(Arc::clone(&shared)));
-        let mut tasks = vec![follow, gossip, sync, attest, order, keys, admit, tell];
-        tasks.extend(copy.map(|copy| spawn(keep_forever(Arc::clone(&shared), copy))));
+        let demands = spawn(exchange_demands_forever(Arc::clone(&shared)));
+        let mut tasks = vec![follow, gossip, sync, link, orders, keys, admit, demands];
+        tasks.extend(copy.map(|copy| spawn(write_copies_forever(Arc::clone(&shared), copy))));
         if let Some(address) = shared.settings.statsd {
             let metrics = Metrics::new(address, &shared.settings.host);
             let metrics = metrics.change_context(EntryError::Metrics(address))?;
@@ -126,34 +126,34 @@
         })
     }
 
-    /// What the process's requests share.
+    /// Returns the state that the process's requests share.
     pub fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Where callers connect.
+    /// Returns the address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Where the system's own processes connect.
+    /// Returns the address for the system's own processes.
     pub fn own(&self) -> SocketAddr {
         self.own.address()
     }
 
-    /// Where operators connect.
+    /// Returns the address for operators, if the settings have one.
     pub fn operators(&self) -> Option<SocketAddr> {
         self.operators.as_ref().map(Listening::address)
     }
 
-    /// Drains, waits until every answer is whole or the bound has passed, and ends.
+    /// Drains, waits until every answer is complete or the shutdown limit has passed, and ends.
     ///
-    /// Failure guarded against: an answer that is cut by a planned restart, or a peer that goes on
-    /// talking to a process that has ended, over a connection that stays open. They show as a
-    /// broken connection at the caller, and as silence at the peer. In this order it can't happen
-    /// within the bound: the platform's balancer is told first, and new requests are still taken
-    /// while it finds out; then nothing new is taken; then the callers' listener ends, which waits
-    /// until the last byte of each answer is written; and only then goes what they came over.
+    /// Failures guarded against: a planned restart cuts an answer, which the caller sees as a
+    /// broken connection; or a peer keeps talking to an ended process over an open connection,
+    /// and gets no answer. The order prevents both within the limit. The readiness check fails
+    /// first, and requests are still accepted until the platform's balancer has noticed. Then new
+    /// requests are refused. Then the callers' listener stops, which waits until the last byte of
+    /// each answer is written. The other listeners and tasks stop last.
     pub async fn stop(self) {
         let Self {
             shared,
@@ -173,10 +173,10 @@
         };
         shared.journal.record(event, &shared.process, "");
         shared.gossip.leave(&shared);
-        smol::Timer::after(FAREWELL.as_duration()).await;
-        own.stop_within(FAREWELL).await;
+        smol::Timer::after(LEAVE_TIMEOUT.as_duration()).await;
+        own.stop_within(LEAVE_TIMEOUT).await;
         if let Some(operators) = operators {
-            operators.stop_within(FAREWELL).await;
+            operators.stop_within(LEAVE_TIMEOUT).await;
         }
         for task in tasks {
             task.cancel().await;
@@ -187,8 +187,10 @@
     }
 }
 
-/// Brings the local copy into force; a damaged one is told of and fetched again.
-fn start_from(shared: &Shared, copy: &Copy) {
+/// Applies the local copy of the configuration.
+///
+/// A damaged copy is recorded as an event, and the configuration is fetched again.
+fn load_copy(shared: &Shared, copy: &Copy) {
     match copy.read() {
         Ok(Some(config)) => shared.apply(Arc::new(config)),
         Ok(None) => {}
@@ -202,10 +204,10 @@
     }
 }
 
-/// What operators reach: the time line first, and the desk for everything else.
-fn operators(shared: &Arc<Shared>) -> impl Handler {
+/// Returns the handler for operators: the timeline first, then everything else.
+fn operator_handler(shared: &Arc<Shared>) -> impl Handler {
     let timeline = TimelineHandler::new(Arc::clone(shared));
-    (timeline, Desk::new(Arc::clone(shared)))
+    (timeline, OperatorApi::new(Arc::clone(shared)))
 }
 
 async fn bind(address: SocketAddr, handler: impl Handler) -> Result<Listening> {
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -1,4 +1,4 @@
-//! The agents that this entry's requests can go to, as membership sees them.
+//! The agents that this entry's requests can be sent to, as membership sees them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,16 +8,16 @@
 use snipemast_core::prelude::*;
 use snipemast_wire::{Announce, Peer};
 
-/// An agent as it described itself last.
+/// An agent with its latest announcement.
 #[derive(Debug)]
 pub struct Member {
-    /// The description and the load.
+    /// The announcement, with the latest load.
     pub announce: Announce,
-    /// The connections to it.
+    /// The connections to the agent.
     pub peer: Arc<Peer>,
 }
 
-/// Every agent that this entry is connected to, draining ones included.
+/// Every agent that this entry can reach, draining ones included.
 #[derive(Debug)]
 pub struct Registry {
     ring: Arc<Ring>,
@@ -25,7 +25,7 @@
 }
 
 impl Registry {
-    /// An empty registry, whose calls are stamped by the clock of this ring.
+    /// Creates an empty registry, whose calls are stamped by the clock of this ring.
     pub fn new(ring: Arc<Ring>) -> Self {
         Self {
             ring,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Takes an agent's description; connections to the same process are kept.
+    /// Updates an agent's announcement; connections to the same process are kept.
     pub fn update(&self, announce: Announce) {
         let mut members = self.members.write();
         let old = members.get(&announce.agent.host);
@@ -48,14 +48,14 @@
         members.insert(host, Arc::new(Member { announce, peer }));
     }
 
-    /// Takes an agent's load, where it is newer than the one that is kept.
-    pub fn report(&self, agent: &ProcessId, load: LoadReport) {
-        let stale = {
+    /// Updates an agent's load, if it is newer than the stored one.
+    pub fn update_load(&self, agent: &ProcessId, load: LoadReport) {
+        let is_old = {
             let members = self.members.read();
             let known = members.get(&agent.host);
-            known.is_none_or(|m| m.announce.agent != *agent || !is_news(&m.announce.load, &load))
+            known.is_none_or(|m| m.announce.agent != *agent || !is_newer(&m.announce.load, &load))
         };
-        if stale {
+        if is_old {
             return;
         }
         let mut members = self.members.write();
@@ -67,19 +67,19 @@
         }
     }
 
-    /// Forgets an agent.
+    /// Removes an agent.
     pub fn remove(&self, host: &HostId) {
         self.members.write().remove(host);
     }
 
-    /// Every agent.
+    /// Returns every agent.
     pub fn members(&self) -> Vec<Arc<Member>> {
         self.members.read().values().cloned().collect()
     }
 }
 
-/// Whether a report says something else, or says the same of a later time.
-fn is_news(old: &LoadReport, new: &LoadReport) -> bool {
+/// Returns whether a report has other values, or the same values at a later time.
+fn is_newer(old: &LoadReport, new: &LoadReport) -> bool {
     let same = LoadReport {
         age: old.age,
         ..*new
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -1,4 +1,4 @@
-//! One request's way to a backend server, and its answer's way back.
+//! Passes one request to a backend server and its answer back to the caller.
 
 use std::sync::Arc;
 
@@ -13,110 +13,110 @@
 use snipemast_wire::{Call, Header, PipeWriter};
 
 use crate::admit::{admit, Admitted, Demand};
-use crate::attempt::{Order, Run, Step};
+use crate::attempt::{RequestDriver, RequestSpec, Step};
 use crate::shared::{InFlight, Shared};
 
-/// The result of one step of a request.
+/// The result of a step, with the problem that the caller gets.
 pub type Result<T> = std::result::Result<T, Problem>;
 
-/// How long a caller that comes back is asked to wait when nothing can take its request.
+/// The retry delay given to a caller whose request no server can take.
 const RETRY_AFTER: Span = Span::from_secs(1);
-/// How often a request is dispatched at most.
-const ATTEMPTS: u32 = 3;
-/// The longest body that is held for a caller that doesn't stream.
-const HELD_BODY: usize = 32 << 20;
-/// How long a caller may take nothing before it counts as gone.
-const STALL: Span = Span::from_secs(30);
-/// The bytes of pieces that go to a caller at once.
-const BATCH: usize = 16 << 10;
+/// The most times that one request is dispatched.
+const MAX_ATTEMPTS: u32 = 3;
+/// The longest body that is buffered for a caller that doesn't stream, in bytes.
+const MAX_BUFFERED_BODY: usize = 32 << 20;
+/// How long a caller may read nothing before it counts as disconnected.
+const STALL_TIMEOUT: Span = Span::from_secs(30);
+/// The number of bytes that are collected for one write to a caller.
+const BATCH_BYTES: usize = 16 << 10;
 
-/// The head of an answer, and the frames of its body that follow.
+/// An answer whose head has arrived.
 #[derive(Debug)]
-pub struct Begun {
+pub struct StartedAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The headers to pass on.
+    /// The headers for the caller.
     pub headers: Vec<Header>,
-    /// The body that is still coming.
-    pub rest: Rest,
+    /// The body, which is still arriving.
+    pub body: AnswerBody,
 }
 
-/// The part of an answer that is still coming.
+/// The body of an answer that is still arriving.
 #[derive(Debug)]
-pub struct Rest {
+pub struct AnswerBody {
     shared: Arc<Shared>,
-    run: Run,
+    driver: RequestDriver,
     admitted: Admitted,
     _running: InFlight,
 }
 
-/// Brings a request to a backend server and returns once its answer has begun.
-pub async fn begin(
+/// Sends a request to a backend server and returns once its answer has started.
+pub async fn start_request(
     shared: &Arc<Shared>,
     config: &Config,
     workspace: WorkspaceId,
     ask: Ask,
     request: RequestId,
-) -> Result<Begun> {
+) -> Result<StartedAnswer> {
     shared
         .journal
         .record(Event::RequestReceived, &request, ask.target.service());
-    let (wanted, idempotent) = wanted(config, &ask)?;
-    let running = shared.enter();
+    let (wanted, idempotent) = resolve_target(config, &ask)?;
+    let running = shared.track_request();
     let demand = Demand::new(&workspace, &wanted, &ask, shared.settings.limits.deadline);
     let admitted = admit(shared, config, demand).await?;
-    let plan = plan(shared, &ask, idempotent);
+    let plan = request_plan(shared, &ask, idempotent);
     let key = ask.key.clone();
     let fingerprint =
         Fingerprint::for_request(&workspace, ask.method.as_str(), &ask.path, &ask.body);
-    let order = Order {
+    let spec = RequestSpec {
         request,
         workspace,
         wanted,
         prefix: admitted.prefix(),
         key,
         fingerprint,
-        call: call(config, ask)?,
+        call: server_call(config, ask)?,
     };
-    let mut run = Run::start(Arc::clone(shared), plan, order);
+    let mut driver = RequestDriver::start(Arc::clone(shared), plan, spec);
     loop {
-        match run.next().await {
+        match driver.next().await {
             Step::Head(status, headers) => {
-                let rest = Rest {
+                let body = AnswerBody {
                     shared: Arc::clone(shared),
-                    run,
+                    driver,
                     admitted,
                     _running: running,
                 };
-                return Ok(Begun {
+                return Ok(StartedAnswer {
                     status,
                     headers,
-                    rest,
+                    body,
                 });
             }
             Step::Failed(verdict) => return Err(problem(verdict)),
-            // The head goes first, so neither comes here.
+            // The head comes first, so neither of these can occur.
             Step::Data(_) | Step::End => {}
         }
     }
 }
 
-fn plan(shared: &Shared, ask: &Ask, idempotent: bool) -> Plan {
+fn request_plan(shared: &Shared, ask: &Ask, idempotent: bool) -> Plan {
     let limits = &shared.settings.limits;
     Plan {
         idempotent,
         stream: matches!(ask.target, Target::Model { stream: true, .. }),
-        // Idempotent requests need no claim: a second run does no harm.
+        // Idempotent requests need no claim, since a second run is harmless.
         keyed: ask.key.is_some() && !idempotent,
         deadline: shared.clock.now() + limits.deadline,
-        max_attempts: ATTEMPTS,
+        max_attempts: MAX_ATTEMPTS,
         max_silence: limits.silence,
-        max_body: HELD_BODY,
+        max_body: MAX_BUFFERED_BODY,
     }
 }
 
-/// What a backend server must offer, and whether the request may run more than once.
-fn wanted(config: &Config, ask: &Ask) -> Result<(Wanted, bool)> {
+/// Returns the offer that a backend server must have, and whether the request is idempotent.
+fn resolve_target(config: &Config, ask: &Ask) -> Result<(Wanted, bool)> {
     let unknown = || {
         Problem::new(
             ProblemKind::NotFound,
@@ -161,11 +161,11 @@
     }
 }
 
-fn call(config: &Config, ask: Ask) -> Result<Call> {
+fn server_call(config: &Config, ask: Ask) -> Result<Call> {
     let body = match (&ask.target, config.services.get(ask.target.service())) {
         (Target::Model { .. }, Some(Service::Model { model, adapter, .. })) => {
             let name = adapter.as_ref().map_or(model.as_str(), AdapterId::as_str);
-            renamed(ask.body, name)?
+            set_model_name(ask.body, name)?
         }
         _ => ask.body,
     };
@@ -182,8 +182,8 @@
     })
 }
 
-/// The body with the name that the engine knows in place of the service's.
-fn renamed(body: Vec<u8>, name: &str) -> Result<Vec<u8>> {
+/// Replaces the service's name in the body with the name that the engine knows.
+fn set_model_name(body: Vec<u8>, name: &str) -> Result<Vec<u8>> {
     let malformed = |e: serde_json::Error| Problem::new(ProblemKind::Malformed, e);
     let mut document: serde_json::Value = serde_json::from_slice(&body).map_err(malformed)?;
     if document["model"] == name {
@@ -193,22 +193,22 @@
     Ok(document.to_string().into_bytes())
 }
 
-impl Rest {
-    /// The request that is answered.
+impl AnswerBody {
+    /// Returns the id of the answered request.
     pub fn request(&self) -> &RequestId {
-        self.run.request()
+        self.driver.request()
     }
 
     /// Reads the whole body.
-    pub async fn whole(mut self) -> Result<Vec<u8>> {
+    pub async fn read_whole(mut self) -> Result<Vec<u8>> {
         let mut body = Vec::new();
         loop {
-            match self.run.next().await {
+            match self.driver.next().await {
                 Step::Head(..) => {}
                 Step::Data(bytes) if body.is_empty() => body = bytes,
                 Step::Data(bytes) => body.extend_from_slice(&bytes),
                 Step::End => {
-                    self.admitted.finish();
+                    self.admitted.mark_completed();
                     return Ok(body);
                 }
                 Step::Failed(verdict) => return Err(problem(verdict)),
@@ -216,10 +216,10 @@
         }
     }
 
-    /// Passes the body on piece by piece; a failure becomes the stream's last event.
-    pub async fn pass(mut self, out: PipeWriter) {
+    /// Streams the body to the caller as it arrives; a failure becomes the stream's last event.
+    pub async fn stream_to(mut self, out: PipeWriter) {
         loop {
-            let step = async { Some(self.run.next().await) };
+            let step = async { Some(self.driver.next().await) };
             let gone = async {
                 out.closed().await;
                 None
@@ -228,21 +228,21 @@
                 Some(Step::Head(..)) => {}
                 Some(Step::Data(bytes)) => {
                     let batch = self.batch(bytes);
-                    if !taken(&out, batch).await {
-                        return self.run.leave();
+                    if !send_batch(&out, batch).await {
+                        return self.driver.abort();
                     }
                 }
-                Some(Step::End) => return self.admitted.finish(),
-                Some(Step::Failed(verdict)) => return self.break_off(verdict, &out).await,
-                None => return self.run.leave(),
+                Some(Step::End) => return self.admitted.mark_completed(),
+                Some(Step::Failed(verdict)) => return self.end_broken(verdict, &out).await,
+                None => return self.driver.abort(),
             }
         }
     }
 
-    /// Adds the pieces that have come already: many tokens go out in one write.
+    /// Adds the bytes that have already arrived, so that many tokens go out in one write.
     fn batch(&mut self, mut bytes: Vec<u8>) -> Vec<u8> {
-        while bytes.len() < BATCH {
-            let Some(more) = self.run.ready() else {
+        while bytes.len() < BATCH_BYTES {
+            let Some(more) = self.driver.next_ready() else {
                 break;
             };
             bytes.extend_from_slice(&more);
@@ -250,35 +250,35 @@
         bytes
     }
 
-    /// Ends the stream in a typed error and no terminator.
+    /// Ends the stream with a typed error event and without a terminator.
     ///
-    /// Failure guarded against: a partial answer that looks whole. It shows as a stream that
-    /// ends in order after half its tokens; the error event and the cut body tell it apart.
-    async fn break_off(&self, verdict: Verdict, out: &PipeWriter) {
+    /// Failure guarded against: a stream that ends regularly after half its tokens looks like a
+    /// complete answer. The error event and the cut body mark it as incomplete.
+    async fn end_broken(&self, verdict: Verdict, out: &PipeWriter) {
         let problem = problem(verdict);
         self.shared
             .journal
-            .record(Event::AnswerFailed, self.run.request(), &problem);
-        // A caller that left needs no reason.
+            .record(Event::AnswerFailed, self.driver.request(), &problem);
+        // A caller that disconnected needs no reason.
         let _ = out.send(problem.to_event().into_bytes()).await;
         out.cut().await;
     }
 }
 
-/// Gives a caller the next bytes; false where it left or has taken nothing for too long.
+/// Sends the next bytes to a caller, and returns whether the caller took them in time.
 ///
-/// Failure guarded against: a caller that is connected and reads no more. It shows as requests
-/// that never end and engines that wait for them; the request is cancelled instead.
-async fn taken(out: &PipeWriter, bytes: Vec<u8>) -> bool {
+/// Failure guarded against: a caller stays connected but no longer reads, so that its request never
+/// ends and its engine waits for it. The request is cancelled instead.
+async fn send_batch(out: &PipeWriter, bytes: Vec<u8>) -> bool {
     let sent = async { out.send(bytes).await.is_ok() };
     let stalled = async {
-        smol::Timer::after(STALL.as_duration()).await;
+        smol::Timer::after(STALL_TIMEOUT.as_duration()).await;
         false
     };
     sent.or(stalled).await
 }
 
-/// A verdict in the form that callers get.
+/// Converts a verdict to the problem that the caller gets.
 pub fn problem(verdict: Verdict) -> Problem {
     let Verdict { reason, outcome } = verdict;
     let kind = match reason {
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests of an entry process share.
+//! The state that all requests of an entry process share.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -21,33 +21,33 @@
 use crate::registry::Registry;
 use crate::spread::Distributor;
 
-/// Retries that may come at once, before the share of traffic bounds them.
+/// The retries that may come at once, before the budget's share of the traffic limits them.
 const RETRY_RESERVE: u64 = 100;
 
 /// The state of an entry process.
 #[derive(Debug)]
 pub struct Shared {
-    /// The settings it started with.
+    /// The settings that the process started with.
     pub settings: EntrySettings,
-    /// The process.
+    /// The id of the process.
     pub process: ProcessId,
-    /// Where its events go.
+    /// The journal for the process's events.
     pub journal: Journal,
-    /// Who is there.
+    /// The membership of entries and agents.
     pub gossip: Gossip,
-    /// The agents that requests can go to.
+    /// The agents that requests can be sent to.
     pub registry: Registry,
-    /// The choice of a backend server.
+    /// The routing state, which chooses backend servers.
     pub chooser: Arc<Chooser>,
-    /// Who is let in.
+    /// The admission of requests.
     pub admission: Arc<Admission>,
-    /// The clock that requests' deadlines are on.
+    /// The clock of the requests' deadlines.
     pub clock: Clock,
-    /// What is left for retries.
+    /// The budget for retries.
     pub retries: Mutex<RetryBudget>,
-    /// Keys and suspicions.
+    /// The idempotency keys and the suspected requests.
     pub keys: Keys,
-    /// What passes the configuration on.
+    /// The configuration as it is served to other processes.
     pub distributor: Distributor,
     config: ArcSwap<Config>,
     control: OnceLock<Control>,
@@ -58,14 +58,14 @@
 }
 
 impl Shared {
-    /// The state of a process that starts now.
+    /// Creates the state of a process that starts now.
     pub fn new(settings: EntrySettings, process: ProcessId, journal: Journal) -> Self {
         let distributor = Distributor::new(Arc::default());
-        let place = Location {
+        let location = Location {
             zone: settings.zone.clone(),
             region: settings.region.clone(),
         };
-        let chooser = Arc::new(Chooser::new(place, &process, journal.clone()));
+        let chooser = Arc::new(Chooser::new(location, &process, journal.clone()));
         let ring = Arc::clone(journal.ring());
         let keys = Keys::new(&process, settings.limits.hold);
         let admission = Admission::new(&process, Arc::clone(&chooser), journal.clone());
@@ -90,21 +90,21 @@
         }
     }
 
-    /// The configuration in force; a request loads it once and keeps to it.
+    /// Returns the configuration in force; a request loads it once and uses it to its end.
     pub fn config(&self) -> Arc<Config> {
         self.config.load_full()
     }
 
-    /// Brings a later configuration into force; an earlier one is passed over.
+    /// Puts a later configuration into force; an earlier one is ignored.
     pub fn apply(&self, config: Arc<Config>) {
         self.advance(config, None);
     }
 
-    /// Brings a later configuration into force, with what leads to it where that is known.
+    /// Puts a later configuration into force, with the delta that leads to it if it is known.
     ///
-    /// Failure guarded against: two tasks bring versions at once and the earlier one wins. It
-    /// shows as a version that goes back. The comparison and the switch are one step, and a
-    /// request that has loaded a version keeps it to its end.
+    /// Failure guarded against: two tasks apply versions at the same time, the earlier one wins and
+    /// the version goes back. The comparison and the switch are one atomic step, and a request that
+    /// has loaded a version uses it to its end.
     pub(crate) fn advance(&self, config: Arc<Config>, delta: Option<Delta>) {
         let version = config.version;
         let previous = self.config.rcu(|current| {
@@ -120,31 +120,31 @@
         self.distributor.advance(&config, delta);
     }
 
-    /// The control role, on hosts that have it.
+    /// Returns the control role, on hosts that have it.
     pub fn control(&self) -> Option<&Control> {
         self.control.get()
     }
 
-    /// Begins the control role.
-    pub(crate) fn begin_control(&self, control: Control) {
+    /// Sets the control role.
+    pub(crate) fn set_control(&self, control: Control) {
         // An entry starts its control role once.
         let _ = self.control.set(control);
     }
 
-    /// Submits a patch and blocks until its verdict, or returns nothing where there is none.
+    /// Submits a patch and blocks until its verdict, or returns `None` if there is no verdict.
     ///
-    /// For tests and demonstrations; operators come over [`crate::desk`].
+    /// This is for tests and demonstrations; operators use [`crate::desk`].
     pub fn submit(&self, patch: &Patch) -> Option<Verdict> {
         let submission = Submission::new(patch.clone());
         smol::block_on(control::submit(self, &submission)).ok()
     }
 
-    /// The id of a new request.
+    /// Returns the id for a new request.
     pub fn next_request(&self) -> RequestId {
         RequestId::new(self.process.clone(), self.next_count())
     }
 
-    /// The id of a new attempt.
+    /// Returns the id for a new attempt.
     pub fn next_dispatch(&self) -> DispatchId {
         DispatchId::new(self.process.clone(), self.next_count())
     }
@@ -153,7 +153,7 @@
         self.counter.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Tells the platform's balancer to send nothing more.
+    /// Starts draining: the readiness check fails from now on, and the other entries are told.
     pub fn drain(self: &Arc<Self>) {
         if !self.draining.swap(true, Ordering::SeqCst) {
             self.journal.record(Event::DrainBegun, &self.process, "");
@@ -161,36 +161,36 @@
         }
     }
 
-    /// Takes no new request from now on.
+    /// Refuses new requests from now on.
     pub fn close(&self) {
         self.closed.store(true, Ordering::SeqCst);
     }
 
-    /// Whether new requests are refused.
+    /// Returns whether new requests are refused.
     pub fn is_closed(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
     }
 
-    /// Whether the process is on its way out.
+    /// Returns whether the process is draining.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
     /// Counts a request as in flight until the guard is dropped.
-    pub fn enter(self: &Arc<Self>) -> InFlight {
+    pub fn track_request(self: &Arc<Self>) -> InFlight {
         self.running.fetch_add(1, Ordering::SeqCst);
         InFlight {
             shared: Arc::clone(self),
         }
     }
 
-    /// How many requests are in flight.
+    /// Returns the number of requests in flight.
     pub fn running(&self) -> u64 {
         self.running.load(Ordering::SeqCst)
     }
 }
 
-/// A request in flight.
+/// Counts one request as in flight until it is dropped.
 #[derive(Debug)]
 pub struct InFlight {
     shared: Arc<Shared>,
--- a/crates/entry/src/spread.rs
+++ b/crates/entry/src/spread.rs
@@ -1,9 +1,9 @@
-//! Passes the configuration on to the processes that ask: deltas, snapshots, long polls.
+//! Serves the configuration to the processes that poll for it, as deltas and snapshots.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use event_listener::{Event as Bell, EventListener};
+use event_listener::{Event as Signal, EventListener};
 use futures_lite::FutureExt;
 use parking_lot::Mutex;
 
@@ -12,25 +12,26 @@
 };
 use snipemast_core::prelude::*;
 
-/// How many deltas are kept for those that are a little behind.
-const DELTAS: usize = 1_024;
-/// How many snapshots are kept, so that a fetch can end while the next version comes.
-const SNAPSHOTS: usize = 2;
-/// The longest that a poll is held back, whatever it asks for.
+/// The most deltas that are kept, for processes that are a little behind.
+const MAX_DELTAS: usize = 1_024;
+/// The most snapshots that are kept; more than one, so that a fetch can finish while the next
+/// version arrives.
+const MAX_SNAPSHOTS: usize = 2;
+/// The longest time that a poll is held, whatever it asks for.
 const MAX_WAIT: Span = Span::from_secs(30);
-/// How long a process that stopped asking is counted.
-const KEEP: Span = Span::from_secs(15);
+/// How long a process that stopped polling is still counted.
+const ASKER_TIMEOUT: Span = Span::from_secs(15);
 
-/// Passes the configuration on.
+/// Serves the configuration to other processes.
 #[derive(Debug)]
 pub struct Distributor {
     clock: Clock,
-    bell: Bell,
-    inner: Mutex<Inner>,
+    changed: Signal,
+    state: Mutex<DistributorState>,
 }
 
 #[derive(Debug)]
-struct Inner {
+struct DistributorState {
     config: Arc<Config>,
     log: DeltaLog,
     snapshots: VecDeque<Snapshot>,
@@ -38,29 +39,29 @@
     link: Link,
 }
 
-/// What the process knows of its own source.
+/// The state of the process's own source of the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Link {
-    /// Whether a source answers, or the process is one.
+    /// Whether a source answers, or the process decides on the configuration itself.
     pub linked: bool,
-    /// When the control leader last confirmed the version in force, and how long before that.
+    /// The time at which the last confirmation by the control leader arrived, and its age then.
     pub confirmed: Option<(Moment, Span)>,
-    /// The highest fencing number that was heard of.
+    /// The highest known fencing number.
     pub fence: Fence,
-    /// How often the source was lost.
+    /// The number of times that the source was lost.
     losses: u64,
-    /// Whether the process is on its way out.
+    /// Whether the process is stopping.
     closed: bool,
 }
 
 impl Distributor {
-    /// Passes on this configuration, before anything was heard of another.
+    /// Creates a distributor that serves this configuration and has no source yet.
     pub fn new(config: Arc<Config>) -> Self {
-        let inner = Inner {
+        let state = DistributorState {
             config,
-            log: DeltaLog::new(DELTAS),
+            log: DeltaLog::new(MAX_DELTAS),
             snapshots: VecDeque::new(),
-            roll: Roll::new(KEEP),
+            roll: Roll::new(ASKER_TIMEOUT),
             link: Link {
                 linked: false,
                 confirmed: None,
@@ -71,44 +72,44 @@
         };
         Self {
             clock: Clock::new(),
-            bell: Bell::new(),
-            inner: Mutex::new(inner),
+            changed: Signal::new(),
+            state: Mutex::new(state),
         }
     }
 
-    /// The clock that ages are counted on.
+    /// Returns the clock that ages are measured with.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// The version that is passed on.
+    /// Returns the version that is served.
     pub fn version(&self) -> Version {
-        self.inner.lock().config.version
+        self.state.lock().config.version
     }
 
-    /// Passes a later version on; an earlier one is passed over, and this returns false.
+    /// Serves a later version from now on, or returns false for an earlier one.
     pub fn advance(&self, config: &Arc<Config>, delta: Option<Delta>) -> bool {
         {
-            let mut inner = self.inner.lock();
-            if config.version <= inner.config.version {
+            let mut state = self.state.lock();
+            if config.version <= state.config.version {
                 return false;
             }
-            let fits = delta.filter(|d| d.from == inner.config.version && d.to == config.version);
-            let delta = fits.unwrap_or_else(|| Delta::between(&inner.config, config));
-            inner.log.push(delta);
-            inner.config = Arc::clone(config);
+            let fits = delta.filter(|d| d.from == state.config.version && d.to == config.version);
+            let delta = fits.unwrap_or_else(|| Delta::between(&state.config, config));
+            state.log.push(delta);
+            state.config = Arc::clone(config);
         }
-        self.bell.notify(usize::MAX);
+        self.changed.notify(usize::MAX);
         true
     }
 
-    /// Notes what the process knows of its own source.
+    /// Sets the state of the process's own source.
     ///
-    /// Whoever waits here is told at once that the source is lost, so that it can ask elsewhere.
-    pub fn note(&self, linked: bool, age: Option<Span>, fence: Fence) {
+    /// If the source is lost, waiting polls are answered at once, so that they can ask elsewhere.
+    pub fn set_link(&self, linked: bool, age: Option<Span>, fence: Fence) {
         let now = self.clock.now();
         let lost = {
-            let link = &mut self.inner.lock().link;
+            let link = &mut self.state.lock().link;
             let lost = link.linked && !linked;
             link.losses += u64::from(lost);
             link.linked = linked;
@@ -117,74 +118,74 @@
             lost
         };
         if lost {
-            self.bell.notify(usize::MAX);
+            self.changed.notify(usize::MAX);
         }
     }
 
-    /// Sends those that ask elsewhere, since the process is on its way out.
+    /// Makes the processes that poll here ask elsewhere, since this process is stopping.
     pub fn close(&self) {
         {
-            let link = &mut self.inner.lock().link;
+            let link = &mut self.state.lock().link;
             link.closed = true;
             link.losses += 1;
         }
-        self.bell.notify(usize::MAX);
+        self.changed.notify(usize::MAX);
     }
 
-    /// What the process knows of its own source.
+    /// Returns the state of the process's own source.
     pub fn link(&self) -> Link {
-        self.inner.lock().link
+        self.state.lock().link
     }
 
-    /// How old the news of the version in force is.
+    /// Returns the age of the last confirmation of the version in force.
     pub fn age(&self) -> Option<Span> {
-        self.inner.lock().link.age(self.clock.now())
+        self.state.lock().link.age(self.clock.now())
     }
 
-    /// Notes who asked.
-    pub fn note_asker(&self, standing: Standing, below: Census) {
+    /// Records a process that polled, and the census of the processes below it.
+    pub fn record_asker(&self, standing: Standing, below: Census) {
         let now = self.clock.now();
-        self.inner.lock().roll.note(now, standing, below);
+        self.state.lock().roll.note(now, standing, below);
     }
 
-    /// Everyone that is known of beside the process itself.
+    /// Returns the census of all known processes without this one.
     pub fn census_below(&self, own: &Standing) -> Census {
-        self.inner.lock().roll.below(self.clock.now(), own.version)
+        self.state.lock().roll.below(self.clock.now(), own.version)
     }
 
-    /// Everyone that is known of, with the process itself.
+    /// Returns the census of all known processes with this one.
     pub fn census(&self, own: &Standing) -> Census {
-        self.inner.lock().roll.census(self.clock.now(), own)
+        self.state.lock().roll.census(self.clock.now(), own)
     }
 
-    /// Waits until a later version is passed on; false where the wait ran out or the source was
+    /// Waits until a later version is served, or returns false if the wait ended or the source was
     /// lost.
     pub async fn wait_after(&self, after: Version, wait: Span) -> bool {
         let losses = self.link().losses;
-        let bound = self.clock.now() + wait.min(MAX_WAIT);
+        let deadline = self.clock.now() + wait.min(MAX_WAIT);
         loop {
-            // Listen first and look then, so that no change slips in between.
-            let listener = self.bell.listen();
+            // The listener is registered before the check, so that no change is missed in between.
+            let listener = self.changed.listen();
             if self.version() > after {
                 return true;
             }
             let now = self.clock.now();
-            if now >= bound || self.link().losses != losses {
+            if now >= deadline || self.link().losses != losses {
                 return false;
             }
-            rung_within(listener, now.until(bound)).await;
+            signalled_within(listener, now.until(deadline)).await;
         }
     }
 
-    /// Answers a question.
+    /// Answers a poll or a request for a piece of a snapshot.
     pub async fn answer(&self, ask: Ask) -> Reply {
         let asked = self.clock.now();
         let news = match ask {
             Ask::Poll { after, wait } => {
                 self.wait_after(after, wait).await;
-                self.inner.lock().since(after)
+                self.state.lock().since(after)
             }
-            Ask::Piece { version, offset } => self.inner.lock().piece(version, offset),
+            Ask::Piece { version, offset } => self.state.lock().piece(version, offset),
         };
         let now = self.clock.now();
         let link = self.link();
@@ -200,13 +201,13 @@
 
 impl Link {
     fn age(&self, now: Moment) -> Option<Span> {
-        let (then, age) = self.confirmed?;
-        let later = now.since(then).as_micros();
-        Some(Span::from_micros(age.as_micros() + later))
+        let (confirmed_at, age) = self.confirmed?;
+        let elapsed = now.since(confirmed_at).as_micros();
+        Some(Span::from_micros(age.as_micros() + elapsed))
     }
 }
 
-impl Inner {
+impl DistributorState {
     fn since(&mut self, after: Version) -> News {
         if self.config.version <= after {
             return News::Unchanged;
@@ -217,12 +218,12 @@
         }
     }
 
-    /// The snapshot of the version in force, made when the first process asks for it.
+    /// Returns the snapshot of the version in force, which is made when the first process needs it.
     fn snapshot(&mut self) -> &Snapshot {
         let version = self.config.version;
         if self.snapshots.back().map(|s| s.head().version) != Some(version) {
             self.snapshots.push_back(Snapshot::new(&self.config));
-            if self.snapshots.len() > SNAPSHOTS {
+            if self.snapshots.len() > MAX_SNAPSHOTS {
                 self.snapshots.pop_front();
             }
         }
@@ -236,9 +237,9 @@
     }
 }
 
-async fn rung_within(listener: EventListener, bound: Span) {
-    let late = async {
-        smol::Timer::after(bound.as_duration()).await;
+async fn signalled_within(listener: EventListener, wait: Span) {
+    let timeout = async {
+        smol::Timer::after(wait.as_duration()).await;
     };
-    listener.or(late).await;
+    listener.or(timeout).await;
 }
--- a/crates/entry/src/timeline.rs
+++ b/crates/entry/src/timeline.rs
@@ -1,4 +1,4 @@
-//! Collects the events of every process that this one knows, for operators.
+//! Collects the events of every known process, for operators.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,19 +19,19 @@
 
 use crate::shared::Shared;
 
-/// The most events that are brought together; a narrower question shows the rest.
+/// The most events in one timeline; a narrower query shows the others.
 const MAX_RECORDS: usize = 50_000;
 /// How long a process may take to send its events.
-const TIMEOUT: Span = Span::from_secs(2);
+const PAGE_TIMEOUT: Span = Span::from_secs(2);
 
-/// Serves the time line to operators, and leaves every other path to whoever comes next.
+/// Serves the timeline to operators, and leaves every other path to the next handler.
 #[derive(Debug)]
 pub struct TimelineHandler {
     shared: Arc<Shared>,
 }
 
 impl TimelineHandler {
-    /// Serves it from this state.
+    /// Creates the handler over the shared state.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
@@ -41,7 +41,7 @@
         let control = self.shared.settings.control.as_ref();
         let first = control.and_then(|c| c.operator.as_ref());
         authorize(&self.shared.config(), first, &key, Role::Read)
-            .map_err(|denied| Problem::new(ProblemKind::Unauthorized, denied))?;
+            .map_err(|error| Problem::new(ProblemKind::Unauthorized, error))?;
         let asked =
             Asked::read(conn.querystring()).map_err(|e| Problem::new(ProblemKind::Malformed, e))?;
         Ok(collect(&self.shared, &asked).await)
@@ -65,7 +65,7 @@
     }
 }
 
-/// Asks every known process for its events, page by page, and merges them by their causes.
+/// Fetches the events of every known process, page by page, and merges them in causal order.
 pub async fn collect(shared: &Shared, asked: &Asked) -> Timeline {
     let since = asked.from(shared.journal.ring().clock().tick());
     let sources = sources(shared);
@@ -80,38 +80,38 @@
         match merge.step() {
             Next::Record(record) => timeline.records.push(*record),
             Next::Need { .. } => {
-                let reached = feed(shared, &mut merge, &sources, asked, since).await;
+                let reached = fetch_needed(shared, &mut merge, &sources, asked, since).await;
                 timeline.reached.extend(reached);
             }
             Next::End => break,
         }
     }
     timeline.more = timeline.records.len() == MAX_RECORDS;
-    // A process that is known by two addresses answers twice.
+    // A process that is known under two addresses answers twice.
     timeline.records.dedup();
     timeline.reached.sort();
     timeline.reached.dedup();
-    timeline.unreachable = merge.missing().map(described).collect();
+    timeline.unreachable = merge.missing().map(describe_missing).collect();
     timeline
 }
 
-/// A process that is unreachable, with what its peers saw of it last.
-fn described(missing: &Missing) -> String {
+/// Describes an unreachable process, with the last that its peers saw of it.
+fn describe_missing(missing: &Missing) -> String {
     match missing.seen.last() {
         Some(seen) => format!("{} (last seen: {seen})", missing.process),
         None => missing.process.clone(),
     }
 }
 
-/// A process whose events are asked for.
+/// A process whose events are fetched.
 struct Source {
     name: String,
-    /// The way to it, or nothing for this process.
+    /// The connections to the process, or `None` for this process.
     peer: Option<Arc<Peer>>,
 }
 
-/// Fetches every page that the merge needs now, all at once.
-async fn feed(
+/// Fetches all pages that the merge needs now in parallel, and returns the processes reached.
+async fn fetch_needed(
     shared: &Shared,
     merge: &mut Merge,
     sources: &[Source],
@@ -119,7 +119,7 @@
     since: Stamp,
 ) -> Vec<ProcessId> {
     let needed: Vec<_> = merge.needed().collect();
-    let mut asking = Vec::new();
+    let mut pending = Vec::new();
     for (place, after) in needed {
         let ask = PageRequest {
             after: after.max(since),
@@ -127,12 +127,12 @@
             about: asked.request.clone(),
         };
         match &sources[place].peer {
-            Some(peer) => asking.push((place, spawn(fetch(Arc::clone(peer), ask)))),
+            Some(peer) => pending.push((place, spawn(fetch_page(Arc::clone(peer), ask)))),
             None => merge.feed(place, Page::answer(shared.journal.ring(), &ask)),
         }
     }
     let mut reached = vec![shared.process.clone()];
-    for (place, task) in asking {
+    for (place, task) in pending {
         match task.await {
             Some(page) => {
                 reached.push(page.process.clone());
@@ -144,15 +144,15 @@
     reached
 }
 
-async fn fetch(peer: Arc<Peer>, ask: PageRequest) -> Option<Page> {
+async fn fetch_page(peer: Arc<Peer>, ask: PageRequest) -> Option<Page> {
     let packed: Packed = peer
-        .call_fresh(gossip::path::PAGE, &Packed::new(&ask), TIMEOUT)
+        .call_fresh(gossip::path::PAGE, &Packed::new(&ask), PAGE_TIMEOUT)
         .await
         .ok()?;
     packed.unpack().ok()
 }
 
-/// This process, the agents that announced themselves, and the entry hosts of settings and gossip.
+/// Returns this process, the known agents, and the entry hosts of settings and membership.
 fn sources(shared: &Shared) -> Vec<Source> {
     let settings = &shared.settings;
     let voters = settings.control.iter().flat_map(|c| &c.voters);
@@ -180,7 +180,7 @@
         known.insert(member.peer.address(), (name, Arc::clone(&member.peer)));
     }
     known.remove(&settings.own);
-    let itself = Source {
+    let own = Source {
         name: shared.process.to_string(),
         peer: None,
     };
@@ -188,7 +188,7 @@
         name,
         peer: Some(peer),
     });
-    std::iter::once(itself)
+    std::iter::once(own)
         .chain(others.filter(|source| source.name != shared.process.to_string()))
         .collect()
 }
--- a/crates/entry/tests/spread.rs
+++ b/crates/entry/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Passing the configuration on: polls that wait, and what wakes them.
+//! The distribution of the configuration: waiting polls and the events that wake them.
 
 use std::sync::Arc;
 
@@ -13,36 +13,36 @@
     wait: Span::from_secs(30),
 };
 
-fn linked() -> Distributor {
-    let spread = Distributor::new(Arc::default());
-    spread.note(true, Some(Span::default()), Fence::new(3));
-    spread
+fn linked_distributor() -> Distributor {
+    let distributor = Distributor::new(Arc::default());
+    distributor.set_link(true, Some(Span::default()), Fence::new(3));
+    distributor
 }
 
 #[test]
 fn patch_wakes_polls() {
     smol::block_on(async {
-        let spread = linked();
+        let distributor = linked_distributor();
         let next = Arc::new(Config {
             version: Version::new(1),
             ..Config::default()
         });
-        let bring = async { spread.advance(&next, None) };
-        let (reply, brought) = zip(spread.answer(POLL), bring).await;
-        assert!(brought);
+        let advance = async { distributor.advance(&next, None) };
+        let (reply, advanced) = zip(distributor.answer(POLL), advance).await;
+        assert!(advanced);
         assert!(matches!(reply.news, News::Delta(delta) if delta.to == Version::new(1)));
         assert_eq!((reply.linked, reply.fence), (true, Fence::new(3)));
     });
 }
 
 #[test]
-fn lost_source_told() {
-    // A relay loses its own source while half its zone waits at it. Whoever waits would hear
-    // of nothing until its poll runs out; it is told at once and asks elsewhere.
+fn lost_source_reported() {
+    // Guards against polls that hang: a relay loses its own source while half its zone polls it.
+    // The polls must be answered at once, so that they ask elsewhere.
     smol::block_on(async {
-        let spread = linked();
-        let lose = async { spread.note(false, None, Fence::default()) };
-        let (reply, ()) = zip(spread.answer(POLL), lose).await;
+        let distributor = linked_distributor();
+        let lose = async { distributor.set_link(false, None, Fence::default()) };
+        let (reply, ()) = zip(distributor.answer(POLL), lose).await;
         assert_eq!(reply.news, News::Unchanged);
         assert!(!reply.linked);
         assert!(reply.held < Span::from_secs(30));
@@ -50,16 +50,16 @@
 }
 
 #[test]
-fn leaving_told() {
-    // A relay is stopped gracefully. Those that wait at it go elsewhere at once, and its own
-    // source, which still answers, does not make it look well again.
+fn stopping_relay_reported() {
+    // A relay is stopped gracefully. Its waiting polls must go elsewhere at once, and its own
+    // source, which still answers, must not make it look linked again.
     smol::block_on(async {
-        let spread = linked();
-        let close = async { spread.close() };
-        let (reply, ()) = zip(spread.answer(POLL), close).await;
+        let distributor = linked_distributor();
+        let close = async { distributor.close() };
+        let (reply, ()) = zip(distributor.answer(POLL), close).await;
         assert!(!reply.linked);
         assert!(reply.held < Span::from_secs(30));
-        spread.note(true, Some(Span::default()), Fence::default());
+        distributor.set_link(true, Some(Span::default()), Fence::default());
         assert!(
             !spread
                 .answer(Ask::Piece {
@@ -73,16 +73,17 @@
 }
 
 #[test]
-fn never_back() {
-    // A later version is in force, and an earlier one arrives by another task.
-    let spread = linked();
+fn older_version_ignored() {
+    // Guards against a version that goes back: an earlier version arrives after a later one, from
+    // another task.
+    let distributor = linked_distributor();
     let config = |version| {
         Arc::new(Config {
             version: Version::new(version),
             ..Config::default()
         })
     };
-    assert!(spread.advance(&config(2), None));
-    assert!(!spread.advance(&config(1), None));
-    assert_eq!(spread.version(), Version::new(2));
+    assert!(distributor.advance(&config(2), None));
+    assert!(!distributor.advance(&config(1), None));
+    assert_eq!(distributor.version(), Version::new(2));
 }
