--- a/crates/entry/src/voter.rs
+++ b/crates/entry/src/voter.rs
@@ -1,10 +1,10 @@
-//! The control role of an entry host: the shell around one voter of the replicated log.
+//! The control role of an entry host: runs one voter of the replicated log.
 //!
-//! - [`Voter`]: the handle: submit a command, change the voters, ask for the status.
+//! - [`Voter`]: the handle, which submits commands, changes the voters and returns the status.
 //! - `engine`: the thread that owns the [`Node`](snipemast_control::Node) and its clock.
 //! - `disk`: the thread that writes and syncs.
 //! - `links`: messages to and from other voters over HTTP.
-//! - `form`: how the first voters become a cluster, once.
+//! - `form`: the forming of a cluster by its first voters.
 
 mod disk;
 mod engine;
@@ -42,12 +42,12 @@
 /// The result of starting the control role.
 pub type Result<T> = std::result::Result<T, Report<VoterError>>;
 
-/// How many inputs may wait for the voter's thread.
-const INPUTS: usize = 4_096;
-/// The pause before a command is tried again while no leader is known.
-const PAUSE: Span = Span::from_millis(50);
+/// The most inputs that may wait for the voter's thread.
+const MAX_INPUTS: usize = 4_096;
+/// The pause before a command is retried while no leader is known.
+const RETRY_PAUSE: Span = Span::from_millis(50);
 
-/// A control role that can't start.
+/// The reason why the control role can't start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum VoterError {
     /// The data folder can't be used.
@@ -67,18 +67,18 @@
 
 impl std::error::Error for VoterError {}
 
-/// Why a command has no verdict.
+/// The reason why a command has no verdict.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SubmitError {
     /// No leader is known here; nothing was accepted.
     NoLeader,
-    /// No majority of the voters is in reach; nothing was accepted.
+    /// No majority of the voters is reachable; nothing was accepted.
     NoQuorum,
     /// Too many commands wait; nothing was accepted.
     Busy,
-    /// The voters can't be changed so.
+    /// The change of the voters is not possible.
     Change(ChangeError),
-    /// It may or may not be accepted: a resend under the same id learns the verdict.
+    /// The command may or may not be accepted; resending it with the same id gives the verdict.
     Unknown,
     /// The control role has ended on this host.
     Ended,
@@ -104,22 +104,23 @@
 pub enum LogStorage {
     /// In a folder on a disk.
     Folder(PathBuf),
-    /// Nowhere: a single voter that forgets, for tests and demonstrations.
+    /// In memory, for a single voter that forgets its log, in tests and demonstrations.
     Memory,
 }
 
-/// What a voter is started with.
+/// The options that a voter is started with.
 #[derive(Debug, Clone)]
 pub struct VoterOptions {
     /// Where the log is kept.
     pub log: LogStorage,
-    /// Where this host is.
+    /// The name, zone and address of this host.
     pub location: Location,
-    /// The `own` addresses of every voter at the first start; none means this one alone.
+    /// The `own` addresses of all voters at the first start; empty if this one is the only voter.
     pub voters: Vec<SocketAddr>,
-    /// Timeouts and bounds.
+    /// Timeouts and limits.
     pub timing: Timing,
-    /// A number that no other process has: the id of a new data folder, and the seed of chance.
+    /// A number that no other process has: the voter id of a new data folder, and the seed of random
+    /// choices.
     pub unique_id: u64,
 }
 
@@ -127,7 +128,7 @@
 pub struct Voter {
     shared: Arc<VoterShared>,
     links: Arc<Links>,
-    form: Mutex<Option<Task<()>>>,
+    forming: Mutex<Option<Task<()>>>,
 }
 
 impl fmt::Debug for Voter {
@@ -138,21 +139,21 @@
     }
 }
 
-/// What the handle, the threads and the wire share.
+/// The state that the handle, the threads and the HTTP handlers share.
 pub(crate) struct VoterShared {
     inputs: SyncSender<Request>,
     waiting: Mutex<BTreeMap<Ticket, async_channel::Sender<Submitted>>>,
     status: Mutex<VoterStatus>,
-    known: Mutex<ControlHost>,
-    /// The fencing number that orders may carry, and until when.
-    office: Mutex<Option<(Fence, Moment)>>,
+    control_host: Mutex<ControlHost>,
+    /// The fencing number that orders may carry, and the end of its lease.
+    fence_lease: Mutex<Option<(Fence, Moment)>>,
     tickets: AtomicU64,
     clock: Clock,
     journal: Journal,
 }
 
 impl Voter {
-    /// Opens the log and starts the role; `watch` sees the state machine after each change.
+    /// Opens the log and starts the role; `watch` is called with the state machine after each change.
     pub fn start<M: StateMachine + Send + 'static>(
         options: VoterOptions,
         machine: M,
@@ -161,89 +162,91 @@
     ) -> Result<Self> {
         match options.log.clone() {
             LogStorage::Memory => {
-                let start = form::Start::in_memory(&options);
+                let start = form::StartState::in_memory(&options);
                 Self::run(options, start, MemoryStorage, machine, journal, watch)
             }
             LogStorage::Folder(folder) => {
                 let opened =
                     DiskStorage::open(&folder, &options.location, VoterId(options.unique_id));
-                let refused = || VoterError::Storage(folder.clone());
+                let storage_error = || VoterError::Storage(folder.clone());
                 let (storage, opened) = opened
                     .inspect_err(|e| journal.record(Event::StorageRefused, folder.display(), e))
-                    .change_context_lazy(refused)?;
-                let start = form::Start::on_disk(storage.identity(), opened);
+                    .change_context_lazy(storage_error)?;
+                let start = form::StartState::on_disk(storage.identity(), opened);
                 Self::run(options, start, storage, machine, journal, watch)
             }
         }
     }
 
-    fn run<M: StateMachine + Send + 'static, S: form::Joins>(
+    fn run<M: StateMachine + Send + 'static, S: form::JoinCluster>(
         options: VoterOptions,
-        start: form::Start,
+        start: form::StartState,
         storage: S,
         machine: M,
         journal: Journal,
         watch: impl FnMut(&M) + Send + 'static,
     ) -> Result<Self> {
-        let (inputs, requests) = sync_channel(INPUTS);
+        let (inputs, requests) = sync_channel(MAX_INPUTS);
         let shared = Arc::new(VoterShared::new(inputs, &start, &options.location, journal));
         let links = Arc::new(Links::new(start.voter, Arc::clone(&shared)));
         let engine = Engine::new(Arc::clone(&shared), Arc::clone(&links), requests, watch);
-        let form = form::begin(options, start, storage, machine, engine)?;
+        let forming = form::start_voter(options, start, storage, machine, engine)?;
         Ok(Self {
             shared,
             links,
-            form: Mutex::new(form),
+            forming: Mutex::new(forming),
         })
     }
 
-    /// Submits a command to the leader, wherever it is, and waits for its verdict.
+    /// Submits a command to the leader, on whichever host it is, and waits for the verdict.
     ///
-    /// While a leader is being elected the command waits; where no majority is in reach it is
+    /// While a leader is being elected, the command waits. If no majority is reachable, it is
     /// refused at once.
     pub async fn submit(
         &self,
         command: Vec<u8>,
         timeout: Span,
     ) -> std::result::Result<Vec<u8>, SubmitError> {
-        let work = Work::Command(command);
-        self.ask(work, timeout).await
+        let request = LeaderRequest::Command(command);
+        self.submit_to_leader(request, timeout).await
     }
 
-    /// Changes the voters by one, through the leader, wherever it is.
+    /// Changes one voter, through the leader on whichever host it is.
     pub async fn change(
         &self,
         change: VoterChange,
         timeout: Span,
     ) -> std::result::Result<(), SubmitError> {
-        self.ask(Work::Change(change), timeout).await.map(|_| ())
+        self.submit_to_leader(LeaderRequest::Change(change), timeout)
+            .await
+            .map(|_| ())
     }
 
-    /// Where the leader is, as far as this host knows.
+    /// Returns the location of the leader, if this host knows it.
     pub fn leader(&self) -> Option<Location> {
         let status = self.shared.status.lock();
         let leader = status.leader?;
         status.voters.location(leader).cloned()
     }
 
-    /// Whether this host leads and may speak for the cluster now.
+    /// Returns whether this host leads and holds a valid lease.
     pub fn is_leader(&self) -> bool {
         self.fence().is_some()
     }
 
-    /// The fencing number that this host's orders carry, while it leads.
+    /// Returns the fencing number for this host's orders, while it leads.
     pub fn fence(&self) -> Option<Fence> {
-        let office = *self.shared.office.lock();
-        let (fence, end) = office?;
+        let fence_lease = *self.shared.fence_lease.lock();
+        let (fence, end) = fence_lease?;
         (self.shared.clock.now() < end).then_some(fence)
     }
 
-    /// What this host knows of the log.
+    /// Returns this host's view of the log.
     pub fn status(&self) -> VoterStatus {
         self.shared.status.lock().clone()
     }
 
-    /// Answers a request of another control host, or gives the connection back.
+    /// Answers a request of another control host.
     pub async fn answer(&self, conn: Conn) -> Conn {
         match conn.path() {
             path::HELLO => self.on_hello(conn).await,
@@ -255,37 +258,47 @@
         }
     }
 
-    /// Ends the role as a crash would: nothing more is written or sent.
+    /// Ends the role as a crash would, so that nothing more is written or sent.
     pub fn kill(&self) {
-        let form = self.form.lock().take();
-        drop(form);
+        let forming = self.forming.lock().take();
+        drop(forming);
         self.links.close();
-        // A full queue is emptied by the thread, which then sees that the role has ended.
-        self.shared.end();
+        // If the queue is full, the thread empties it and then sees that the role has ended.
+        self.shared.end_role();
         let _ = self.shared.inputs.try_send(Request::Stop);
     }
 
-    async fn ask(&self, work: Work, timeout: Span) -> std::result::Result<Vec<u8>, SubmitError> {
-        let end = self.shared.clock.now() + timeout;
+    async fn submit_to_leader(
+        &self,
+        request: LeaderRequest,
+        timeout: Span,
+    ) -> std::result::Result<Vec<u8>, SubmitError> {
+        let deadline = self.shared.clock.now() + timeout;
         loop {
-            let left = self.shared.clock.now().until(end);
-            match self.ask_once(work.clone(), left).await {
-                Err(SubmitError::NoLeader) if left > PAUSE => {
-                    smol::Timer::after(PAUSE.as_duration()).await;
+            let left = self.shared.clock.now().until(deadline);
+            match self.submit_once(request.clone(), left).await {
+                Err(SubmitError::NoLeader) if left > RETRY_PAUSE => {
+                    smol::Timer::after(RETRY_PAUSE.as_duration()).await;
                 }
                 answer => return answer,
             }
         }
     }
 
-    async fn ask_once(&self, work: Work, left: Span) -> std::result::Result<Vec<u8>, SubmitError> {
-        let answer = match self.shared.propose(work.clone(), left).await {
+    async fn submit_once(
+        &self,
+        request: LeaderRequest,
+        left: Span,
+    ) -> std::result::Result<Vec<u8>, SubmitError> {
+        let answer = match self.shared.propose(request.clone(), left).await {
             Submitted::Refused(Refusal::NotLeader {
                 leader: Some(leader),
             }) => {
-                let seat = self.shared.status.lock().voters.location(leader).cloned();
-                match seat {
-                    Some(seat) => forward(&self.links.peer(leader, seat.address), work, left).await,
+                let location = self.shared.status.lock().voters.location(leader).cloned();
+                match location {
+                    Some(location) => {
+                        forward(&self.links.peer(leader, location.address), request, left).await
+                    }
                     None => Submitted::Refused(Refusal::NotLeader { leader: None }),
                 }
             }
@@ -302,7 +315,7 @@
         let Some(Hello { .. }) = message(&mut conn).await else {
             return malformed(conn);
         };
-        reply(conn, &self.shared.known.lock().clone())
+        reply(conn, &self.shared.control_host.lock().clone())
     }
 
     async fn on_messages(&self, mut conn: Conn) -> Conn {
@@ -319,7 +332,10 @@
         };
         reply(
             conn,
-            &self.shared.propose(Work::Command(command), left).await,
+            &self
+                .shared
+                .propose(LeaderRequest::Command(command), left)
+                .await,
         )
     }
 
@@ -327,7 +343,13 @@
         let Some(Change { change, left }) = message(&mut conn).await else {
             return malformed(conn);
         };
-        reply(conn, &self.shared.propose(Work::Change(change), left).await)
+        reply(
+            conn,
+            &self
+                .shared
+                .propose(LeaderRequest::Change(change), left)
+                .await,
+        )
     }
 }
 
@@ -337,16 +359,16 @@
     }
 }
 
-/// What the leader is asked.
+/// A request to the leader.
 #[derive(Debug, Clone)]
-enum Work {
-    /// To take a command.
+enum LeaderRequest {
+    /// Appends a command to the log.
     Command(Vec<u8>),
-    /// To change the voters.
+    /// Changes the voters.
     Change(VoterChange),
 }
 
-impl Work {
+impl LeaderRequest {
     fn into_input(self, ticket: Ticket) -> Input {
         match self {
             Self::Command(command) => Input::Propose { ticket, command },
@@ -355,15 +377,15 @@
     }
 }
 
-/// Sends work on to the leader; a lost answer leaves its verdict unknown.
-async fn forward(leader: &Peer, work: Work, left: Span) -> Submitted {
-    let answer = match work {
-        Work::Command(command) => {
+/// Forwards a request to the leader; if the answer is lost, the verdict is unknown.
+async fn forward(leader: &Peer, request: LeaderRequest, left: Span) -> Submitted {
+    let answer = match request {
+        LeaderRequest::Command(command) => {
             leader
                 .call(path::SUBMIT, &Submit { command, left }, left)
                 .await
         }
-        Work::Change(change) => {
+        LeaderRequest::Change(change) => {
             leader
                 .call(path::CHANGE, &Change { change, left }, left)
                 .await
@@ -390,79 +412,79 @@
 impl VoterShared {
     fn new(
         inputs: SyncSender<Request>,
-        start: &form::Start,
-        seat: &Location,
+        start: &form::StartState,
+        location: &Location,
         journal: Journal,
     ) -> Self {
-        let known = ControlHost {
+        let control_host = ControlHost {
             voter: start.voter,
-            location: seat.clone(),
+            location: location.clone(),
             cluster: start.cluster,
-            first_voters: start.formed.clone(),
+            first_voters: start.first_voters.clone(),
         };
         Self {
             inputs,
             waiting: Mutex::default(),
             status: Mutex::new(start.status()),
-            known: Mutex::new(known),
-            office: Mutex::new(None),
+            control_host: Mutex::new(control_host),
+            fence_lease: Mutex::new(None),
             tickets: AtomicU64::new(0),
             clock: Clock::new(),
             journal,
         }
     }
 
-    /// Asks this host's own voter and waits for its answer.
-    async fn propose(&self, work: Work, left: Span) -> Submitted {
+    /// Passes a request to this host's voter and waits for the answer.
+    async fn propose(&self, request: LeaderRequest, left: Span) -> Submitted {
         let ticket = Ticket(self.tickets.fetch_add(1, Ordering::Relaxed));
         let (sender, answer) = async_channel::bounded(1);
         self.waiting.lock().insert(ticket, sender);
         let sent = self
             .inputs
-            .try_send(Request::Input(work.into_input(ticket)));
+            .try_send(Request::Input(request.into_input(ticket)));
         let answer = match sent {
             _ if self.status.lock().ended => Submitted::Ended,
             Err(TrySendError::Full(_)) => Submitted::Refused(Refusal::Busy),
             Err(TrySendError::Disconnected(_)) => Submitted::Ended,
             Ok(()) => {
-                let late = async {
+                let timeout = async {
                     smol::Timer::after(left.as_duration()).await;
                     Submitted::Refused(Refusal::Unknown)
                 };
                 let answer = async { answer.recv().await.unwrap_or(Submitted::Ended) };
-                answer.or(late).await
+                answer.or(timeout).await
             }
         };
         self.waiting.lock().remove(&ticket);
         answer
     }
 
-    /// Gives a waiting caller its answer.
-    fn settle(&self, ticket: Ticket, answer: Submitted) {
+    /// Sends a waiting caller its answer.
+    fn complete(&self, ticket: Ticket, answer: Submitted) {
         if let Some(sender) = self.waiting.lock().remove(&ticket) {
-            // A caller whose time ran out is gone.
+            // A caller whose timeout has passed no longer listens.
             let _ = sender.try_send(answer);
         }
     }
 
-    /// Ends the role: whoever waits is told, and nobody is answered any more.
-    fn end(&self) {
+    /// Ends the role: waiting callers learn that it ended, and no request is answered any more.
+    fn end_role(&self) {
         self.status.lock().ended = true;
-        *self.office.lock() = None;
+        *self.fence_lease.lock() = None;
         self.waiting.lock().clear();
     }
 }
 
 /// Starts a named thread.
-fn thread(name: &str, work: impl FnOnce() + Send + 'static) -> Result<()> {
+fn spawn_thread(name: &str, request: impl FnOnce() + Send + 'static) -> Result<()> {
     let builder = std::thread::Builder::new().name(name.into());
     builder
-        .spawn(work)
+        .spawn(request)
         .map(drop)
         .change_context(VoterError::Thread)
 }
 
 /// Starts a task on the executor of the HTTP servers.
-fn task(work: impl std::future::Future<Output = ()> + Send + 'static) -> Task<()> {
-    spawn(work)
+fn spawn_task(request: impl std::future::Future<Output = ()> + Send + 'static) -> Task<()> {
+    spawn(request)
 }
--- a/crates/entry/src/voter/disk.rs
+++ b/crates/entry/src/voter/disk.rs
@@ -1,4 +1,4 @@
-//! The thread that writes and syncs, many writes with one sync.
+//! The thread that writes and syncs, with one sync for many writes.
 
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::Receiver;
@@ -10,10 +10,10 @@
 use super::engine::{DiskState, Request};
 use super::VoterShared;
 
-/// Writes what the voter asks for until it ends or a write fails.
+/// Performs the voter's writes until the voter ends or a write fails.
 ///
-/// Failure guarded against: the disk is full or broken, and the voter acknowledges what is not
-/// kept. A failed write is never reported as synced, and it ends the role on this host.
+/// Failure guarded against: the disk is full or broken, and the voter acknowledges entries that are
+/// not stored. A failed write is never reported as synced, and it ends the role on this host.
 pub(super) fn run<S: Storage>(
     mut storage: S,
     writes: &Receiver<(u64, Write)>,
@@ -29,12 +29,12 @@
         if let Err(report) = storage.write(&batch) {
             state.failed.store(true, Ordering::Release);
             shared.journal.record(Event::StorageRefused, "log", report);
-            shared.end();
+            shared.end_role();
             let _ = shared.inputs.try_send(Request::Wake);
             return;
         }
         state.synced.store(last, Ordering::Release);
-        // A full queue means that the voter's thread is awake and will look by itself.
+        // If the queue is full, the voter's thread is awake and checks the disk state by itself.
         let _ = shared.inputs.try_send(Request::Wake);
     }
 }
--- a/crates/entry/src/voter/engine.rs
+++ b/crates/entry/src/voter/engine.rs
@@ -11,29 +11,29 @@
 use super::links::Links;
 use super::VoterShared;
 
-/// The longest sleep of the thread.
-const SLEEP: Span = Span::from_secs(1);
+/// The longest time that the thread sleeps.
+const MAX_SLEEP: Span = Span::from_secs(1);
 
-/// What the voter's thread is asked.
+/// A request to the voter's thread.
 pub(super) enum Request {
-    /// To take an input.
+    /// Handles an input.
     Input(Input),
-    /// To look what the disk has synced.
+    /// Checks which writes the disk has synced.
     Wake,
-    /// To end.
+    /// Ends the thread.
     Stop,
 }
 
-/// How far the disk thread has come.
+/// The progress of the disk thread.
 #[derive(Debug, Default)]
 pub(super) struct DiskState {
-    /// The last write that is synced.
+    /// The number of the last synced write.
     pub(super) synced: AtomicU64,
     /// Whether a write failed.
     pub(super) failed: AtomicBool,
 }
 
-/// The thread's side of a voter, before it has its node.
+/// The part of a voter that its thread owns, apart from the node.
 pub(super) struct Engine<F> {
     pub(super) shared: Arc<VoterShared>,
     pub(super) links: Arc<Links>,
@@ -66,9 +66,9 @@
         F: FnMut(&M),
     {
         (self.watch)(node.machine());
-        let mut seen = 0;
+        let mut last_synced = 0;
         loop {
-            let input = match self.wait(node.next_tick()) {
+            let input = match self.next_request(node.next_tick()) {
                 Request::Input(input) => input,
                 Request::Wake => Input::Tick,
                 Request::Stop => break,
@@ -79,8 +79,8 @@
             let applied = node.applied_index();
             self.step(&mut node, input, writes);
             let synced = disk.synced.load(Ordering::Acquire);
-            if synced > seen {
-                seen = synced;
+            if synced > last_synced {
+                last_synced = synced;
                 self.step(&mut node, Input::Synced { write: synced }, writes);
             }
             if node.applied_index() > applied {
@@ -88,12 +88,12 @@
             }
             self.publish(&node);
         }
-        self.shared.end();
+        self.shared.end_role();
     }
 
-    /// The next request, or a wake-up when the voter's time has come.
-    fn wait(&self, wake: Moment) -> Request {
-        let left = self.shared.clock.now().until(wake).min(SLEEP);
+    /// Waits for the next request, or returns a wake-up when the voter's next timer is due.
+    fn next_request(&self, wake: Moment) -> Request {
+        let left = self.shared.clock.now().until(wake).min(MAX_SLEEP);
         match self.requests.recv_timeout(left.as_duration()) {
             Ok(request) => request,
             Err(RecvTimeoutError::Timeout) => Request::Wake,
@@ -110,26 +110,26 @@
         let now = self.shared.clock.now();
         for output in node.handle(now, input) {
             match output {
-                // A disk thread that is gone has set its flag, which ends the role.
+                // A disk thread that ended has set its failure flag, which ends the role.
                 Output::Write { number, write } => drop(writes.send((number, write))),
                 Output::Send(envelope) => self.send(node, envelope),
                 Output::Answer { ticket, answer } => {
                     let answer = answer.map_or_else(Submitted::Refused, Submitted::Verdict);
-                    self.shared.settle(ticket, answer);
+                    self.shared.complete(ticket, answer);
                 }
-                Output::Event(note) => self.record(&note),
+                Output::Event(event) => self.record_event(&event),
             }
         }
     }
 
     fn send<M: StateMachine>(&self, node: &Node<M>, envelope: Envelope) {
-        let seat = node.voters().location(envelope.to);
-        self.links.send(seat.map(|s| s.address), envelope);
+        let location = node.voters().location(envelope.to);
+        self.links.send(location.map(|l| l.address), envelope);
     }
 
     fn publish<M: StateMachine>(&self, node: &Node<M>) {
-        let office = node.lease_end().map(|end| (Fence(node.term().get()), end));
-        *self.shared.office.lock() = office;
+        let fence_lease = node.lease_end().map(|end| (Fence(node.term().get()), end));
+        *self.shared.fence_lease.lock() = fence_lease;
         let mut status = self.shared.status.lock();
         *status = VoterStatus {
             voter: node.id(),
@@ -145,43 +145,53 @@
         };
     }
 
-    fn record(&self, note: &NodeEvent) {
+    fn record_event(&self, event: &NodeEvent) {
         let journal = &self.shared.journal;
-        let voter = self.shared.known.lock().voter;
-        match note {
+        let voter = self.shared.control_host.lock().voter;
+        match event {
             NodeEvent::Elected(term) => journal.record(Event::LeaderElected, voter, term),
             NodeEvent::LeaderReady(fence) => {
                 journal.record(Event::LeaderElected, voter, format_args!("fence {fence}"))
             }
             NodeEvent::SteppedDown(term) => journal.record(Event::LeaderEnded, voter, term),
             NodeEvent::VotersChanged(voters) => {
-                let (v, l) = (voters.voters.len(), voters.learners.len());
-                let detail = format_args!("{v} voters, {l} learners");
+                let (voters, learners) = (voters.voters.len(), voters.learners.len());
+                let detail = format_args!("{voters} voters, {learners} learners");
                 journal.record(Event::VoterChanged, voter, detail);
             }
             NodeEvent::MajorityReplaced(index) => {
-                let detail = format_args!("alone from {index} on, a majority was lost");
+                let detail = format_args!(
+                    "the only voter from index {index} on, after the loss of a majority"
+                );
                 journal.record(Event::VoterChanged, voter, detail);
             }
             NodeEvent::SnapshotSaved(index) => journal.record(Event::SnapshotWritten, voter, index),
             NodeEvent::Regressed(peer) => {
-                journal.record(Event::StorageRefused, peer, "it lost what it acknowledged");
+                journal.record(
+                    Event::StorageRefused,
+                    peer,
+                    "it lost log entries that it had acknowledged",
+                );
             }
             NodeEvent::Outdated(peer) => {
-                journal.record(Event::IdentityClash, peer, "an older start speaks");
+                journal.record(
+                    Event::IdentityClash,
+                    peer,
+                    "a message came from an earlier start of this voter",
+                );
             }
             NodeEvent::Contradicted(index) => {
                 journal.record(
                     Event::StorageRefused,
                     voter,
-                    format_args!("{index} is committed otherwise"),
+                    format_args!("a different entry is committed at index {index}"),
                 );
             }
             NodeEvent::SnapshotUnreadable(index) => {
                 journal.record(
                     Event::StorageRefused,
                     voter,
-                    format_args!("snapshot {index}"),
+                    format_args!("the snapshot at index {index} can't be read"),
                 );
             }
         }
--- a/crates/entry/src/voter/form.rs
+++ b/crates/entry/src/voter/form.rs
@@ -1,8 +1,8 @@
-//! How the first voters become a cluster, once.
+//! The forming of a cluster by its first voters, which happens once.
 //!
-//! The host with the lowest address forms the cluster, as soon as every listed host has said
-//! that it is new; the others take the cluster over from any host that has it. A host that
-//! is not among the first voters joins as a learner, and has no vote until it is promoted.
+//! The host with the lowest address forms the cluster as soon as every listed host has answered
+//! that it is new. The others adopt the cluster from any host that has it. A host that is not among
+//! the first voters joins as a learner, and has no vote until it is promoted.
 
 use std::collections::BTreeMap;
 use std::sync::mpsc::channel;
@@ -21,54 +21,54 @@
 use snipemast_wire::Peer;
 
 use super::engine::{DiskState, Engine};
-use super::{disk, task, thread, Result, VoterError, VoterOptions, VoterShared};
+use super::{disk, spawn_task, spawn_thread, Result, VoterError, VoterOptions, VoterShared};
 
 /// The pause between two rounds of asking the other hosts.
-const PAUSE: Span = Span::from_millis(200);
-/// How long a host may take to say who it is.
-const DEADLINE: Span = Span::from_millis(1_000);
+const ROUND_PAUSE: Span = Span::from_millis(200);
+/// How long a host may take to answer the hello.
+const HELLO_TIMEOUT: Span = Span::from_millis(1_000);
 
-/// A storage that remembers its cluster.
-pub(super) trait Joins: Storage {
-    /// Keeps the cluster for good.
+/// A storage that stores the cluster that it belongs to.
+pub(super) trait JoinCluster: Storage {
+    /// Stores the cluster and its first voters permanently.
     fn join(
         &mut self,
         cluster: ClusterId,
-        formed: Voters,
+        first_voters: Voters,
     ) -> snipemast_control::storage::Result<()>;
 }
 
-impl Joins for MemoryStorage {
+impl JoinCluster for MemoryStorage {
     fn join(&mut self, _: ClusterId, _: Voters) -> snipemast_control::storage::Result<()> {
         Ok(())
     }
 }
 
-impl Joins for DiskStorage {
+impl JoinCluster for DiskStorage {
     fn join(
         &mut self,
         cluster: ClusterId,
-        formed: Voters,
+        first_voters: Voters,
     ) -> snipemast_control::storage::Result<()> {
-        DiskStorage::join(self, cluster, formed)
+        DiskStorage::join(self, cluster, first_voters)
     }
 }
 
-/// What a storage held when it was opened.
-pub(super) struct Start {
+/// The state of a storage when it was opened.
+pub(super) struct StartState {
     pub(super) voter: VoterId,
     pub(super) cluster: Option<ClusterId>,
-    pub(super) formed: Voters,
+    pub(super) first_voters: Voters,
     start: u64,
     stored: StoredState,
 }
 
-impl Start {
+impl StartState {
     pub(super) fn in_memory(options: &VoterOptions) -> Self {
         Self {
             voter: VoterId(options.unique_id),
             cluster: None,
-            formed: Voters::default(),
+            first_voters: Voters::default(),
             start: 1,
             stored: StoredState::default(),
         }
@@ -78,13 +78,13 @@
         Self {
             voter: identity.voter,
             cluster: identity.cluster,
-            formed: identity.first_voters.clone(),
+            first_voters: identity.first_voters.clone(),
             start: identity.starts,
             stored: opened.stored,
         }
     }
 
-    /// What is known before the voter runs.
+    /// Returns the status before the voter runs.
     pub(super) fn status(&self) -> VoterStatus {
         VoterStatus {
             voter: self.voter,
@@ -95,31 +95,32 @@
             commit: Index(0),
             applied: Index(0),
             fence: Fence(0),
-            voters: self.formed.clone(),
+            voters: self.first_voters.clone(),
             ended: false,
         }
     }
 }
 
-/// Starts the voter, at once if its cluster is known, else as soon as that is formed.
-pub(super) fn begin<M, S, F>(
+/// Starts the voter, at once if its cluster is known, else in a task once the cluster is found.
+pub(super) fn start_voter<M, S, F>(
     options: VoterOptions,
-    mut start: Start,
+    mut start: StartState,
     mut storage: S,
     machine: M,
     engine: Engine<F>,
 ) -> Result<Option<Task<()>>>
 where
     M: StateMachine + Send + 'static,
-    S: Joins,
+    S: JoinCluster,
     F: FnMut(&M) + Send + 'static,
 {
     let own = options.location.address;
     let alone = options.voters.iter().all(|a| *a == own);
     if start.cluster.is_none() && alone {
-        let formed = Voters::new([(start.voter, options.location.clone())].into());
-        (start.cluster, start.formed) = (Some(ClusterId(start.voter.get())), formed.clone());
-        let joined = storage.join(ClusterId(start.voter.get()), formed);
+        let first_voters = Voters::new([(start.voter, options.location.clone())].into());
+        (start.cluster, start.first_voters) =
+            (Some(ClusterId(start.voter.get())), first_voters.clone());
+        let joined = storage.join(ClusterId(start.voter.get()), first_voters);
         joined.map_err(|e| e.change_context(VoterError::Storage(Default::default())))?;
     }
     if start.cluster.is_some() {
@@ -127,11 +128,13 @@
         return Ok(None);
     }
     let shared = Arc::clone(&engine.shared);
-    let work = async move {
-        let (cluster, formed) = form(&options, &shared).await;
+    let forming = async move {
+        let (cluster, first_voters) = find_cluster(&options, &shared).await;
         let journal = shared.journal.clone();
-        (start.cluster, start.formed) = (Some(cluster), formed.clone());
-        let joined = storage.join(cluster, formed).map_err(|e| e.to_string());
+        (start.cluster, start.first_voters) = (Some(cluster), first_voters.clone());
+        let joined = storage
+            .join(cluster, first_voters)
+            .map_err(|e| e.to_string());
         let launched = joined.and_then(|()| {
             launch(&options, start, storage, machine, engine).map_err(|e| e.to_string())
         });
@@ -139,52 +142,52 @@
             journal.record(Event::StorageRefused, options.location.host, reason);
         }
     };
-    Ok(Some(task(work)))
+    Ok(Some(spawn_task(forming)))
 }
 
 /// Starts the threads of a voter whose cluster is known.
 fn launch<M, S, F>(
     options: &VoterOptions,
-    start: Start,
+    start: StartState,
     storage: S,
     machine: M,
     engine: Engine<F>,
 ) -> Result<()>
 where
     M: StateMachine + Send + 'static,
-    S: Joins,
+    S: JoinCluster,
     F: FnMut(&M) + Send + 'static,
 {
     let shared = Arc::clone(&engine.shared);
-    let boot = NodeParams {
+    let params = NodeParams {
         id: start.voter,
         start: start.start,
         cluster: start.cluster.unwrap_or_default(),
-        first_voters: start.formed.clone(),
+        first_voters: start.first_voters.clone(),
         stored: start.stored,
         timing: options.timing,
         seed: options.unique_id,
     };
     {
-        let mut known = shared.known.lock();
-        (known.cluster, known.first_voters) = (start.cluster, start.formed);
+        let mut control_host = shared.control_host.lock();
+        (control_host.cluster, control_host.first_voters) = (start.cluster, start.first_voters);
     }
-    let node = Node::new(boot, machine, shared.clock.now());
+    let node = Node::new(params, machine, shared.clock.now());
     let node = node.map_err(|e| {
         shared.journal.record(Event::StorageRefused, "snapshot", &e);
         error_stack::Report::new(e).change_context(VoterError::Storage(Default::default()))
     })?;
     let state = Arc::new(DiskState::default());
-    let (writes, to_write) = channel();
-    let of_disk = (Arc::clone(&state), Arc::clone(&shared));
-    thread("control-disk", move || {
-        disk::run(storage, &to_write, &of_disk.0, &of_disk.1)
+    let (writes, pending) = channel();
+    let disk_handles = (Arc::clone(&state), Arc::clone(&shared));
+    spawn_thread("control-disk", move || {
+        disk::run(storage, &pending, &disk_handles.0, &disk_handles.1)
     })?;
-    thread("control-voter", move || engine.run(node, &state, &writes))
+    spawn_thread("control-voter", move || engine.run(node, &state, &writes))
 }
 
-/// Asks the other hosts until there is a cluster to belong to.
-async fn form(options: &VoterOptions, shared: &VoterShared) -> (ClusterId, Voters) {
+/// Asks the other hosts until a cluster is found or formed.
+async fn find_cluster(options: &VoterOptions, shared: &VoterShared) -> (ClusterId, Voters) {
     let own = options.location.address;
     let mut addresses = options.voters.clone();
     addresses.push(own);
@@ -196,22 +199,22 @@
         .map(|a| Peer::new(*a))
         .collect();
     loop {
-        let mut known = BTreeMap::from([(own, shared.known.lock().clone())]);
+        let mut control_host = BTreeMap::from([(own, shared.control_host.lock().clone())]);
         for peer in &others {
             let hello = Hello {
-                voter: known[&own].voter,
+                voter: control_host[&own].voter,
             };
             match peer
-                .call::<_, ControlHost>(path::HELLO, &hello, DEADLINE)
+                .call::<_, ControlHost>(path::HELLO, &hello, HELLO_TIMEOUT)
                 .await
             {
-                Ok(answer) => drop(known.insert(peer.address(), answer)),
+                Ok(answer) => drop(control_host.insert(peer.address(), answer)),
                 Err(_) => peer.retire(),
             }
         }
-        if let Some(found) = choose_cluster(true, own, &addresses, &known) {
+        if let Some(found) = choose_cluster(true, own, &addresses, &control_host) {
             return found;
         }
-        smol::Timer::after(PAUSE.as_duration()).await;
+        smol::Timer::after(ROUND_PAUSE.as_duration()).await;
     }
 }
--- a/crates/entry/src/voter/links.rs
+++ b/crates/entry/src/voter/links.rs
@@ -1,7 +1,7 @@
 //! Messages to and from other voters over HTTP.
 //!
-//! Questions go out as requests, one batch at a time on a few connections; answers go back as
-//! the responses, so that a heartbeat costs one exchange.
+//! Messages that need an answer are sent as requests, in batches over a few connections. Answers
+//! return as the responses, so that a heartbeat costs one exchange.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,35 +18,36 @@
 use snipemast_wire::Peer;
 
 use super::engine::Request;
-use super::{task, VoterShared};
-
-/// How many messages may wait for a peer; later ones are lost, and sent again by the protocol.
-const QUEUE: usize = 256;
-/// How many batches may be under way to one peer.
-const LANES: usize = 3;
-/// How long a request waits for its answers at the other side.
+use super::{spawn_task, VoterShared};
+
+/// The most messages that may wait for a peer; later ones are dropped, and the protocol resends
+/// them.
+const MAX_QUEUED: usize = 256;
+/// The most batches that may be in flight to one peer.
+const MAX_BATCHES: usize = 3;
+/// How long a request waits for its first answer at the receiver.
 const ANSWER_WAIT: Span = Span::from_millis(400);
-/// How long a request waits for a further answer once it has one.
+/// How long a request waits for each further answer.
 const NEXT_WAIT: Span = Span::from_millis(2);
-/// How long a batch may take until the connection counts as dead.
-const DEADLINE: Span = Span::from_millis(1_500);
+/// How long a batch may take before its connection counts as broken.
+const BATCH_TIMEOUT: Span = Span::from_millis(1_500);
 
 /// The connections to all other voters.
 pub(super) struct Links {
     own: VoterId,
     shared: Arc<VoterShared>,
     links: Mutex<BTreeMap<VoterId, Link>>,
-    answers: Mutex<BTreeMap<VoterId, Answers>>,
+    answers: Mutex<BTreeMap<VoterId, AnswerQueue>>,
 }
 
 struct Link {
     peer: Arc<Peer>,
     queue: Sender<Envelope>,
-    _lanes: Vec<Task<()>>,
+    _senders: Vec<Task<()>>,
 }
 
 #[derive(Clone)]
-struct Answers {
+struct AnswerQueue {
     sender: Sender<Envelope>,
     receiver: Receiver<Envelope>,
 }
@@ -61,38 +62,38 @@
         }
     }
 
-    /// Sends a message; where a queue is full or an address not known, it is lost.
+    /// Queues a message; it is dropped if the queue is full or the address is unknown.
     pub(super) fn send(&self, address: Option<SocketAddr>, envelope: Envelope) {
         let queue = if is_answer(&envelope.message) {
-            self.answers(envelope.to).sender
+            self.answer_queue(envelope.to).sender
         } else {
             let Some(address) = address else {
                 return;
             };
-            self.queue(envelope.to, address)
+            self.send_queue(envelope.to, address)
         };
         let _ = queue.try_send(envelope);
     }
 
-    /// Takes a batch and waits a little for as many answers as it brought questions.
+    /// Handles a batch, and waits briefly for as many answers as the batch has messages.
     ///
-    /// Failure guarded against: one exchange takes along the answer that another waits for. It
-    /// shows as a patch that takes half a second on an idle log: the other exchange holds its lane
-    /// until its wait ends. An exchange takes no more answers than it brought questions.
+    /// Failure guarded against: one exchange returns the answer that another waits for. The other
+    /// exchange then keeps its connection busy until its wait ends, and a patch takes half a second
+    /// on an idle log. An exchange therefore returns no more answers than it received messages.
     pub(super) async fn receive(&self, batch: Batch) -> Batch {
-        let answers = self.answers(batch.from).receiver;
+        let answers = self.answer_queue(batch.from).receiver;
         let wanted = batch.envelopes.len();
         for envelope in batch.envelopes {
-            self.input(envelope);
+            self.pass_to_voter(envelope);
         }
         let mut envelopes = Vec::new();
         let mut wait = ANSWER_WAIT;
         while envelopes.len() < wanted {
-            let Some(envelope) = within(wait, answers.recv()).await else {
+            let Some(envelope) = answer_within(wait, answers.recv()).await else {
                 break;
             };
             envelopes.push(envelope);
-            // One answer may speak for several questions, so the next is not waited for as long.
+            // One answer may cover several messages, so the wait for the next one is shorter.
             wait = NEXT_WAIT;
         }
         Batch {
@@ -101,9 +102,9 @@
         }
     }
 
-    /// The connections to a voter.
+    /// Returns the connections to a voter.
     pub(super) fn peer(&self, id: VoterId, address: SocketAddr) -> Arc<Peer> {
-        self.queue(id, address);
+        self.send_queue(id, address);
         Arc::clone(&self.links.lock()[&id].peer)
     }
 
@@ -112,50 +113,55 @@
         self.links.lock().clear();
     }
 
-    fn input(&self, envelope: Envelope) {
-        // A full queue loses the message; the protocol sends it again.
+    fn pass_to_voter(&self, envelope: Envelope) {
+        // If the queue is full, the message is dropped and the protocol resends it.
         let _ = self
             .shared
             .inputs
             .try_send(Request::Input(Input::Receive(envelope)));
     }
 
-    fn answers(&self, to: VoterId) -> Answers {
+    fn answer_queue(&self, to: VoterId) -> AnswerQueue {
         let mut answers = self.answers.lock();
-        let fresh = || {
-            let (sender, receiver) = async_channel::bounded(QUEUE);
-            Answers { sender, receiver }
+        let new_queue = || {
+            let (sender, receiver) = async_channel::bounded(MAX_QUEUED);
+            AnswerQueue { sender, receiver }
         };
-        answers.entry(to).or_insert_with(fresh).clone()
+        answers.entry(to).or_insert_with(new_queue).clone()
     }
 
-    fn queue(&self, to: VoterId, address: SocketAddr) -> Sender<Envelope> {
+    fn send_queue(&self, to: VoterId, address: SocketAddr) -> Sender<Envelope> {
         let mut links = self.links.lock();
-        let known = links.get(&to).filter(|l| l.peer.address() == address);
-        if let Some(link) = known {
+        let control_host = links.get(&to).filter(|l| l.peer.address() == address);
+        if let Some(link) = control_host {
             return link.queue.clone();
         }
-        let (queue, envelopes) = async_channel::bounded(QUEUE);
+        let (queue, envelopes) = async_channel::bounded(MAX_QUEUED);
         let peer = Arc::new(Peer::new(address));
-        let lane = || {
+        let start_sender = || {
             let (own, shared) = (self.own, Arc::clone(&self.shared));
-            task(run_lane(own, Arc::clone(&peer), envelopes.clone(), shared))
+            spawn_task(send_batches(
+                own,
+                Arc::clone(&peer),
+                envelopes.clone(),
+                shared,
+            ))
         };
-        let lanes = (0..LANES).map(|_| lane()).collect();
+        let senders = (0..MAX_BATCHES).map(|_| start_sender()).collect();
         links.insert(
             to,
             Link {
                 peer,
                 queue: queue.clone(),
-                _lanes: lanes,
+                _senders: senders,
             },
         );
         queue
     }
 }
 
-/// Sends batches one after the other.
-async fn run_lane(
+/// Sends the queued messages in batches, one batch after the other.
+async fn send_batches(
     own: VoterId,
     peer: Arc<Peer>,
     queue: Receiver<Envelope>,
@@ -169,7 +175,7 @@
             envelopes,
         };
         match peer
-            .call::<_, Batch>(path::MESSAGES, &batch, DEADLINE)
+            .call::<_, Batch>(path::MESSAGES, &batch, BATCH_TIMEOUT)
             .await
         {
             Ok(answers) => {
@@ -184,14 +190,14 @@
     }
 }
 
-/// The next answer, or none once the wait is over.
-async fn within(wait: Span, answer: async_channel::Recv<'_, Envelope>) -> Option<Envelope> {
-    let late = async {
+/// Waits for the next answer, or returns `None` when the wait is over.
+async fn answer_within(wait: Span, answer: async_channel::Recv<'_, Envelope>) -> Option<Envelope> {
+    let timeout = async {
         smol::Timer::after(wait.as_duration()).await;
         None
     };
     let answer = async { answer.await.ok() };
-    answer.or(late).await
+    answer.or(timeout).await
 }
 
 fn is_answer(message: &Message) -> bool {
--- a/crates/entry/tests/spread.rs
+++ b/crates/entry/tests/spread.rs
@@ -61,7 +61,7 @@
         assert!(reply.held < Span::from_secs(30));
         distributor.set_link(true, Some(Span::default()), Fence::default());
         assert!(
-            !spread
+            !distributor
                 .answer(Ask::Piece {
                     version: Version::new(0),
                     offset: 0
--- a/crates/entry/tests/voters.rs
+++ b/crates/entry/tests/voters.rs
@@ -1,4 +1,4 @@
-//! Voters with real HTTP, disks and clocks over loopback.
+//! Tests of voters with real HTTP, disks and clocks over loopback.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,9 +18,9 @@
 use snipemast_entry::voter::{LogStorage, SubmitError, Voter, VoterOptions};
 use snipemast_wire::{listen, spawn, Listening};
 
-const PATIENCE: Span = Span::from_secs(10);
+const SUBMIT_TIMEOUT: Span = Span::from_secs(10);
 
-/// The slot in which a host's voter runs, if it does.
+/// The slot for a host's voter, which is empty while the voter doesn't run.
 #[derive(Clone, Default)]
 struct Slot(Arc<Mutex<Option<Arc<Voter>>>>);
 
@@ -40,11 +40,11 @@
     }
 }
 
-/// A control host: its address and disk outlive its voter.
+/// A control host, whose address and disk outlive its voter.
 struct Host {
     slot: Slot,
     options: VoterOptions,
-    /// The accepted patches by version, as its state machine has them.
+    /// The accepted patches by version, as the host's state machine has them.
     history: Arc<Mutex<BTreeMap<Version, Option<PatchId>>>>,
     _listening: Listening,
 }
@@ -54,14 +54,14 @@
         let slot = Slot::default();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let listening = listen(any, slot.clone()).await.unwrap();
-        let seat = Location {
+        let location = Location {
             host: format!("host-{number}").parse().unwrap(),
             zone: format!("zone-{}", number % 3).parse().unwrap(),
             address: listening.address(),
         };
         let options = VoterOptions {
-            log: LogStorage::Folder(root.join(seat.host.as_str())),
-            location: seat,
+            log: LogStorage::Folder(root.join(location.host.as_str())),
+            location,
             voters: Vec::new(),
             timing: timing(),
             unique_id: number,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Starts the voter, as soon as its data folder is free.
+    /// Starts the voter as soon as its data folder is free.
     async fn start(&self) {
         loop {
             let history = Arc::clone(&self.history);
@@ -133,7 +133,7 @@
         Self { hosts, root }
     }
 
-    /// The host that leads, once one does.
+    /// Waits until a host leads and returns it.
     async fn leader(&self) -> &Host {
         loop {
             let leads = |h: &&Host| h.slot.voter().is_some_and(|v| v.is_leader());
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Waits until every host has applied what the furthest has.
-    async fn level(&self) {
+    /// Waits until all hosts have applied the same version.
+    async fn wait_for_equal_versions(&self) {
         loop {
             let versions: BTreeSet<_> = self.hosts.iter().map(Host::version).collect();
             if versions.len() == 1 {
@@ -165,7 +165,7 @@
     }
 }
 
-/// Timeouts short enough for many elections in one test.
+/// Returns timeouts that are short enough for many elections in one test.
 fn timing() -> Timing {
     Timing {
         heartbeat: Span::from_millis(50),
@@ -201,16 +201,18 @@
 }
 
 async fn submit(voter: &Voter, id: &str, base: Version) -> Result<Verdict, SubmitError> {
-    let reply = voter.submit(patch(id, base), PATIENCE).await?;
+    let reply = voter.submit(patch(id, base), SUBMIT_TIMEOUT).await?;
     match Reply::from_bytes(&reply) {
         Reply::Verdict(verdict) => Ok(verdict),
         other => panic!("a patch got {other:?}"),
     }
 }
 
-/// An operator that patches again and again, against what it last saw, through any host; a
-/// lost answer is asked for again under the same id. Returns what was accepted.
-async fn operate(
+/// Submits patches until `stop`, each against the last known version and through any host, and
+/// returns those that were accepted.
+///
+/// A patch without an answer is resent with the same id.
+async fn run_operator(
     name: String,
     slots: Vec<Slot>,
     stop: Arc<AtomicBool>,
@@ -247,16 +249,22 @@
     accepted
 }
 
-// Operators race each other with patches while the leader is killed again and again, and resend
-// what got no answer. Whatever any of them was told is accepted must be there, once, under
-// the version that it was told.
+// Guards against accepted patches that are lost or applied twice: operators submit patches at the
+// same time and resend those without an answer, while the leader is killed repeatedly. Each patch
+// reported as accepted must be in the history once, under the reported version.
 #[test]
 fn leaders_killed() {
     smol::block_on(async {
         let cluster = Cluster::start("leaders-killed", 5).await;
         let stop = Arc::new(AtomicBool::new(false));
         let slots: Vec<_> = cluster.hosts.iter().map(|h| h.slot.clone()).collect();
-        let operator = |n| spawn(operate(format!("op-{n}"), slots.clone(), Arc::clone(&stop)));
+        let operator = |n| {
+            spawn(run_operator(
+                format!("op-{n}"),
+                slots.clone(),
+                Arc::clone(&stop),
+            ))
+        };
         let operators: Vec<_> = (0..3).map(operator).collect();
         for _ in 0..8 {
             let leader = cluster.leader().await;
@@ -280,7 +288,7 @@
                 );
             }
         }
-        cluster.level().await;
+        cluster.wait_for_equal_versions().await;
         assert!(accepted.len() >= 40);
         let history = cluster.hosts[0].history.lock().clone();
         let ids: Vec<_> = history.values().flatten().collect();
@@ -295,54 +303,63 @@
     });
 }
 
-// A host's disk is wiped. It comes back under another id and learns; the operator removes the
-// old id and promotes the new one, and then a second host is lost. Nothing may be missing.
+// Guards against versions lost in a replacement: a host's disk is wiped, and it returns under
+// another id as a learner. The operator removes the old id and promotes the new one, and then a
+// second host is lost. No accepted version may be missing.
 #[test]
 fn host_replaced() {
     smol::block_on(async {
         let mut cluster = Cluster::start("host-replaced", 3).await;
         let leader = cluster.leader().await.options.location.host.clone();
-        let at = |c: &Cluster| {
+        let place_of_leader = |c: &Cluster| {
             c.hosts
                 .iter()
                 .position(|h| h.options.location.host == leader)
                 .unwrap()
         };
-        let lead = at(&cluster);
-        let lost = (lead + 1) % 3;
-        let voter = cluster.hosts[lead].slot.voter().unwrap();
+        let leader_index = place_of_leader(&cluster);
+        let lost_index = (leader_index + 1) % 3;
+        let voter = cluster.hosts[leader_index].slot.voter().unwrap();
         submit(&voter, "before", Version::default()).await.unwrap();
-        let old = cluster.hosts[lost].slot.voter().unwrap().status().voter;
-        cluster.hosts[lost].kill();
-        let LogStorage::Folder(folder) = cluster.hosts[lost].options.log.clone() else {
+        let old_id = cluster.hosts[lost_index]
+            .slot
+            .voter()
+            .unwrap()
+            .status()
+            .voter;
+        cluster.hosts[lost_index].kill();
+        let LogStorage::Folder(folder) = cluster.hosts[lost_index].options.log.clone() else {
             panic!("it has a folder");
         };
         while std::fs::remove_dir_all(&folder).is_err() {
             pause(10).await;
         }
-        cluster.hosts[lost].options.unique_id = 77;
-        cluster.hosts[lost].start().await;
+        cluster.hosts[lost_index].options.unique_id = 77;
+        cluster.hosts[lost_index].start().await;
         let id = snipemast_control::VoterId(77);
-        let seat = cluster.hosts[lost].options.location.clone();
+        let location = cluster.hosts[lost_index].options.location.clone();
         voter
-            .change(VoterChange::Learn { id, location: seat }, PATIENCE)
+            .change(VoterChange::Learn { id, location }, SUBMIT_TIMEOUT)
             .await
             .unwrap();
         voter
-            .change(VoterChange::Remove { id: old }, PATIENCE)
+            .change(VoterChange::Remove { id: old_id }, SUBMIT_TIMEOUT)
             .await
             .unwrap();
-        while let Err(e) = voter.change(VoterChange::Promote { id }, PATIENCE).await {
+        while let Err(e) = voter
+            .change(VoterChange::Promote { id }, SUBMIT_TIMEOUT)
+            .await
+        {
             assert!(matches!(e, SubmitError::Change(_)), "{e}");
             pause(20).await;
         }
-        cluster.hosts[lead].kill();
+        cluster.hosts[leader_index].kill();
         drop(voter);
         let next = cluster.leader().await;
         let voter = next.slot.voter().unwrap();
-        let again = submit(&voter, "before", Version::default()).await.unwrap();
+        let resent = submit(&voter, "before", Version::default()).await.unwrap();
         assert_eq!(
-            again,
+            resent,
             Verdict::Accepted {
                 version: Version(1)
             }
@@ -351,10 +368,10 @@
     });
 }
 
-// Two of three control hosts are gone. An operator is told so, and nothing is accepted; when
-// they are back the patch goes through.
+// Guards against a patch accepted by a minority: two of three control hosts are down. The operator
+// gets an error and nothing is accepted; once the hosts are back, the patch is accepted.
 #[test]
-fn minority_told() {
+fn minority_refuses() {
     smol::block_on(async {
         let cluster = Cluster::start("minority-told", 3).await;
         cluster.leader().await;
@@ -362,13 +379,13 @@
             host.kill();
         }
         let voter = cluster.hosts[0].slot.voter().unwrap();
-        let told = loop {
+        let refusal = loop {
             match submit(&voter, "lost", Version::default()).await {
                 Err(SubmitError::Unknown) => pause(10).await,
                 other => break other,
             }
         };
-        assert_eq!(told, Err(SubmitError::NoQuorum));
+        assert_eq!(refusal, Err(SubmitError::NoQuorum));
         for host in &cluster.hosts[1..] {
             host.start().await;
         }
@@ -388,7 +405,7 @@
 }
 
 #[test]
-fn one_host() {
+fn single_host_restart() {
     smol::block_on(async {
         let cluster = Cluster::start("one-host", 1).await;
         let host = cluster.leader().await;
