--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -33,7 +33,7 @@
 pub use tell::exchange_demands_forever;
 use turn::{Arrived, Waiting, WaitingLane};
 
-/// The number of shards of lanes and of accounts.
+/// The number of shards that lanes, and likewise accounts, are divided into.
 const SHARDS: usize = 8;
 /// The interval at which lanes with waiting requests are checked for capacity that others freed.
 const CHECK_INTERVAL: Span = Span::from_millis(20);
@@ -126,6 +126,7 @@
         self.wishes.lock().due_loads(self.clock.now())
     }
 
+    /// Charges the workspace's limits, and waits in the pool's lane if it is full.
     async fn admit(
         self: &Arc<Self>,
         config: &Config,
@@ -180,6 +181,7 @@
         }
     }
 
+    /// Enters a request into its pool's lane.
     fn arrive(self: &Arc<Self>, demand: &Demand, weight: f64) -> Result<Arrived, Refusal> {
         let now = self.clock.now();
         let Some(capacity) = self.pool_capacity(now, &demand.wanted) else {
@@ -250,6 +252,7 @@
         lane.start_waiting(now, capacity);
     }
 
+    /// Starts the waiting requests of all pools that may run now.
     fn check_lanes(&self) {
         for shard in &self.lanes {
             let has_waiting = |(wanted, lane): (&Wanted, &WaitingLane)| {
@@ -262,6 +265,7 @@
         }
     }
 
+    /// Sets silent entries aside, marks loaded models, and drops idle lanes without servers.
     fn clean_up(&self) {
         self.demands.lock().set_aside_silent(self.clock.now());
         for wish in self.due_loads() {
@@ -270,13 +274,14 @@
             }
         }
         for shard in &self.lanes {
-            let idle = |g: &WaitingLane| g.queue.waiting() == 0 && g.queue.running() == 0;
+            let idle = |lane: &WaitingLane| lane.queue.waiting() == 0 && lane.queue.running() == 0;
             shard
                 .lock()
-                .retain(|w, g| !idle(g) || self.chooser.capacity(w).is_some());
+                .retain(|wanted, lane| !idle(lane) || self.chooser.capacity(wanted).is_some());
         }
     }
 
+    /// Records a refusal, with an event if it is the first one in a while.
     fn record_refusal(&self, workspace: &WorkspaceId, refusal: Refusal) {
         let now = self.clock.now();
         let shard = self.account_shard(workspace);
@@ -353,6 +358,7 @@
         self.completed = true;
     }
 
+    /// Marks the request as running, which starts its duration.
     fn start(mut self) -> Self {
         self.running = true;
         self.started = self.admission.clock.now();
--- a/crates/entry/src/admit/turn.rs
+++ b/crates/entry/src/admit/turn.rs
@@ -18,6 +18,7 @@
     pub(super) waiters: HashMap<Ticket, Sender<TurnResult>>,
 }
 
+/// The decision on a waiting request.
 pub(super) type TurnResult = Result<(), Refusal>;
 
 impl WaitingLane {
@@ -28,6 +29,7 @@
         }
     }
 
+    /// Tells the waiting requests that may run, or are refused, their results.
     pub(super) fn start_waiting(&mut self, now: Moment, capacity: PoolCapacity) {
         while let Some(dequeued) = self.queue.dequeue(now, capacity) {
             let (ticket, turn) = match dequeued {
@@ -42,6 +44,7 @@
     }
 }
 
+/// The result of entering a lane.
 #[derive(Debug)]
 pub(super) enum Arrived {
     Run,
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -31,13 +31,13 @@
 /// The content of a request.
 #[derive(Debug)]
 pub struct RequestSpec {
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
     /// The workspace that the request is charged to.
     pub workspace: WorkspaceId,
     /// The offer that a backend server must have.
     pub wanted: Wanted,
-    /// The prefix of its prompt.
+    /// The prefix of the prompt.
     pub prefix: Option<Prefix>,
     /// The caller's idempotency key.
     pub key: Option<RequestKey>,
@@ -141,6 +141,7 @@
         self.abandon();
     }
 
+    /// Cancels or bars all attempts, unless the request has ended.
     fn abandon(&mut self) {
         if self.machine.is_done() {
             return;
@@ -157,11 +158,13 @@
         self.close_stream();
     }
 
+    /// Passes an input to the state machine, and collects its outputs.
     fn feed(&mut self, input: Input) {
         let now = self.shared.clock.now();
         self.machine.handle(now, input, &mut self.outputs);
     }
 
+    /// Waits for the next frame of the current stream, or for the timer.
     async fn wait(&mut self) -> Input {
         self.arm_timer();
         let timer = &mut self.timer;
@@ -202,6 +205,7 @@
         }
     }
 
+    /// Performs one output, and returns the part of the answer that it has for the caller.
     async fn perform(&mut self, output: Output) -> Option<Step> {
         match output {
             Output::Choose => self.choose_server().await,
@@ -258,6 +262,7 @@
         None
     }
 
+    /// Chooses a server for the next attempt, if the retry budget allows one.
     async fn choose_server(&mut self) {
         self.close_stream();
         let is_retry = self.machine.attempts() > 0;
@@ -312,6 +317,7 @@
         self.feed(Input::Claimed(outcome.claimed, outcome.attempt));
     }
 
+    /// Claims a key for an attempt at its keepers.
     async fn send_claim(&self, key: ClaimKey, number: u64, target: Target) -> ClaimOutcome {
         let Some(peer) = &self.peer else {
             return ClaimOutcome {
@@ -360,6 +366,7 @@
         (outcome.claimed != ClaimResult::Won).then_some(Input::SuspectRuns)
     }
 
+    /// Opens the stream of a new attempt.
     async fn dispatch(&mut self, link: Link, target: Target) {
         self.record(Event::RequestDispatched, &target.id);
         let message = Dispatch {
@@ -383,6 +390,7 @@
         self.handle_opened(link, opened);
     }
 
+    /// Reopens the stream of an attempt from an offset of its answer.
     async fn resume(&mut self, link: Link, target: Target, offset: u64) {
         let message = ResumeFrom {
             id: target.id,
@@ -408,6 +416,7 @@
         }
     }
 
+    /// Asks the agent how an attempt ended, and bars it if it has not arrived.
     async fn settle(&mut self, link: Link, target: Target) {
         let message = Settle {
             id: target.id,
@@ -451,6 +460,7 @@
         self.notify_agent(path::SETTLE, message);
     }
 
+    /// Sends a message to the current agent in the background.
     fn notify_agent<M: Serialize + Send + Sync + 'static>(&self, path: &'static str, message: M) {
         let Some(peer) = self.peer.clone() else {
             return;
@@ -465,6 +475,7 @@
         .detach();
     }
 
+    /// Closes the current stream, and drops all pooled connections to the agent.
     fn retire(&mut self, target: &Target) {
         self.close_stream();
         self.record(Event::ConnectionRetired, &target.agent);
@@ -518,7 +529,7 @@
     }
 }
 
-/// Returns whether a failed call certainly did not reach the other process.
+/// Classifies a failed call by whether it certainly did not reach the other process.
 fn classify_loss(error: &PeerError) -> Loss {
     match error.kind {
         PeerErrorKind::Unreachable => Loss::Unsent,
--- a/crates/entry/src/choose.rs
+++ b/crates/entry/src/choose.rs
@@ -224,6 +224,7 @@
         }
     }
 
+    /// Returns the shards of everything that a server offers.
     fn shards_of(&self, info: &ServerInfo) -> Vec<usize> {
         let wanted = info.offers.iter().flat_map(Wanted::offered_by);
         let mut shards: Vec<_> = wanted.map(|w| shard_of(&w)).collect();
--- a/crates/entry/src/copy.rs
+++ b/crates/entry/src/copy.rs
@@ -19,13 +19,13 @@
 /// The result of reading or writing a copy.
 pub type Result<T> = std::result::Result<T, Report<CopyError>>;
 
-/// The first word of the file; another format gets another word.
+/// The first word of the file, which differs between formats.
 const FORMAT: &str = "snipemast-config-1";
 
 /// The reason why a copy can't be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CopyError {
-    /// The file can't be read or written.
+    /// Reading or writing the file failed.
     Disk(PathBuf),
     /// The content of the file is damaged.
     Corrupt(PathBuf),
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -30,7 +30,7 @@
 /// The most versions in one answer about the history.
 const MAX_HISTORY_LINES: usize = 1_024;
 
-/// A request that is suspected of crashing backend servers.
+/// A request that is suspected of crashing backend servers, with the number of crashes.
 #[derive(Debug, Serialize)]
 struct Suspect {
     request: String,
@@ -139,6 +139,7 @@
         Answer::ok(&dry)
     }
 
+    /// Returns the patch that restores the content of an earlier version.
     fn revert_patch(&self, to: Version) -> Result<Patch> {
         let (now, then) =
             self.with_machine(|m| Ok((Arc::clone(m.config()), m.history().config_at(to)?)))?;
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -135,7 +135,7 @@
         conn = conn.with_response_header(header.name, header.value);
     }
     if !stream {
-        return match body.read_whole().await {
+        return match body.read_to_end().await {
             Ok(body) => conn
                 .with_response_header(OUTCOME_HEADER, Outcome::Ran.as_str())
                 .with_body(body)
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Answers an agent.
+    /// Answers an agent's message about its lease.
     pub fn answer_agent(&self, shared: &Arc<Shared>, message: AgentMessage) -> Option<LeaseReply> {
         match self.handle(shared, Input::Agent(message))? {
             NodeAnswer::Lease(reply) => Some(reply),
--- a/crates/entry/src/keys.rs
+++ b/crates/entry/src/keys.rs
@@ -296,12 +296,12 @@
     /// Fetches the suspicions that this entry lacks from one other entry.
     ///
     /// A restarted entry learns the suspicions in this way.
-    async fn fetch_suspicions(&self, shared: &Shared, check: u32) {
+    async fn fetch_suspicions(&self, shared: &Shared, pass: u32) {
         let others: Vec<_> = other_entries(shared).into_values().collect();
         if others.is_empty() {
             return;
         }
-        let peer = self.peer_at(others[check as usize % others.len()]);
+        let peer = self.peer_at(others[pass as usize % others.len()]);
         let known = self.suspicions.read().known_facts();
         let message = Suspected {
             known,
@@ -331,8 +331,8 @@
 
 /// Applies the table of keepers, copies missing shards and drops what has expired, at a fixed
 /// interval.
-pub async fn keep_keys_forever(shared: Arc<Shared>) {
-    let mut check = 0u32;
+pub async fn maintain_keys_forever(shared: Arc<Shared>) {
+    let mut pass = 0u32;
     loop {
         let config = shared.config();
         let now = shared.clock.now();
@@ -342,14 +342,14 @@
             keeper.expire(now);
         }
         shared.keys.copy_missing(&shared).await;
-        if check.is_multiple_of(CHECKS_PER_QUERY) {
+        if pass.is_multiple_of(CHECKS_PER_QUERY) {
             shared.keys.suspicions.write().expire(now);
             shared
                 .keys
-                .fetch_suspicions(&shared, check / CHECKS_PER_QUERY)
+                .fetch_suspicions(&shared, pass / CHECKS_PER_QUERY)
                 .await;
         }
-        check = check.wrapping_add(1);
+        pass = pass.wrapping_add(1);
         smol::Timer::after(CHECK_INTERVAL.as_duration()).await;
     }
 }
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -21,7 +21,7 @@
 use crate::follow::follow_forever;
 use crate::front::CallerApi;
 use crate::gossip::gossip_forever;
-use crate::keys::keep_keys_forever;
+use crate::keys::maintain_keys_forever;
 use crate::metrics::report_forever;
 use crate::orders::send_orders_forever;
 use crate::own::InternalApi;
@@ -49,7 +49,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Bind(address) => write!(f, "{address} can't be bound"),
-            Self::Control => f.write_str("the control role can't begin"),
+            Self::Control => f.write_str("the control role can't start"),
             Self::Metrics(address) => write!(f, "metrics can't be sent to {address}"),
         }
     }
@@ -107,7 +107,7 @@
         let sync = spawn(sync_forever(Arc::clone(&shared)));
         let link = spawn(update_link_forever(Arc::clone(&shared)));
         let orders = spawn(send_orders_forever(Arc::clone(&shared)));
-        let keys = spawn(keep_keys_forever(Arc::clone(&shared)));
+        let keys = spawn(maintain_keys_forever(Arc::clone(&shared)));
         let admit = spawn(admit_forever(Arc::clone(&shared)));
         let demands = spawn(exchange_demands_forever(Arc::clone(&shared)));
         let mut tasks = vec![follow, gossip, sync, link, orders, keys, admit, demands];
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -199,8 +199,8 @@
         self.driver.request()
     }
 
-    /// Reads the whole body.
-    pub async fn read_whole(mut self) -> Result<Vec<u8>> {
+    /// Reads the body to its end.
+    pub async fn read_to_end(mut self) -> Result<Vec<u8>> {
         let mut body = Vec::new();
         loop {
             match self.driver.next().await {
@@ -227,20 +227,20 @@
             match step.or(gone).await {
                 Some(Step::Head(..)) => {}
                 Some(Step::Data(bytes)) => {
-                    let batch = self.batch(bytes);
+                    let batch = self.fill_batch(bytes);
                     if !send_batch(&out, batch).await {
                         return self.driver.abort();
                     }
                 }
                 Some(Step::End) => return self.admitted.mark_completed(),
-                Some(Step::Failed(verdict)) => return self.end_broken(verdict, &out).await,
+                Some(Step::Failed(verdict)) => return self.end_with_error(verdict, &out).await,
                 None => return self.driver.abort(),
             }
         }
     }
 
     /// Adds the bytes that have already arrived, so that many tokens go out in one write.
-    fn batch(&mut self, mut bytes: Vec<u8>) -> Vec<u8> {
+    fn fill_batch(&mut self, mut bytes: Vec<u8>) -> Vec<u8> {
         while bytes.len() < BATCH_BYTES {
             let Some(more) = self.driver.next_ready() else {
                 break;
@@ -254,7 +254,7 @@
     ///
     /// Failure guarded against: a stream that ends regularly after half its tokens looks like a
     /// complete answer. The error event and the cut body mark it as incomplete.
-    async fn end_broken(&self, verdict: Verdict, out: &PipeWriter) {
+    async fn end_with_error(&self, verdict: Verdict, out: &PipeWriter) {
         let problem = problem(verdict);
         self.shared
             .journal
--- a/crates/entry/src/spread.rs
+++ b/crates/entry/src/spread.rs
@@ -30,6 +30,7 @@
     state: Mutex<DistributorState>,
 }
 
+/// The part of a distributor that its lock guards.
 #[derive(Debug)]
 struct DistributorState {
     config: Arc<Config>,
@@ -208,6 +209,7 @@
 }
 
 impl DistributorState {
+    /// Returns the news for a process that has this version.
     fn since(&mut self, after: Version) -> News {
         if self.config.version <= after {
             return News::Unchanged;
@@ -230,6 +232,7 @@
         self.snapshots.back().expect("one was just pushed")
     }
 
+    /// Returns a piece of a snapshot, if the snapshot is still kept.
     fn piece(&self, version: Version, offset: u64) -> News {
         let mut held = self.snapshots.iter();
         let snapshot = held.find(|s| s.head().version == version);
@@ -237,6 +240,7 @@
     }
 }
 
+/// Waits for a signal, at most for `wait`.
 async fn signalled_within(listener: EventListener, wait: Span) {
     let timeout = async {
         smol::Timer::after(wait.as_duration()).await;
--- a/crates/entry/src/voter.rs
+++ b/crates/entry/src/voter.rs
@@ -59,7 +59,7 @@
 impl fmt::Display for VoterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Storage(path) => write!(f, "{} can't hold the log", path.display()),
+            Self::Storage(path) => write!(f, "the log can't be stored in {}", path.display()),
             Self::Thread => f.write_str("the voter's threads can't be started"),
         }
     }
@@ -124,7 +124,7 @@
     pub unique_id: u64,
 }
 
-/// A handle on the control role of this host.
+/// The handle to the control role of this host.
 pub struct Voter {
     shared: Arc<VoterShared>,
     links: Arc<Links>,
@@ -476,15 +476,15 @@
 }
 
 /// Starts a named thread.
-fn spawn_thread(name: &str, request: impl FnOnce() + Send + 'static) -> Result<()> {
+fn spawn_thread(name: &str, work: impl FnOnce() + Send + 'static) -> Result<()> {
     let builder = std::thread::Builder::new().name(name.into());
     builder
-        .spawn(request)
+        .spawn(work)
         .map(drop)
         .change_context(VoterError::Thread)
 }
 
 /// Starts a task on the executor of the HTTP servers.
-fn spawn_task(request: impl std::future::Future<Output = ()> + Send + 'static) -> Task<()> {
-    spawn(request)
+fn spawn_task(work: impl std::future::Future<Output = ()> + Send + 'static) -> Task<()> {
+    spawn(work)
 }
--- a/crates/entry/src/voter/engine.rs
+++ b/crates/entry/src/voter/engine.rs
@@ -101,6 +101,7 @@
         }
     }
 
+    /// Passes an input to the node, and performs its outputs.
     fn step<M: StateMachine>(
         &mut self,
         node: &mut Node<M>,
@@ -127,6 +128,7 @@
         self.links.send(location.map(|l| l.address), envelope);
     }
 
+    /// Publishes the node's status and the lease of its fencing number.
     fn publish<M: StateMachine>(&self, node: &Node<M>) {
         let fence_lease = node.lease_end().map(|end| (Fence(node.term().get()), end));
         *self.shared.fence_lease.lock() = fence_lease;
--- a/crates/entry/src/voter/links.rs
+++ b/crates/entry/src/voter/links.rs
@@ -121,6 +121,7 @@
             .try_send(Request::Input(Input::Receive(envelope)));
     }
 
+    /// Returns the queue of answers that wait for a voter's next requests.
     fn answer_queue(&self, to: VoterId) -> AnswerQueue {
         let mut answers = self.answers.lock();
         let new_queue = || {
@@ -130,6 +131,7 @@
         answers.entry(to).or_insert_with(new_queue).clone()
     }
 
+    /// Returns the queue to a voter, and connects to it if its address is new.
     fn send_queue(&self, to: VoterId, address: SocketAddr) -> Sender<Envelope> {
         let mut links = self.links.lock();
         let control_host = links.get(&to).filter(|l| l.peer.address() == address);
