--- a/crates/sidecar/src/calls.rs
+++ b/crates/sidecar/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of a group's lead to the processes beside its ranks.
+//! Queries and orders that a group's lead sends to the processes beside its ranks.
 
 use std::iter::repeat;
 use std::net::SocketAddr;
@@ -16,99 +16,104 @@
 use crate::engine::Engine;
 use crate::peers::{path, Execute, RankReport, Relay, Relayed, StateQuery};
 use crate::rank::Rank;
-use crate::relay::{give, Clients};
+use crate::relay::{send_order, Clients};
 
-/// How long a rank may take to say how it is.
-const LOOK: Span = Span::from_millis(500);
+/// How long a process may take to report the state of its rank.
+const STATE_TIMEOUT: Span = Span::from_millis(500);
 
-/// How long an order may take that is passed on: the way to the relay besides.
-const RELAYED: Span = Span::from_millis(2_300);
+/// How long a relayed order may take: the time of a direct order plus the way to the relay.
+const RELAY_TIMEOUT: Span = Span::from_millis(2_300);
 
-/// The pause after an order that reached nobody: a rank's process may be back soon.
-const AGAIN: Span = Span::from_millis(100);
+/// The pause after an unanswered call: the process beside the rank may be back soon.
+const RETRY_PAUSE: Span = Span::from_millis(100);
 
-/// How often ranks are asked that don't answer: a process that was killed is back within half a second.
-const ROUNDS: usize = 4;
+/// How often ranks that don't answer are queried: a process that was killed is back within half a second.
+const STATE_ROUNDS: usize = 4;
 
-/// Calls to the ranks of a group.
+/// Sends queries and orders to the ranks of a group.
 pub(crate) struct Calls {
     clients: Arc<Clients>,
     lead: Ballot,
-    /// Counts the orders given.
+    /// The number of orders given so far.
     number: u64,
     outcomes: (Sender<OrderOutcome>, Receiver<OrderOutcome>),
-    orders: Vec<Task<()>>,
-    /// The rank that holds the group, as it is held from here.
+    order_tasks: Vec<Task<()>>,
+    /// The rank that holds the group, where this process orders it directly.
     holder: Option<Arc<Rank>>,
-    /// The first rank, where its process is gone and it is ordered from here.
-    first: Option<Arc<Rank>>,
+    /// The first rank, where its process is gone and this process orders it directly.
+    first_rank: Option<Arc<Rank>>,
 }
 
-/// What became of an order.
+/// The outcome of an order.
 pub(crate) struct OrderOutcome {
-    /// The rank that it was for.
+    /// The rank that the order was for.
     pub(crate) rank: usize,
-    /// The phase of the switch that it belongs to.
+    /// The phase of the switch that the order belongs to.
     pub(crate) phase: Phase,
-    /// What became of it.
+    /// The outcome at the rank.
     pub(crate) outcome: Outcome,
 }
 
 impl Calls {
-    /// No call is under way.
+    /// Creates the calls of a lead that has sent none yet.
     pub(crate) fn new() -> Self {
         Self {
             clients: Arc::default(),
             lead: Ballot(0),
             number: 0,
             outcomes: unbounded(),
-            orders: Vec::new(),
+            order_tasks: Vec::new(),
             holder: None,
-            first: None,
+            first_rank: None,
         }
     }
 
-    /// Holds a group at this rank from now on.
+    /// Sets the rank that holds the group from now on.
     ///
-    /// Failure guarded against: the host that gave the hold stands still, with the rank on it, which takes no
-    /// order then: the group stands as long as the host. So the lead gives it, on its host, to a rank on
-    /// another one, whose process can let the group go on.
-    pub(crate) fn hold_at(&mut self, server: SocketAddr, process: SocketAddr, journal: &Journal) {
+    /// Failure guarded against: the host on which the hold was ordered freezes together with the rank that holds
+    /// the group. That rank takes no order then, and the group stands still as long as the host does. So the
+    /// lead, on its own host, orders the hold at a rank on another host, whose process can release the group.
+    pub(crate) fn set_holder(
+        &mut self,
+        server: SocketAddr,
+        process: SocketAddr,
+        journal: &Journal,
+    ) {
         if self.holder.as_ref().is_some_and(|h| h.address() == server) {
             return;
         }
-        let teller = self.clients.get(process);
-        let rank = Rank::told_by(Engine::new(server), teller, journal.clone());
+        let process_client = self.clients.get(process);
+        let rank = Rank::with_peer(Engine::new(server), process_client, journal.clone());
         self.holder = Some(Arc::new(rank));
     }
 
-    /// Orders the first rank from here, or through its process again.
-    pub(crate) fn order_first(&mut self, first: Option<Rank>) {
-        self.first = first.map(Arc::new);
+    /// Orders the first rank directly, or through its process again where none is given.
+    pub(crate) fn set_first_rank(&mut self, first: Option<Rank>) {
+        self.first_rank = first.map(Arc::new);
     }
 
-    /// The rank that an order is for, where it is ordered from here.
-    fn ordered_here(&self, send: &RankOrder) -> Option<Arc<Rank>> {
-        match send.order {
+    /// Returns the rank that an order is for, where this process orders it directly.
+    fn direct_rank(&self, rank_order: &RankOrder) -> Option<Arc<Rank>> {
+        match rank_order.order {
             Order::Hold { .. } => self.holder.clone(),
-            _ if send.rank == LEAD_RANK => self.first.clone(),
+            _ if rank_order.rank == LEAD_RANK => self.first_rank.clone(),
             _ => None,
         }
     }
 
-    /// Gives orders as a lead above another one from now on.
-    pub(crate) fn lead_above(&mut self, other: Ballot) -> Ballot {
+    /// Raises the ballot of later orders above another lead's, and returns it.
+    pub(crate) fn raise_lead(&mut self, other: Ballot) -> Ballot {
         self.lead = next_lead_ballot(other.max(self.lead));
         self.lead
     }
 
-    /// Gives orders under this ballot from now on.
-    pub(crate) fn give_as(&mut self, lead: Ballot) {
+    /// Sets the ballot of later orders.
+    pub(crate) fn set_lead(&mut self, lead: Ballot) {
         self.lead = lead;
     }
 
-    /// Asks ranks how they are, all at once; nothing from those that do not answer.
-    pub(crate) async fn look(
+    /// Queries the state of ranks, all at once; returns nothing for those that don't answer.
+    pub(crate) async fn query_states(
         &mut self,
         asked: Vec<(SocketAddr, StateQuery)>,
     ) -> Vec<(SocketAddr, RankReport)> {
@@ -118,7 +123,7 @@
                 let client = self.clients.get(address);
                 spawn(async move {
                     let seen = client
-                        .call::<_, RankReport>(path::STATE, &query, LOOK)
+                        .call::<_, RankReport>(path::STATE, &query, STATE_TIMEOUT)
                         .await;
                     seen.ok().map(|seen| (address, seen))
                 })
@@ -131,23 +136,23 @@
         all
     }
 
-    /// Asks ranks how they are, and those that did not answer again, some times.
+    /// Queries the state of ranks, and queries those that didn't answer again, [`STATE_ROUNDS`] times in all.
     ///
-    /// Load answered: of 192 processes one is nearly always away, and a group can be taken up only once each
-    /// of them has answered. Asking all of them anew for one that was missing takes a look of 0.3 s each time.
-    pub(crate) async fn look_again(
+    /// Of 192 processes one is nearly always away, and a lead can adopt a group only once each of them has
+    /// answered. Querying all of them anew for one that is missing would take 0.3 s each time.
+    pub(crate) async fn query_until_complete(
         &mut self,
         mut asked: Vec<SocketAddr>,
         query: &StateQuery,
     ) -> Vec<(SocketAddr, RankReport)> {
         let mut seen = Vec::with_capacity(asked.len());
-        for round in 0..ROUNDS {
+        for round in 0..STATE_ROUNDS {
             if round > 0 {
-                pause(AGAIN).await;
+                pause(RETRY_PAUSE).await;
             }
             let queries = asked.iter().map(|address| (*address, query.clone()));
-            seen.extend(self.look(queries.collect()).await);
-            asked.retain(|address| seen.iter().all(|(told, _)| told != address));
+            seen.extend(self.query_states(queries.collect()).await);
+            asked.retain(|address| seen.iter().all(|(answered, _)| answered != address));
             if asked.is_empty() {
                 break;
             }
@@ -155,97 +160,105 @@
         seen
     }
 
-    /// Sends orders; what becomes of each is told by [`outcome`](Self::outcome).
-    pub(crate) fn execute(&mut self, sends: Vec<RankOrder>, addresses: &[SocketAddr]) {
-        self.orders.retain(|t| !t.is_finished());
-        let (here, others): (Vec<RankOrder>, Vec<RankOrder>) = sends
+    /// Sends orders; [`next_outcome`](Self::next_outcome) returns the outcome of each.
+    pub(crate) fn send_orders(&mut self, rank_orders: Vec<RankOrder>, addresses: &[SocketAddr]) {
+        self.order_tasks.retain(|t| !t.is_finished());
+        let (here, others): (Vec<RankOrder>, Vec<RankOrder>) = rank_orders
             .into_iter()
-            .partition(|send| self.ordered_here(send).is_some());
+            .partition(|rank_order| self.direct_rank(rank_order).is_some());
         let mut all = plan_deliveries(others, self.number);
         all.extend(here.into_iter().map(Delivery::Direct));
         for delivery in all {
-            // One number will do for orders alike: each rank compares only with those that it got itself.
+            // Equal orders share a number: each rank compares it only with those of the orders that it got itself.
             self.number += 1;
             match delivery {
-                Delivery::Direct(send) => self.send(send, addresses),
+                Delivery::Direct(rank_order) => self.send_direct(rank_order, addresses),
                 Delivery::Relayed { through, orders } => self.relay(through, orders, addresses),
             }
         }
     }
 
-    fn send(&mut self, send: RankOrder, addresses: &[SocketAddr]) {
-        let client = self.clients.get(addresses[send.rank]);
-        let (rank, phase) = (send.rank, send.phase);
-        let here = self.ordered_here(&send);
-        let order = self.order(send);
+    /// Sends an order to the process beside its rank, or to the rank itself where it is ordered directly.
+    fn send_direct(&mut self, rank_order: RankOrder, addresses: &[SocketAddr]) {
+        let client = self.clients.get(addresses[rank_order.rank]);
+        let (rank, phase) = (rank_order.rank, rank_order.phase);
+        let here = self.direct_rank(&rank_order);
+        let order = self.build_order(rank_order);
         let sender = self.outcomes.0.clone();
-        self.orders.push(spawn(async move {
+        self.order_tasks.push(spawn(async move {
             let outcome = match here {
                 Some(rank) => Some(rank.execute(order).await.outcome),
-                None => give(&client, &order).await,
+                None => send_order(&client, &order).await,
             };
             let outcome = match outcome {
                 Some(outcome) => outcome,
                 None => {
-                    pause(AGAIN).await;
+                    pause(RETRY_PAUSE).await;
                     Outcome::Unsure
                 }
             };
-            tell(&sender, rank, phase, outcome).await;
+            report_outcome(&sender, rank, phase, outcome).await;
         }));
     }
 
-    /// Lets a rank pass an order on to some.
-    fn relay(&mut self, through: usize, sends: Vec<RankOrder>, addresses: &[SocketAddr]) {
-        let Some(first) = sends.first().cloned() else {
+    /// Sends an order to the process beside one rank, which forwards it to the others.
+    fn relay(&mut self, through: usize, rank_orders: Vec<RankOrder>, addresses: &[SocketAddr]) {
+        let Some(first) = rank_orders.first().cloned() else {
             return;
         };
         let client = self.clients.get(addresses[through]);
-        let ranks: Vec<usize> = sends.iter().map(|s| s.rank).collect();
+        let ranks: Vec<usize> = rank_orders.iter().map(|s| s.rank).collect();
         let (phase, sender) = (first.phase, self.outcomes.0.clone());
         let relay = Relay {
-            order: self.order(first),
+            order: self.build_order(first),
             to: ranks.iter().map(|rank| addresses[*rank]).collect(),
         };
-        self.orders.push(spawn(async move {
+        self.order_tasks.push(spawn(async move {
             let relayed = client
-                .call::<_, Relayed>(path::RELAY, &relay, RELAYED)
+                .call::<_, Relayed>(path::RELAY, &relay, RELAY_TIMEOUT)
                 .await;
             let outcomes = relayed.map_or_else(|_| Vec::new(), |r| r.outcomes);
             let outcomes = outcomes.into_iter().chain(repeat(Outcome::Unsure));
             for (rank, outcome) in ranks.into_iter().zip(outcomes) {
-                tell(&sender, rank, phase, outcome).await;
+                report_outcome(&sender, rank, phase, outcome).await;
             }
         }));
     }
 
-    fn order(&self, send: RankOrder) -> Execute {
+    /// Builds the message that gives an order.
+    fn build_order(&self, rank_order: RankOrder) -> Execute {
         Execute {
             lead: self.lead,
             number: self.number,
-            epoch: send.epoch,
-            order: send.order,
+            epoch: rank_order.epoch,
+            order: rank_order.order,
         }
     }
 
-    /// What became of the next order that is settled, within a limit.
-    pub(crate) async fn outcome(&self, limit: Span) -> Option<OrderOutcome> {
+    /// Returns the outcome of the next order that is settled, or nothing once the limit has passed.
+    pub(crate) async fn next_outcome(&self, limit: Span) -> Option<OrderOutcome> {
         let receiver = self.outcomes.1.clone();
-        let told = async { receiver.recv().await.ok() };
+        let received = async { receiver.recv().await.ok() };
         let late = async {
             pause(limit).await;
             None
         };
-        futures_lite::future::or(told, late).await
+        futures_lite::future::or(received, late).await
     }
 }
 
-async fn tell(sender: &Sender<OrderOutcome>, rank: usize, phase: Phase, outcome: Outcome) {
-    let told = OrderOutcome {
+/// Reports the outcome of an order to the lead.
+async fn report_outcome(
+    sender: &Sender<OrderOutcome>,
+    rank: usize,
+    phase: Phase,
+    outcome: Outcome,
+) {
+    let report = OrderOutcome {
         rank,
         phase,
         outcome,
     };
-    // The lead has ended where nobody receives.
-    let _ = sender.send(told).await;
+    // The receiver is gone only where the lead has ended.
+    let _ = sender.send(report).await;
 }
--- a/crates/sidecar/src/deputy.rs
+++ b/crates/sidecar/src/deputy.rs
@@ -1,4 +1,4 @@
-//! On rank 1: lets the group go on that this rank holds for a lead that has fallen silent.
+//! On rank 1: releases the group that this rank holds for a lead which no longer answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,44 +11,45 @@
 
 use crate::calls::Calls;
 use crate::engine::Engine;
-use crate::news::Reader;
+use crate::news::NewsReader;
 use crate::peers::{path, RankReport, StateQuery};
 use crate::rank::Rank;
 use crate::relay::Clients;
 
-/// How often the own rank is looked at.
-const WATCH: Span = Span::from_millis(100);
+/// How often the deputy checks its own rank.
+const CHECK_INTERVAL: Span = Span::from_millis(100);
 
-/// The same while it is held: each moment that is lost here a group may stand.
-const WATCH_HELD: Span = Span::from_millis(20);
+/// How often the deputy checks its own rank while that is held: the group may stand still for all of this time.
+const HELD_CHECK_INTERVAL: Span = Span::from_millis(20);
 
-/// How long the process beside rank 0 may take to answer before it is taken for silent: some times what
-/// answers to orders of a switch take.
-const ANSWER: Span = Span::from_millis(150);
+/// How long the process beside rank 0 may take to answer before it counts as silent: several times as long as
+/// answers to the orders of a switch take.
+const LEAD_TIMEOUT: Span = Span::from_millis(150);
 
-/// Watches over a group beside its second rank.
+/// Watches a group from beside its second rank.
 pub(crate) struct Deputy {
-    reader: Arc<Reader>,
+    reader: Arc<NewsReader>,
     journal: Journal,
     clock: BootClock,
     rank: Arc<Rank>,
     clients: Arc<Clients>,
     calls: Calls,
-    stillness: StandstillDetector,
-    group: Option<Known>,
+    standstill: StandstillDetector,
+    group: Option<KnownGroup>,
 }
 
-/// What is known of a group for as long as it does not form again.
-struct Known {
+/// What the deputy knows of a group until that forms again.
+struct KnownGroup {
     epoch: GroupIncarnation,
     /// The processes beside the ranks.
     addresses: Vec<SocketAddr>,
 }
 
 impl Deputy {
-    pub(crate) fn new(reader: Arc<Reader>, rank: Arc<Rank>, journal: Journal) -> Self {
+    /// Creates the deputy beside its rank.
+    pub(crate) fn new(reader: Arc<NewsReader>, rank: Arc<Rank>, journal: Journal) -> Self {
         let clock = BootClock::new();
-        let stillness = StandstillDetector::new(clock.now());
+        let standstill = StandstillDetector::new(clock.now());
         Self {
             reader,
             journal,
@@ -56,36 +57,44 @@
             rank,
             clients: Arc::default(),
             calls: Calls::new(),
-            stillness,
+            standstill,
             group: None,
         }
     }
 
-    /// Watches for as long as it is polled.
+    /// Watches the group for as long as the future is polled.
     pub(crate) async fn run(mut self) {
         let mut held = false;
         loop {
-            pause(if held { WATCH_HELD } else { WATCH }).await;
-            let Some((state, working)) = self.rank.at_work().await else {
+            pause(if held {
+                HELD_CHECK_INTERVAL
+            } else {
+                CHECK_INTERVAL
+            })
+            .await;
+            let Some((state, working)) = self.rank.state_and_work().await else {
                 continue;
             };
             held = state.held.is_some();
-            let still = self.stillness.observe(self.clock.now(), &state, working);
-            self.learn(&state).await;
-            if still && !self.lead_answers().await {
+            let stands_still = self.standstill.observe(self.clock.now(), &state, working);
+            self.learn_addresses(&state).await;
+            if stands_still && !self.lead_answers().await {
                 self.take_over(&state).await;
             }
         }
     }
 
-    /// Learns where the ranks are, whenever the group has formed.
-    async fn learn(&mut self, state: &RankState) {
+    /// Learns the addresses of the processes beside the ranks whenever the group has formed.
+    async fn learn_addresses(&mut self, state: &RankState) {
         let known = self.group.as_ref();
         if !state.open || known.is_some_and(|g| g.epoch == state.epoch) {
             return;
         }
-        let asked = self.reader.ranks();
-        let mut all = self.calls.look_again(asked, &StateQuery::default()).await;
+        let asked = self.reader.rank_processes();
+        let mut all = self
+            .calls
+            .query_until_complete(asked, &StateQuery::default())
+            .await;
         all.retain(|(_, seen)| seen.group == *self.reader.group());
         all.sort_by_key(|(_, seen)| seen.rank);
         let (addresses, seen): (Vec<SocketAddr>, Vec<RankReport>) = all.into_iter().unzip();
@@ -93,30 +102,30 @@
         let whole = seen.first().is_some_and(|first| first.size == seen.len());
         if whole && same {
             let epoch = state.epoch;
-            self.group = Some(Known { epoch, addresses });
+            self.group = Some(KnownGroup { epoch, addresses });
         }
     }
 
-    /// Whether the process beside rank 0 answers; it settles its holds itself then.
+    /// Whether the process beside rank 0 answers; it releases its holds itself then.
     async fn lead_answers(&self) -> bool {
         let Some(group) = &self.group else {
             return true;
         };
         let client = self.clients.get(group.addresses[LEAD_RANK]);
         let query = StateQuery::default();
-        let asked = client.call::<_, RankReport>(path::STATE, &query, ANSWER);
-        asked.await.is_ok()
+        let answer = client.call::<_, RankReport>(path::STATE, &query, LEAD_TIMEOUT);
+        answer.await.is_ok()
     }
 
-    /// The first rank, where it can be ordered although the process beside it is silent.
+    /// Returns the first rank, where it can be ordered although the process beside it is silent.
     async fn first_rank(&self, process: SocketAddr) -> Option<Rank> {
         let server = self.reader.server_at(process.ip())?;
         let engine = Engine::new(server);
         engine.report().await.ok()?;
-        Some(Rank::from_afar(engine, self.journal.clone()))
+        Some(Rank::without_process(engine, self.journal.clone()))
     }
 
-    /// Takes over, unless the lead is about to end what it is doing, and lets the group go on.
+    /// Takes over, unless the lead is about to finish its switch, and releases the group.
     async fn take_over(&mut self, own: &RankState) {
         let Some(known) = &self.group else {
             return;
@@ -134,22 +143,25 @@
             return;
         }
         let pledged = first.is_some();
-        self.calls.order_first(first);
+        self.calls.set_first_rank(first);
         let addresses = known.addresses.clone();
         let detail = format!("held at step {step}, {} is silent", addresses[LEAD_RANK]);
         self.journal.record(Event::LeadOvertaken, "group", detail);
-        self.calls.give_as(lead);
-        let (mut takeover, sends) = Takeover::begin(addresses.len(), lead, own, step, pledged);
-        self.calls.execute(sends, &addresses);
+        self.calls.set_lead(lead);
+        let (mut takeover, orders) = Takeover::begin(addresses.len(), lead, own, step, pledged);
+        self.calls.send_orders(orders, &addresses);
         while !takeover.is_over() {
-            let Some(told) = self.calls.outcome(WATCH).await else {
+            let Some(outcome) = self.calls.next_outcome(CHECK_INTERVAL).await else {
                 continue;
             };
-            let sends = takeover.handle_outcome(told.rank, told.phase, told.outcome);
-            self.calls.execute(sends, &addresses);
+            let orders = takeover.handle_outcome(outcome.rank, outcome.phase, outcome.outcome);
+            self.calls.send_orders(orders, &addresses);
         }
-        self.stillness.back_off(self.clock.now());
-        self.journal
-            .record(Event::MapAborted, "group", "let go for a silent lead");
+        self.standstill.back_off(self.clock.now());
+        self.journal.record(
+            Event::MapAborted,
+            "group",
+            "released in place of a silent lead",
+        );
     }
 }
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -1,4 +1,4 @@
-//! Calls to the rank beside which this process runs.
+//! Calls to the rank beside this process.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -17,22 +17,22 @@
 /// The result of a call.
 pub(crate) type Result<T> = std::result::Result<T, Report<EngineError>>;
 
-/// How long a call on the own host may take: it takes some ms, and the rest is for a processor that
-/// is shared. The group may stand still while an order that got no answer is waited for.
-const LIMIT: Span = Span::from_millis(100);
+/// How long a call on the own host may take: it takes some ms, and the rest allows for a shared processor.
+/// The group may stand still while the answer to an order is awaited.
+const CALL_TIMEOUT: Span = Span::from_millis(100);
 
-/// How long an order on the own host may take before it is given again: some times what it takes. One that
-/// comes late after all is outdated by the one that was answered. The group is on an uneven map or
-/// stands still meanwhile.
-const ORDER: Span = Span::from_millis(30);
+/// How long an order on the own host may take before it is sent again: several times what it usually takes.
+/// A copy that arrives late has no effect after the one that was answered. Meanwhile the group runs on an
+/// unbalanced map or stands still.
+const ORDER_TIMEOUT: Span = Span::from_millis(30);
 
-/// A call that was not answered, or not in words that can be read.
+/// A call to the rank that got no readable answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct EngineError;
 
 impl fmt::Display for EngineError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the rank does not answer")
+        f.write_str("the rank gave no readable answer")
     }
 }
 
@@ -45,42 +45,43 @@
 }
 
 impl Engine {
+    /// Creates the client of the rank at this address.
     pub(crate) fn new(address: SocketAddr) -> Self {
         Self {
-            connection: KeptConnection::new(address, LIMIT),
+            connection: KeptConnection::new(address, CALL_TIMEOUT),
         }
     }
 
-    /// Where the rank takes requests.
+    /// Returns the address at which the rank takes requests.
     pub(crate) fn address(&self) -> SocketAddr {
         self.connection.address()
     }
 
-    /// The rank's report.
+    /// Asks for the rank's report.
     pub(crate) async fn report(&self) -> Result<ServerReport> {
-        let asked = self.call(Method::GET, server::REPORT, Bytes::new(), LIMIT);
-        let (_, body) = asked.await?;
+        let response = self.call(Method::GET, server::REPORT, Bytes::new(), CALL_TIMEOUT);
+        let (_, body) = response.await?;
         server::read_report(&body).change_context(EngineError)
     }
 
-    /// How often each expert was chosen for this rank's requests, since it started.
+    /// Asks how often each expert was chosen for this rank's requests since the rank started.
     pub(crate) async fn counts(&self) -> Result<Vec<u64>> {
-        let asked = self.call(Method::GET, server::COUNTS, Bytes::new(), LIMIT);
-        let (_, body) = asked.await?;
+        let response = self.call(Method::GET, server::COUNTS, Bytes::new(), CALL_TIMEOUT);
+        let (_, body) = response.await?;
         server::read_counts(&body).change_context(EngineError)
     }
 
-    /// The experts that the rank holds, by set.
+    /// Asks which experts the rank holds, by set.
     pub(crate) async fn experts(&self) -> Result<Vec<Vec<u16>>> {
-        let asked = self.call(Method::GET, server::EXPERTS, Bytes::new(), LIMIT);
-        let (_, body) = asked.await?;
+        let response = self.call(Method::GET, server::EXPERTS, Bytes::new(), CALL_TIMEOUT);
+        let (_, body) = response.await?;
         server::read_experts(&body).change_context(EngineError)
     }
 
-    /// Gives the rank an order; an error where it may be carried out all the same, even later.
+    /// Sends the rank an order. After an error the rank may still carry it out, even later.
     pub(crate) async fn order(&self, body: Bytes) -> Result<StatusCode> {
         let (method, path) = server::ORDER;
-        Ok(self.call(method, path, body, ORDER).await?.0)
+        Ok(self.call(method, path, body, ORDER_TIMEOUT).await?.0)
     }
 
     async fn call(
--- a/crates/sidecar/src/group.rs
+++ b/crates/sidecar/src/group.rs
@@ -1,4 +1,4 @@
-//! What a lead knows of its group.
+//! The state of a group as its lead knows it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,45 +12,47 @@
 
 use crate::peers::{RankReport, StateQuery};
 
-/// The pace, in hundredths, up to which a rank is as fast as usual.
-const USUAL: u32 = 110;
+/// The highest pace, in hundredths of the usual time, at which a rank doesn't count as slow.
+const USUAL_PACE: u32 = 110;
 
-/// In how many looks every rank of a group is looked at that is idle, where it has more than
-/// [`FEW`] ranks: 72 answers at each look took the lead's whole processor.
-const TURNS: usize = 4;
-const FEW: usize = 18;
+/// In how many polls each rank of an idle group is queried once, where the group has more than
+/// [`FULL_POLL_RANKS`] ranks: 72 answers to each poll took the lead's whole processor.
+const POLL_TURNS: usize = 4;
+/// The most ranks that are all queried in each poll.
+const FULL_POLL_RANKS: usize = 18;
 
-/// What is known of a group.
+/// A group as its lead knows it.
 pub(crate) struct Group {
-    /// Its incarnation.
+    /// The group's incarnation.
     pub(crate) epoch: GroupIncarnation,
-    /// What is under way.
+    /// The switch under way.
     pub(crate) switch: Switch,
-    /// The map in force, and its number.
+    /// The map in force.
     pub(crate) map: Arc<ExpertMap>,
+    /// The version of the map in force.
     pub(crate) version: MapVersion,
-    /// By what ranks know it, slot by slot; nothing where an earlier lead told it.
+    /// The base that ranks share with this lead, slot by slot; nothing where an earlier lead sent the map.
     pub(crate) base: Option<Base>,
-    /// The map that is being brought into force.
+    /// The map that the group switches to.
     pub(crate) next: Option<Arc<ExpertMap>>,
     /// The demand for experts.
     pub(crate) demand: Demand,
-    /// Whether it has settled since its last shift.
+    /// Whether the demand has settled since its last shift.
     pub(crate) settled: bool,
     /// The processes beside the ranks.
     pub(crate) addresses: Vec<SocketAddr>,
-    /// The ranks' states, as last seen.
+    /// The last known states of the ranks.
     pub(crate) states: Vec<RankState>,
-    /// Which start of each rank belongs to the group.
+    /// The start of each rank that belongs to the group.
     starts: Vec<Incarnation>,
-    /// How much longer than usual each rank takes, in hundredths.
+    /// How long each rank takes, in hundredths of the usual time.
     paces: Vec<u32>,
-    /// Counts the looks.
-    looks: usize,
+    /// The number of polls so far.
+    polls: usize,
 }
 
 impl Group {
-    /// A group whose ranks were all seen, in their order, and the map in force.
+    /// Creates a group from the reports of all of its ranks, in their order, and the map in force.
     pub(crate) fn new(
         lead: Ballot,
         addresses: Vec<SocketAddr>,
@@ -71,34 +73,34 @@
             states: seen.iter().map(|s| s.state).collect(),
             starts: seen.iter().map(|s| s.start).collect(),
             paces: seen.iter().map(|s| s.pace).collect(),
-            looks: 0,
+            polls: 0,
         }
     }
 
-    /// Whom to ask what at the next look: all ranks, or those that count and a part of the others.
+    /// Returns the queries of the next poll: to all ranks, or to those that count choices and a part of the others.
     pub(crate) fn queries(&mut self, all: bool) -> Vec<(SocketAddr, StateQuery)> {
-        self.looks += 1;
-        let turn = self.looks % TURNS;
-        let all = all || self.addresses.len() <= FEW;
+        self.polls += 1;
+        let turn = self.polls % POLL_TURNS;
+        let all = all || self.addresses.len() <= FULL_POLL_RANKS;
         let ranks = self.addresses.iter().enumerate();
-        let asked = ranks.filter_map(|(rank, address)| {
+        let queries = ranks.filter_map(|(rank, address)| {
             let counted = self.demand.sample_cursor(rank);
-            let wanted = all || counted.is_some() || rank % TURNS == turn;
+            let wanted = all || counted.is_some() || rank % POLL_TURNS == turn;
             let query = StateQuery {
                 experts: false,
                 counted,
             };
             wanted.then_some((*address, query))
         });
-        asked.collect()
+        queries.collect()
     }
 
-    /// Takes what ranks said; false where they are not the group that is known.
-    pub(crate) fn take(&mut self, now: Moment, seen: &[(SocketAddr, RankReport)]) -> bool {
+    /// Takes ranks' reports; returns false where they belong to another formation of the group.
+    pub(crate) fn apply_reports(&mut self, now: Moment, seen: &[(SocketAddr, RankReport)]) -> bool {
         let same = seen.iter().all(|(address, seen)| {
             let known = self.addresses.get(seen.rank);
-            let again = self.starts.get(seen.rank) != Some(&seen.start);
-            known == Some(address) && !again && seen.state.epoch == self.epoch
+            let restarted = self.starts.get(seen.rank) != Some(&seen.start);
+            known == Some(address) && !restarted && seen.state.epoch == self.epoch
         });
         if !same {
             return false;
@@ -114,20 +116,21 @@
         true
     }
 
-    /// Whether nothing is under way on any rank, and the map that is known is in force.
+    /// Whether no rank is armed or held, and all have the known map in force.
     pub(crate) fn is_steady(&self) -> bool {
         let mut states = self.states.iter();
         states.all(|s| s.map == self.version && s.armed.is_none() && s.held.is_none())
     }
 
-    /// The map that all ranks have in force, where it is another one than is known.
-    pub(crate) fn other_map(&self) -> Option<MapVersion> {
+    /// Returns the version that all ranks have in force, where it differs from the known one.
+    pub(crate) fn differing_map(&self) -> Option<MapVersion> {
         let other = self.states[0].map;
         let all = self.states.iter().all(|s| s.map == other);
         (all && other != self.version).then_some(other)
     }
 
-    /// A map as ranks are told it: by its difference from the one in force, where they know that as this lead does.
+    /// Returns a map in the form that is sent to ranks: as its difference from the one in force where they share
+    /// that with this lead, else whole.
     pub(crate) fn draft(&self, map: &Arc<ExpertMap>) -> Draft {
         match self.base {
             Some(base) => Draft::new(base, &self.map, map),
@@ -135,27 +138,27 @@
         }
     }
 
-    /// The highest map number on any rank.
-    pub(crate) fn highest(&self) -> MapVersion {
+    /// Returns the highest map version on any rank.
+    pub(crate) fn highest_version(&self) -> MapVersion {
         let highest = self.states.iter().map(RankState::highest_map);
         highest.max().unwrap_or_default()
     }
 
-    /// How much longer than usual each rank takes, as a factor.
-    pub(crate) fn paces(&self) -> Vec<f64> {
+    /// Returns how long each rank takes, as a factor of the usual time.
+    pub(crate) fn pace_factors(&self) -> Vec<f64> {
         self.paces.iter().map(|p| f64::from(*p) / 100.0).collect()
     }
 
-    /// The processes beside ranks that are slow, with their paces in hundredths.
-    pub(crate) fn slow(&self) -> Vec<(SocketAddr, u32)> {
-        let both = self.addresses.iter().zip(&self.paces);
-        let slow = both.filter(|(_, pace)| **pace > USUAL);
+    /// Returns the processes beside slow ranks, with the ranks' paces in hundredths.
+    pub(crate) fn slow_ranks(&self) -> Vec<(SocketAddr, u32)> {
+        let paced = self.addresses.iter().zip(&self.paces);
+        let slow = paced.filter(|(_, pace)| **pace > USUAL_PACE);
         slow.map(|(address, pace)| (*address, *pace)).collect()
     }
 }
 
-/// The map that a group has in force, and by what its ranks know it; nothing where they did not say what they
-/// hold.
+/// Returns the map that a group has in force, and the base that its ranks share; nothing where they didn't report
+/// what they hold.
 pub(crate) fn map_in_force(
     experts: &Experts,
     seen: &[RankReport],
@@ -166,13 +169,13 @@
     }
     let (base, first) = first_map(experts, seen.len());
     match held {
-        // The same ranks hold the same experts, in other slots at most.
+        // Where the same ranks hold the same experts, only the slots may differ from the first map.
         Some(held) if !first.has_same_holders(&held) => Some((held, None)),
         _ => Some((first, Some(base))),
     }
 }
 
-/// The map that a group begins with: experts dealt out in turn.
+/// Returns the map that a group begins with, which assigns experts to ranks round-robin.
 fn first_map(experts: &Experts, ranks: usize) -> (Base, ExpertMap) {
     let (layers, ranks) = (experts.sets as u16, ranks as u16);
     let (slots, experts) = (experts.places as u16, experts.count as u16);
@@ -186,11 +189,11 @@
     (base, map)
 }
 
-/// The map out of what each rank says it holds; nothing where one did not say.
+/// Builds the map from what each rank reports to hold; nothing where a rank didn't report it.
 fn held_map(experts: &Experts, seen: &[RankReport]) -> Option<ExpertMap> {
     let (sets, places) = (experts.sets as usize, experts.places as u16);
-    let usual = |held: &Vec<u16>| held.iter().all(|e| u32::from(*e) < experts.count);
-    let whole = |s: &RankReport| s.experts.len() == sets && s.experts.iter().all(usual);
+    let valid = |held: &Vec<u16>| held.iter().all(|e| u32::from(*e) < experts.count);
+    let whole = |s: &RankReport| s.experts.len() == sets && s.experts.iter().all(valid);
     if !seen.iter().all(whole) {
         return None;
     }
--- a/crates/sidecar/src/lead.rs
+++ b/crates/sidecar/src/lead.rs
@@ -1,4 +1,4 @@
-//! On rank 0: evens out the group's experts.
+//! On rank 0: balances the load of the group's experts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,158 +14,166 @@
 
 use crate::calls::{Calls, OrderOutcome};
 use crate::group::{map_in_force, Group};
-use crate::news::Reader;
+use crate::news::NewsReader;
 use crate::peers::{RankReport, StateQuery};
 
-/// From one look to the next while nothing is under way: demand shifts within seconds, and a tenth of one
-/// holds enough choices to tell.
-const PACE: Span = Span::from_millis(120);
+/// The interval between polls while nothing is under way: demand shifts within seconds, and a tenth of a second
+/// holds enough choices to recognize it.
+const POLL_INTERVAL: Span = Span::from_millis(120);
 
-/// The pause after a look while a switch is under way or the demand is shifting, and at least.
-const QUICK: Span = Span::from_millis(40);
+/// The pause after a poll while a switch is under way or the demand is shifting, and the shortest pause at all.
+const BUSY_POLL_PAUSE: Span = Span::from_millis(40);
 
-/// How many map numbers one switch leaves free for what ranks prepare to outdate armings.
-const BURNT: u64 = 1_000;
+/// How many versions one switch reserves for the maps that ranks prepare so that earlier armings become outdated.
+const VERSIONS_PER_SWITCH: u64 = 1_000;
 
-/// How far a lead that takes a group up jumps ahead of all numbers that it sees: orders of the lead
-/// before it may still be on their way, and none of its numbers may come again with another map.
-const JUMP: u64 = 1_000_000;
+/// How far a lead that adopts a group jumps ahead of all versions that it sees: orders of the lead before it may
+/// still be on their way, and none of its versions may be used again for another map.
+const VERSION_JUMP: u64 = 1_000_000;
 
-/// The fewest choices in the demand that a map is made for.
-const ENOUGH: f64 = 20_000.0;
+/// The fewest choices of experts in the demand for which a new map is planned.
+const MIN_CHOICES: f64 = 20_000.0;
 
-/// A copy must take this part off the fullest rank's load (mean 1), shared by the ranks, and a map this
-/// part off a step: what lies below is noise of a few hundred ms of counts, and its copies slow all passes.
+/// How much each copy must take off the fullest rank's load (mean 1), divided by the number of ranks: less is
+/// noise of a few hundred ms of counts, and its copies slow all passes.
 const COPY_GAIN: f64 = 0.8;
+/// How much a new map must take off a step, for the same reason.
 const STEP_GAIN: f64 = 0.14;
 
 /// The lead of a group.
 pub(crate) struct Lead {
-    reader: Arc<Reader>,
+    reader: Arc<NewsReader>,
     journal: Journal,
     clock: BootClock,
     calls: Calls,
     group: Option<Group>,
-    /// Whether all ranks are to be looked at.
-    whole: bool,
-    /// The highest map number that was given out, in whatever epoch.
-    highest: MapVersion,
-    /// Since when a group is left to a takeover.
-    waits: Option<Moment>,
-    /// The demand of the group before it was lost.
-    remembered: Option<Demand>,
+    /// Whether the next poll queries all ranks.
+    poll_all: bool,
+    /// The highest map version that was given out in any epoch.
+    highest_version: MapVersion,
+    /// Since when the lead has left the group to a takeover.
+    yields_since: Option<Moment>,
+    /// The demand of the group before the lead dropped it.
+    previous_demand: Option<Demand>,
 }
 
 impl Lead {
-    pub(crate) fn new(reader: Arc<Reader>, journal: Journal) -> Self {
+    /// Creates a lead that knows of no group yet.
+    pub(crate) fn new(reader: Arc<NewsReader>, journal: Journal) -> Self {
         Self {
             reader,
             journal,
             clock: BootClock::new(),
             calls: Calls::new(),
             group: None,
-            whole: false,
-            highest: MapVersion(0),
-            waits: None,
-            remembered: None,
+            poll_all: false,
+            highest_version: MapVersion(0),
+            yields_since: None,
+            previous_demand: None,
         }
     }
 
-    /// Leads for as long as it is polled.
+    /// Leads the group for as long as the future is polled.
     pub(crate) async fn run(mut self) {
-        let mut looked = self.clock.now();
+        let mut polled = self.clock.now();
         loop {
-            let whole = self.whole || self.is(|g| !g.switch.is_idle());
-            let hurry = whole || self.is(|g| !g.settled);
-            let due = self.clock.now().until(looked + PACE);
-            self.rest(if hurry { QUICK } else { due.max(QUICK) }).await;
-            looked = self.clock.now();
+            let whole = self.poll_all || self.group_matches(|g| !g.switch.is_idle());
+            let is_busy = whole || self.group_matches(|g| !g.settled);
+            let due = self.clock.now().until(polled + POLL_INTERVAL);
+            self.handle_outcomes(if is_busy {
+                BUSY_POLL_PAUSE
+            } else {
+                due.max(BUSY_POLL_PAUSE)
+            })
+            .await;
+            polled = self.clock.now();
             let now = self.clock.now();
-            if !self.is(|g| g.switch.awaits_orders(now)) {
-                self.look(whole).await;
+            if !self.group_matches(|g| g.switch.awaits_orders(now)) {
+                self.poll_group(whole).await;
             }
             let now = self.clock.now();
-            let sends = self.group.as_mut().map(|g| g.switch.tick(now));
-            self.execute(sends.unwrap_or_default());
-            self.conclude();
+            let orders = self.group.as_mut().map(|g| g.switch.tick(now));
+            self.send_orders(orders.unwrap_or_default());
+            self.finish_switch();
         }
     }
 
-    /// Whether there is a group of which something holds.
-    fn is(&self, holds: impl Fn(&Group) -> bool) -> bool {
+    /// Whether there is a group that meets a condition.
+    fn group_matches(&self, holds: impl Fn(&Group) -> bool) -> bool {
         self.group.as_ref().is_some_and(holds)
     }
 
-    /// Takes what became of orders, until it is time to look again.
-    async fn rest(&mut self, span: Span) {
+    /// Handles the outcomes of orders until the next poll is due.
+    async fn handle_outcomes(&mut self, span: Span) {
         let end = self.clock.now() + span;
         loop {
             let left = self.clock.now().until(end);
             if left == Span::default() {
                 return;
             }
-            let Some(told) = self.calls.outcome(left).await else {
+            let Some(outcome) = self.calls.next_outcome(left).await else {
                 return;
             };
-            self.take(&told);
+            self.apply_outcome(&outcome);
         }
     }
 
-    fn take(&mut self, told: &OrderOutcome) {
+    /// Handles the outcome of an order.
+    fn apply_outcome(&mut self, outcome: &OrderOutcome) {
         let now = self.clock.now();
         let Some(group) = self.group.as_mut() else {
             return;
         };
-        let sends = group
+        let orders = group
             .switch
-            .handle_outcome(now, told.rank, told.phase, told.outcome);
-        self.execute(sends);
-        self.conclude();
+            .handle_outcome(now, outcome.rank, outcome.phase, outcome.outcome);
+        self.send_orders(orders);
+        self.finish_switch();
     }
 
-    /// Looks at the group: at all ranks, or at those that tell enough while nothing is under way.
-    async fn look(&mut self, whole: bool) {
+    /// Polls the group: all ranks, or a part that suffices while nothing is under way.
+    async fn poll_group(&mut self, whole: bool) {
         let Some(group) = self.group.as_mut() else {
-            return self.find().await;
+            return self.find_group().await;
         };
         let queries = group.queries(whole);
         let (whole, asked) = (queries.len() == group.addresses.len(), queries.len());
-        let seen = self.calls.look(queries).await;
+        let seen = self.calls.query_states(queries).await;
         if seen.iter().any(|(_, s)| !s.state.open) {
-            self.whole = false;
+            self.poll_all = false;
             return;
         }
         let now = self.clock.now();
         let Some(group) = self.group.as_mut() else {
             return;
         };
-        if !group.take(now, &seen) {
-            // Formed again: whatever was under way is forgotten.
-            self.lose("the group formed again");
+        if !group.apply_reports(now, &seen) {
+            // The group has formed again: whatever was under way no longer matters.
+            self.drop_group("the group formed again");
             return;
         }
-        self.reader.set_slow(group.slow());
+        self.reader.set_slow(group.slow_ranks());
         if whole && seen.len() == asked {
-            self.whole = false;
+            self.poll_all = false;
             let states = group.states.clone();
-            let sends = group.switch.observe(now, &states);
-            self.execute(sends);
-            self.conclude();
-            self.settle();
+            let orders = group.switch.observe(now, &states);
+            self.send_orders(orders);
+            self.finish_switch();
+            self.check_states();
         } else {
             group.switch.observe_step(now, group.states[0].step);
-            self.plan();
+            self.plan_switch();
         }
     }
 
-    /// Looks for a group, and takes it up once all of its ranks answer alike.
-    async fn find(&mut self) {
+    /// Looks for the group, and adopts it once all of its ranks report the same formation.
+    async fn find_group(&mut self) {
         let query = StateQuery {
             experts: true,
             counted: None,
         };
-        let asked = self.reader.ranks();
-        let mut all = self.calls.look_again(asked, &query).await;
+        let asked = self.reader.rank_processes();
+        let mut all = self.calls.query_until_complete(asked, &query).await;
         all.retain(|(_, seen)| seen.group == *self.reader.group());
         all.sort_by_key(|(_, seen)| seen.rank);
         let Some(first) = all.first().map(|(_, seen)| seen.clone()) else {
@@ -178,26 +186,26 @@
             return;
         }
         let (addresses, seen): (Vec<SocketAddr>, Vec<RankReport>) = all.into_iter().unzip();
-        if !self.leaves(&seen) {
-            self.adopt(addresses, &seen);
+        if !self.yields_group(&seen) {
+            self.adopt_group(addresses, &seen);
         }
     }
 
-    /// Whether a takeover is at work on the group, and is left to end.
-    fn leaves(&mut self, seen: &[RankReport]) -> bool {
+    /// Whether the group is left to a takeover that is under way.
+    fn yields_group(&mut self, seen: &[RankReport]) -> bool {
         let now = self.clock.now();
         let highest = seen.iter().map(|s| s.lead).max().unwrap_or_default();
         let held = seen.iter().any(|s| s.state.held.is_some());
-        let since = *self.waits.get_or_insert(now);
-        let leaves = yields_to_takeover(highest, held, since.until(now));
-        if !leaves {
-            self.waits = None;
+        let since = *self.yields_since.get_or_insert(now);
+        let yields = yields_to_takeover(highest, held, since.until(now));
+        if !yields {
+            self.yields_since = None;
         }
-        leaves
+        yields
     }
 
-    /// Takes a group up: one that has formed again, or one that an earlier lead left.
-    fn adopt(&mut self, addresses: Vec<SocketAddr>, seen: &[RankReport]) {
+    /// Adopts a group: one that has formed again, or one that an earlier lead left.
+    fn adopt_group(&mut self, addresses: Vec<SocketAddr>, seen: &[RankReport]) {
         let Some(experts) = self.experts() else {
             return;
         };
@@ -208,47 +216,47 @@
             let Some(server) = self.reader.server_at(process.ip()) else {
                 return;
             };
-            self.calls.hold_at(server, process, &self.journal);
+            self.calls.set_holder(server, process, &self.journal);
         }
         let leads = seen.iter().map(|s| s.lead);
-        let lead = self.calls.lead_above(leads.max().unwrap_or_default());
+        let lead = self.calls.raise_lead(leads.max().unwrap_or_default());
         let mut group = Group::new(lead, addresses, seen, map);
-        if let Some(demand) = self.remembered.take() {
+        if let Some(demand) = self.previous_demand.take() {
             group.demand.carry_over(&demand);
             group.settled = true;
         }
-        let jumped = MapVersion(group.highest().get() + JUMP);
-        self.highest = self.highest.max(jumped);
+        let lowest = MapVersion(group.highest_version().get() + VERSION_JUMP);
+        self.highest_version = self.highest_version.max(lowest);
         let detail = format!("epoch {}, map {}", group.epoch, group.version);
-        let sends = group.switch.recover(&group.states);
+        let orders = group.switch.recover(&group.states);
         self.group = Some(group);
         self.journal
             .record(Event::GroupRestarted, &seen[0].group, detail);
-        self.execute(sends);
-        self.plan();
+        self.send_orders(orders);
+        self.plan_switch();
     }
 
-    /// Settles what all ranks were seen to have, where no switch is under way.
-    fn settle(&mut self) {
+    /// Checks the states of all ranks where no switch is under way: recovers what an earlier lead left, or plans.
+    fn check_states(&mut self) {
         let Some(group) = self.group.as_mut().filter(|g| g.switch.is_idle()) else {
             return;
         };
-        self.highest = self.highest.max(group.highest());
-        if let Some(other) = group.other_map() {
-            // A switch was thought to have failed and has not: the experts are asked anew.
-            self.lose(&format!("map {other} is in force"));
+        self.highest_version = self.highest_version.max(group.highest_version());
+        if let Some(other) = group.differing_map() {
+            // A switch that counted as failed has succeeded: the ranks are asked again what they hold.
+            self.drop_group(&format!("map {other} is in force"));
             return;
         }
         if !group.is_steady() {
-            let sends = group.switch.recover(&group.states);
-            self.execute(sends);
+            let orders = group.switch.recover(&group.states);
+            self.send_orders(orders);
             return;
         }
-        self.plan();
+        self.plan_switch();
     }
 
-    /// Seeks a better map, and begins a switch to it where it is worth one.
-    fn plan(&mut self) {
+    /// Plans a better map, and begins a switch to it where the gain is worth it.
+    fn plan_switch(&mut self) {
         let Some(experts) = self.experts() else {
             return;
         };
@@ -256,10 +264,10 @@
             return;
         };
         if !group.is_steady() {
-            self.whole = true;
+            self.poll_all = true;
             return;
         }
-        if !group.settled || group.demand.total() < ENOUGH {
+        if !group.settled || group.demand.total() < MIN_CHOICES {
             return;
         }
         let thresholds = Thresholds {
@@ -268,34 +276,35 @@
             copy: COPY_GAIN / group.states.len() as f64,
             step: STEP_GAIN,
         };
-        let paces = group.paces();
-        if let Some(evened) = rebalance(&group.map, group.demand.sums(), &paces, &thresholds) {
-            self.begin(evened);
+        let paces = group.pace_factors();
+        if let Some(rebalanced) = rebalance(&group.map, group.demand.sums(), &paces, &thresholds) {
+            self.begin_switch(rebalanced);
         }
     }
 
-    fn begin(&mut self, evened: Rebalanced) {
+    /// Begins a switch to a rebalanced map.
+    fn begin_switch(&mut self, rebalanced: Rebalanced) {
         let now = self.clock.now();
         let Some(group) = self.group.as_mut() else {
             return;
         };
-        let version = self.highest.max(group.highest()).next();
-        self.highest = MapVersion(version.get() + BURNT);
+        let version = self.highest_version.max(group.highest_version()).next();
+        self.highest_version = MapVersion(version.get() + VERSIONS_PER_SWITCH);
         let detail = format!(
             "map {version}, {} copies, fullest rank {:.2} to {:.2}",
-            evened.copies, evened.fullest.0, evened.fullest.1
+            rebalanced.copies, rebalanced.fullest.0, rebalanced.fullest.1
         );
-        let map = Arc::new(evened.map);
+        let map = Arc::new(rebalanced.map);
         group.next = Some(Arc::clone(&map));
         let draft = group.draft(&map);
         let switch = &mut group.switch;
-        let sends = switch.begin(now, group.epoch, version, draft, map);
+        let orders = switch.begin(now, group.epoch, version, draft, map);
         self.journal.record(Event::MovePlanned, "group", detail);
-        self.execute(sends);
+        self.send_orders(orders);
     }
 
-    /// Takes note of a switch that has ended.
-    fn conclude(&mut self) {
+    /// Applies the result of a switch that has ended.
+    fn finish_switch(&mut self) {
         let Some(group) = self.group.as_mut() else {
             return;
         };
@@ -312,28 +321,30 @@
                         (group.map, group.version) = (map, version);
                         group.base = Some(Base::Known(version));
                     }
-                    // Left by an earlier lead: which experts are where is asked anew.
+                    // An earlier lead began this switch: the ranks are asked again what they hold.
                     None => self.group = None,
                 }
             }
-            SwitchResult::Kept(reason) => self.lose(reason),
+            SwitchResult::Kept(reason) => self.drop_group(reason),
         }
     }
 
-    /// Forgets the group; it is looked for anew.
-    fn lose(&mut self, reason: &str) {
+    /// Forgets the group, so that it is looked for again.
+    fn drop_group(&mut self, reason: &str) {
         self.journal.record(Event::MapAborted, "group", reason);
-        self.remembered = self.group.take().map(|g| g.demand);
-        self.whole = false;
+        self.previous_demand = self.group.take().map(|g| g.demand);
+        self.poll_all = false;
     }
 
+    /// Returns the description of the engine's experts, where it has any.
     fn experts(&self) -> Option<Experts> {
         self.reader.engine().and_then(|e| e.experts)
     }
 
-    fn execute(&mut self, sends: Vec<RankOrder>) {
+    /// Sends orders to the ranks of the group.
+    fn send_orders(&mut self, orders: Vec<RankOrder>) {
         if let Some(group) = &self.group {
-            self.calls.execute(sends, &group.addresses);
+            self.calls.send_orders(orders, &group.addresses);
         }
     }
 }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,16 +1,17 @@
-//! The shell of the process beside a rank on the platform.
+//! The process beside a rank on the platform: its tasks, timers and connections around the state machines of
+//! `snipemast_groups`.
 //!
-//! - [`process`]: starts everything, and ends when it is told to.
-//! - `engine`: calls to the rank beside which this process runs.
-//! - `rank`: carries out orders on that rank, one after another, each surely or not at all.
-//! - `peers`: calls between the processes beside a group's ranks.
-//! - `calls`: a lead's calls to them.
-//! - `relay`: passes an order on to several ranks.
-//! - `group`: what a lead knows of its group.
-//! - `lead`: on rank 0, evens out the group's experts.
-//! - `deputy`: on rank 1, lets the group go on that this rank holds for a lead that has fallen silent.
-//! - `teller`: tells controllers where the rank belongs, and whether its group goes on.
-//! - `news`: learns from controllers where the other ranks are.
+//! - [`process`]: starts the tasks of the process, and stops them when its shutdown future is ready.
+//! - `engine`: calls the rank beside this process.
+//! - `rank`: carries out orders on that rank, one after another, and reports the outcome of each.
+//! - `peers`: messages between the processes beside a group's ranks.
+//! - `calls`: queries and orders that a lead sends to these processes.
+//! - `relay`: forwards an order to several ranks.
+//! - `group`: the state of a group as its lead knows it.
+//! - `lead`: on rank 0, balances the load of the group's experts.
+//! - `deputy`: on rank 1, releases a group that this rank holds for a lead which no longer answers.
+//! - `updates`: sends controllers the rank's place in its group, and whether the group makes progress.
+//! - `news`: learns from controllers where the other ranks run.
 
 pub mod process;
 
@@ -23,6 +24,6 @@
 mod peers;
 mod rank;
 mod relay;
-mod teller;
+mod updates;
 
 pub use process::run;
--- a/crates/sidecar/src/news.rs
+++ b/crates/sidecar/src/news.rs
@@ -1,4 +1,4 @@
-//! Learns from controllers where the other ranks are, and what their engine is like.
+//! Learns from controllers where the other ranks run, and how their engine is described.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -16,25 +16,26 @@
 use snipemast_registry::{Cursor, KnownServer, News, Poll, PollerKind, Standing, Table};
 use snipemast_routes::Engine;
 
-/// How long a poll waits for news: gateways are to learn of a slow rank within a second.
-const WAIT: Span = Span::from_millis(400);
+/// How long a poll waits for news: gateways must learn of a slow rank within a second.
+const POLL_WAIT: Span = Span::from_millis(400);
 
-/// The pause between two polls, which also bounds how often a version is asked for.
-const PAUSE: Span = Span::from_millis(200);
+/// The pause between two polls, which also bounds how often a version is requested.
+const POLL_PAUSE: Span = Span::from_millis(200);
 
-/// What is known of the own service.
+/// Reads the news of controllers, and keeps what concerns the service of this process.
 #[derive(Debug)]
-pub(crate) struct Reader {
+pub(crate) struct NewsReader {
     settings: Settings,
-    /// The own group.
+    /// The group of the rank beside this process.
     group: GroupId,
     clock: BootClock,
     journal: Journal,
-    known: Mutex<Learnt>,
+    known: Mutex<Knowledge>,
 }
 
+/// What the news has told so far.
 #[derive(Debug, Default)]
-struct Learnt {
+struct Knowledge {
     table: Table,
     cursors: HashMap<SocketAddr, Cursor>,
     engines: HashMap<ServiceId, Engine>,
@@ -42,45 +43,47 @@
     slow: Vec<(SocketAddr, u32)>,
 }
 
-impl Reader {
+impl NewsReader {
+    /// Creates the reader of a process that serves this group.
     pub(crate) fn new(settings: Settings, group: GroupId, journal: Journal) -> Arc<Self> {
         Arc::new(Self {
             settings,
             group,
             clock: BootClock::new(),
             journal,
-            known: Mutex::new(Learnt::default()),
+            known: Mutex::new(Knowledge::default()),
         })
     }
 
-    /// The group that this process serves.
+    /// Returns the group that this process serves.
     pub(crate) fn group(&self) -> &GroupId {
         &self.group
     }
 
-    /// The processes beside the ranks of the own group, the own one among them, as far as they are known.
+    /// Returns the known processes beside the ranks of the own group, this one included.
     ///
-    /// Load answered: a service of many groups. Each lead asks the processes of its own group only.
-    pub(crate) fn ranks(&self) -> Vec<SocketAddr> {
+    /// In a service of many groups, each lead queries only the processes of its own group.
+    pub(crate) fn rank_processes(&self) -> Vec<SocketAddr> {
         let known = self.known.lock();
         let alive = known.table.iter().filter(|k| k.standing < Standing::Lost);
-        let own = |k: &&KnownServer| {
+        let in_group = |k: &&KnownServer| {
             let rank = known.table.rank(k);
             rank.is_some_and(|rank| rank.group == self.group)
         };
-        let own = alive.filter(own);
-        own.map(|k| SocketAddr::new(k.announcement.address.ip(), self.settings.internal))
+        let members = alive.filter(in_group);
+        members
+            .map(|k| SocketAddr::new(k.announcement.address.ip(), self.settings.internal))
             .collect()
     }
 
-    /// Where the server of a host takes requests.
+    /// Returns the address at which the own service's server on a host takes requests.
     pub(crate) fn server_at(&self, ip: IpAddr) -> Option<SocketAddr> {
         let known = self.known.lock();
-        let own = self.service(&known)?;
+        let own = self.own_service(&known)?;
         let mut servers = known.table.iter();
         let server = servers.find(|k| {
-            let said = &k.announcement;
-            said.service == own && said.address.ip() == ip && k.standing < Standing::Lost
+            let announced = &k.announcement;
+            announced.service == own && announced.address.ip() == ip && k.standing < Standing::Lost
         })?;
         Some(server.announcement.address)
     }
@@ -90,15 +93,15 @@
         self.known.lock().slow = slow;
     }
 
-    /// What the own service's engine is like.
+    /// Returns the description of the own service's engine.
     pub(crate) fn engine(&self) -> Option<Engine> {
         let known = self.known.lock();
-        let own = self.service(&known)?;
+        let own = self.own_service(&known)?;
         known.engines.get(&own).cloned()
     }
 
-    /// The service of the server beside this process.
-    fn service(&self, known: &Learnt) -> Option<ServiceId> {
+    /// Returns the service of the server beside this process.
+    fn own_service(&self, known: &Knowledge) -> Option<ServiceId> {
         let own = self.settings.server?;
         let mut servers = known.table.iter();
         let server =
@@ -107,8 +110,8 @@
     }
 }
 
-impl Learnt {
-    /// The slow servers, by the hosts that they run on.
+impl Knowledge {
+    /// Returns the slow servers, found by the hosts that they run on.
     fn slow_servers(&self) -> Vec<SlowServer> {
         let servers = self.table.iter().filter(|k| k.standing < Standing::Lost);
         let paced = servers.filter_map(|k| {
@@ -123,11 +126,11 @@
     }
 }
 
-impl FeedHandler for Reader {
+impl FeedHandler for NewsReader {
     fn next_poll(&self, controller: SocketAddr) -> Poll {
         let known = self.known.lock();
-        let wanted = known.engines.is_empty();
-        let version = if wanted {
+        let wants_document = known.engines.is_empty();
+        let version = if wants_document {
             Version(0)
         } else {
             Version(u64::MAX)
@@ -135,9 +138,9 @@
         Poll {
             version,
             told: version,
-            wants_document: wanted,
+            wants_document,
             cursor: known.cursors.get(&controller).copied().unwrap_or_default(),
-            wait: WAIT,
+            wait: POLL_WAIT,
             slow: known.slow_servers(),
             ..Poll::new(self.settings.host.clone(), PollerKind::Sidecar)
         }
@@ -165,6 +168,6 @@
     }
 
     async fn wait_after_news(&self, _: SocketAddr) {
-        pause(PAUSE).await;
+        pause(POLL_PAUSE).await;
     }
 }
--- a/crates/sidecar/src/peers.rs
+++ b/crates/sidecar/src/peers.rs
@@ -1,4 +1,4 @@
-//! Calls between the processes beside a group's ranks.
+//! Messages between the processes beside a group's ranks.
 
 use std::net::SocketAddr;
 
@@ -9,55 +9,55 @@
 
 /// The paths of the calls.
 pub(crate) mod path {
-    /// How is your rank? [`StateQuery`](super::StateQuery).
+    /// Asks for the state of the rank: [`StateQuery`](super::StateQuery).
     pub(crate) const STATE: &str = "/rank/state";
-    /// Carry out an order: [`Execute`](super::Execute).
+    /// Has an order carried out: [`Execute`](super::Execute).
     pub(crate) const ORDER: &str = "/rank/order";
-    /// Pass an order on: [`Relay`](super::Relay).
+    /// Has an order forwarded: [`Relay`](super::Relay).
     pub(crate) const RELAY: &str = "/rank/relay";
 }
 
 data! {
-    /// How is your rank?
+    /// Asks a process for the state of its rank.
     #[derive(Default)]
     pub(crate) struct StateQuery {
-        /// Whether the experts that it holds are wanted too.
+        /// Whether the answer should list the experts that the rank holds.
         pub(crate) experts: bool,
-        /// From which place its counts are wanted, where they are.
+        /// The cursor from which the rank's counts are requested, where they are.
         pub(crate) counted: Option<u64>,
     }
 
-    /// How a rank is.
+    /// The state of a rank.
     pub(crate) struct RankReport {
         /// The group.
         pub(crate) group: GroupId,
-        /// Its place in the group.
+        /// The rank's place in the group.
         pub(crate) rank: usize,
         /// How many ranks the group has.
         pub(crate) size: usize,
-        /// Which start of the rank this is.
+        /// The current start of the rank.
         pub(crate) start: Incarnation,
-        /// Its state.
+        /// The rank's state in a switch.
         pub(crate) state: RankState,
-        /// How many orders it has accepted since it started.
+        /// How many orders the rank has accepted since it started.
         pub(crate) accepted: u64,
-        /// How much longer than usual it takes, in hundredths.
+        /// How long the rank takes, in hundredths of the usual time.
         pub(crate) pace: u32,
-        /// How often each expert was chosen, where that was wanted.
+        /// How often each expert was chosen, where that was requested.
         pub(crate) counted: Option<CountReport>,
-        /// The experts that it holds, by set, where they were wanted.
+        /// The experts that the rank holds, by set, where they were requested.
         pub(crate) experts: Vec<Vec<u16>>,
-        /// The highest lead that gave orders.
+        /// The ballot of the highest lead that gave orders.
         pub(crate) lead: Ballot,
-        /// Up to which step the rank may be let go by an order that is still on its way.
+        /// The last step up to which an order that is still on its way may release the rank.
         pub(crate) floor: Step,
     }
 
-    /// An order of a lead.
+    /// Asks a process to carry out a lead's order.
     pub(crate) struct Execute {
-        /// Which lead: a later one has a higher ballot.
+        /// The ballot of the lead: a later lead has a higher one.
         pub(crate) lead: Ballot,
-        /// Which of its orders: a later one has a higher number.
+        /// The number of the order: a later order of the lead has a higher one.
         pub(crate) number: u64,
         /// The group's incarnation.
         pub(crate) epoch: GroupIncarnation,
@@ -65,7 +65,7 @@
         pub(crate) order: Order,
     }
 
-    /// An order for several ranks.
+    /// Asks a process to forward an order to several ranks.
     pub(crate) struct Relay {
         /// The order.
         pub(crate) order: Execute,
@@ -73,15 +73,15 @@
         pub(crate) to: Vec<SocketAddr>,
     }
 
-    /// What became of it at each, in their order.
+    /// Answers a [`Relay`].
     pub(crate) struct Relayed {
-        /// What became of it.
+        /// The outcome at each rank, in the order of [`Relay::to`].
         pub(crate) outcomes: Vec<Outcome>,
     }
 
-    /// What became of it.
+    /// Answers an [`Execute`].
     pub(crate) struct Executed {
-        /// What became of it.
+        /// The outcome of the order.
         pub(crate) outcome: Outcome,
     }
 }
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -1,4 +1,4 @@
-//! Starts the process beside a rank, and ends when it is told to.
+//! Starts the tasks of the process beside a rank, and stops them when its shutdown future is ready.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -21,20 +21,20 @@
 use crate::deputy::Deputy;
 use crate::engine::Engine;
 use crate::lead::Lead;
-use crate::news::Reader;
+use crate::news::NewsReader;
 use crate::peers::path;
 use crate::rank::Rank;
-use crate::relay::{pass_on, Clients};
-use crate::teller::Teller;
+use crate::relay::{forward_order, Clients};
+use crate::updates::UpdateSender;
 
 /// The result of starting.
 pub type Result<T> = std::result::Result<T, Report<SidecarError>>;
 
-/// How often it is looked whether this is the first rank of its group.
-const WATCH: Span = Span::from_secs(1);
+/// How often the process checks the place of its rank in the group.
+const PLACE_CHECK_INTERVAL: Span = Span::from_secs(1);
 
-/// The largest call, in bytes: a map of 128 ranks and 256 experts in 64 sets takes a tenth of it.
-const BODY: usize = 4 << 20;
+/// The largest body of a call, in bytes: a map of 128 ranks and 256 experts in 64 sets takes a tenth of it.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// Why the process can't start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,14 +49,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoServer => f.write_str("the settings name no server on this host"),
-            Self::Taken(address) => write!(f, "{address} can't be listened at"),
+            Self::Taken(address) => write!(f, "can't listen at {address}"),
         }
     }
 }
 
 impl std::error::Error for SidecarError {}
 
-/// Runs beside a rank until the future that ends it is ready.
+/// Runs beside a rank until the future `end` is ready.
 pub async fn run(
     settings: Settings,
     journal: Journal,
@@ -69,13 +69,13 @@
     let rank = Arc::new(Rank::new(Engine::new(server), journal.clone()));
     let for_peers = Arc::clone(&rank);
     let clients = Arc::new(Clients::default());
-    let teller = Teller::new(settings.clone(), Arc::clone(&rank), journal.clone());
+    let updates = UpdateSender::new(settings.clone(), Arc::clone(&rank), journal.clone());
     let tasks = [
-        spawn(teller.run()),
+        spawn(updates.run()),
         spawn(serve(listener, move |r, _| {
-            answer(Arc::clone(&for_peers), Arc::clone(&clients), r)
+            answer_call(Arc::clone(&for_peers), Arc::clone(&clients), r)
         })),
-        spawn(watch(settings, rank, journal.clone())),
+        spawn(follow_place(settings, rank, journal.clone())),
     ];
     journal.record(Event::ProcessStarted, address, "sidecar");
     end.await;
@@ -84,45 +84,47 @@
     Ok(())
 }
 
-/// What this process does for its group, with its feed of news.
-struct Duty {
+/// The task of this process as lead or deputy of its group, with its feed of news.
+struct GroupTask {
     group: GroupId,
     place: usize,
-    feed: Arc<Feed<Reader>>,
+    feed: Arc<Feed<NewsReader>>,
     _task: Task<()>,
 }
 
-/// Leads the group for as long as this is its first rank, and watches over it beside the second.
-async fn watch(mut settings: Settings, rank: Arc<Rank>, journal: Journal) {
-    let mut duty: Option<Duty> = None;
+/// Runs the lead while the rank is the first of its group, and the deputy while it is the second.
+async fn follow_place(mut settings: Settings, rank: Arc<Rank>, journal: Journal) {
+    let mut group_task: Option<GroupTask> = None;
     loop {
         let place = rank.place().await;
         let wanted = place.filter(|(_, place)| [LEAD_RANK, DEPUTY_RANK].contains(place));
-        if duty.as_ref().map(|d| (&d.group, d.place)) != wanted.as_ref().map(|(g, p)| (g, *p)) {
-            duty = wanted.map(|place| begin(place, &settings, &rank, &journal));
+        if group_task.as_ref().map(|d| (&d.group, d.place)) != wanted.as_ref().map(|(g, p)| (g, *p))
+        {
+            group_task = wanted.map(|place| start_group_task(place, &settings, &rank, &journal));
         }
-        if let Some(Duty { feed, .. }) = &duty {
+        if let Some(GroupTask { feed, .. }) = &group_task {
             settings.refresh(&journal);
             feed.set_seeds(settings.internal_seeds());
         }
-        pause(WATCH).await;
+        pause(PLACE_CHECK_INTERVAL).await;
     }
 }
 
-fn begin(
+/// Starts the lead or the deputy of a group.
+fn start_group_task(
     (group, place): (GroupId, usize),
     settings: &Settings,
     rank: &Arc<Rank>,
     journal: &Journal,
-) -> Duty {
-    let reader = Reader::new(settings.clone(), group.clone(), journal.clone());
+) -> GroupTask {
+    let reader = NewsReader::new(settings.clone(), group.clone(), journal.clone());
     let feed = Feed::new(Arc::clone(&reader), journal.clone(), None);
     let task = if place == LEAD_RANK {
         spawn(Lead::new(reader, journal.clone()).run())
     } else {
         spawn(Deputy::new(reader, Arc::clone(rank), journal.clone()).run())
     };
-    Duty {
+    GroupTask {
         group,
         place,
         feed,
@@ -130,31 +132,35 @@
     }
 }
 
-async fn answer(
+/// Answers a call, with status 503 where there is no answer to give.
+async fn answer_call(
     rank: Arc<Rank>,
     clients: Arc<Clients>,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    let at = request.uri().path().to_owned();
-    let body = Limited::new(request.into_body(), BODY).collect().await;
-    let answered = match body {
-        Ok(body) => dispatch(&rank, &clients, &at, &body.to_bytes()).await,
+    let endpoint = request.uri().path().to_owned();
+    let body = Limited::new(request.into_body(), MAX_BODY_BYTES)
+        .collect()
+        .await;
+    let answer = match body {
+        Ok(body) => handle_call(&rank, &clients, &endpoint, &body.to_bytes()).await,
         Err(_) => None,
     };
-    answered.unwrap_or_else(|| {
+    answer.unwrap_or_else(|| {
         let mut refused = Response::new(Full::new(Bytes::new()));
         *refused.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         refused
     })
 }
 
-async fn dispatch(
+/// Handles a call at a path; returns nothing where the path or body is invalid, or the rank doesn't answer.
+async fn handle_call(
     rank: &Rank,
     clients: &Clients,
-    at: &str,
+    endpoint: &str,
     body: &[u8],
 ) -> Option<Response<Full<Bytes>>> {
-    match at {
+    match endpoint {
         path::STATE => {
             let query = rpc::decode(body).ok()?;
             Some(rpc::answer(&rank.state(&query).await?))
@@ -165,7 +171,7 @@
         }
         path::RELAY => {
             let relay = rpc::decode(body).ok()?;
-            Some(rpc::answer(&pass_on(clients, relay).await))
+            Some(rpc::answer(&forward_order(clients, relay).await))
         }
         _ => None,
     }
--- a/crates/sidecar/src/rank.rs
+++ b/crates/sidecar/src/rank.rs
@@ -18,39 +18,41 @@
 use crate::engine::Engine;
 use crate::peers::{path, Execute, Executed, RankReport, StateQuery};
 
-/// How often a report is asked for before an order's outcome is called unsure: before each of its tries, and
-/// twice besides.
-const REPORTS: u32 = 10;
+/// How many reports are requested before an order's outcome counts as unsure: one before each attempt, and two
+/// more.
+const MAX_REPORTS: u32 = 10;
 
-/// The pause before an order is given again.
-const PAUSE: Span = Span::from_millis(10);
+/// The pause before an order is sent again.
+const RETRY_PAUSE: Span = Span::from_millis(10);
 
-/// How often it is looked whether a copy is complete: a fifth of the time that one expert takes.
-const COPYING: Span = Span::from_millis(20);
+/// How often the rank is asked whether a copy is complete: a fifth of the time that one expert takes.
+const COPY_CHECK_INTERVAL: Span = Span::from_millis(20);
 
-/// How long the process beside another rank may take to say how that is.
-const TOLD: Span = Span::from_millis(150);
+/// How long the process beside another rank may take to report that rank's state.
+const STATE_TIMEOUT: Span = Span::from_millis(150);
 
-/// The rank beside this process, or another one that it holds from afar.
+/// The rank beside this process, or another one that this process orders over the network.
 #[derive(Debug)]
 pub(crate) struct Rank {
     engine: Engine,
-    /// Who tells how another rank is: its own reports to other hosts are some steps old.
-    teller: Option<Arc<RpcClient>>,
+    /// The process beside another rank, which reports its state: the rank's own reports to other hosts are some
+    /// steps old.
+    process_client: Option<Arc<RpcClient>>,
     journal: Journal,
-    /// One order at a time.
+    /// Held while an order is carried out, so that they run one at a time.
     turn: Mutex<()>,
     executor: StateLock<Executor>,
     tally: StateLock<Tally>,
-    /// Which start of the rank was seen last.
+    /// The start of the rank that was seen last.
     start: StateLock<Incarnation>,
 }
 
 impl Rank {
+    /// Creates the rank beside this process.
     pub(crate) fn new(engine: Engine, journal: Journal) -> Self {
         Self {
             engine,
-            teller: None,
+            process_client: None,
             journal,
             turn: Mutex::new(()),
             executor: StateLock::new(Executor::new()),
@@ -59,50 +61,54 @@
         }
     }
 
-    /// Another rank, of which the process beside it tells.
-    pub(crate) fn told_by(engine: Engine, teller: Arc<RpcClient>, journal: Journal) -> Self {
+    /// Creates another rank, whose state the process beside it reports.
+    pub(crate) fn with_peer(
+        engine: Engine,
+        process_client: Arc<RpcClient>,
+        journal: Journal,
+    ) -> Self {
         Self {
-            teller: Some(teller),
+            process_client: Some(process_client),
             ..Self::new(engine, journal)
         }
     }
 
-    /// Another rank, whose process is gone.
-    pub(crate) fn from_afar(engine: Engine, journal: Journal) -> Self {
+    /// Creates another rank, whose process is gone.
+    pub(crate) fn without_process(engine: Engine, journal: Journal) -> Self {
         Self {
             executor: StateLock::new(Executor::remote()),
             ..Self::new(engine, journal)
         }
     }
 
-    /// Where the rank takes requests.
+    /// Returns the address at which the rank takes requests.
     pub(crate) fn address(&self) -> SocketAddr {
         self.engine.address()
     }
 
-    /// Takes over from the group's lead, if that is not about to end what it is doing or its rank can be ordered
-    /// without it; no order of it is taken after that.
+    /// Takes over from the group's lead, unless the lead is about to finish its switch and its rank can't be
+    /// ordered without it (`reaches`). Returns whether it did; no order of that lead is accepted after that.
     pub(crate) fn overtake(&self, ballot: Ballot, state: &RankState, reaches: bool) -> bool {
         self.executor.lock().overtake(ballot, state, reaches)
     }
 
-    /// Whether it has promised to leave the step that it is held at to the lead.
+    /// Whether this process has pledged to leave the step that the rank is held at to the lead.
     pub(crate) fn is_pledged(&self, state: &RankState) -> bool {
         self.executor.lock().is_pledged(state)
     }
 
-    /// The highest lead that gave orders.
+    /// Returns the ballot of the highest lead that gave orders.
     pub(crate) fn lead(&self) -> Ballot {
         self.executor.lock().lead()
     }
 
-    /// The rank's state, and whether it has requests.
-    pub(crate) async fn at_work(&self) -> Option<(RankState, bool)> {
+    /// Returns the rank's state, and whether it has requests.
+    pub(crate) async fn state_and_work(&self) -> Option<(RankState, bool)> {
         let report = self.report().await?;
         Some((report.rank?.state, report.requests > 0))
     }
 
-    /// How the rank is; nothing where it does not answer or belongs to no group.
+    /// Returns the rank's state; nothing where it doesn't answer or belongs to no group.
     pub(crate) async fn state(&self, query: &StateQuery) -> Option<RankReport> {
         let report = self.report().await?;
         let start = report.start;
@@ -134,7 +140,7 @@
         })
     }
 
-    /// The rank's report; what was believed of an earlier start of it is forgotten.
+    /// Asks for the rank's report, and forgets what was known of an earlier start of the rank.
     pub(crate) async fn report(&self) -> Option<ServerReport> {
         let report = self.engine.report().await.ok()?;
         if let Some(rank) = &report.rank {
@@ -148,26 +154,26 @@
         Some(report)
     }
 
-    /// Its group, and its place there.
+    /// Returns the rank's group and its place there.
     pub(crate) async fn place(&self) -> Option<(GroupId, usize)> {
         let rank = self.report().await?.rank?;
         Some((rank.group, rank.rank))
     }
 
-    /// Carries out a lead's order.
+    /// Carries out a lead's order; an order to prepare a map also waits for its copies.
     pub(crate) async fn execute(&self, request: Execute) -> Executed {
-        let copied = match &request.order {
+        let prepared = match &request.order {
             Order::Prepare { version, .. } => Some(*version),
             _ => None,
         };
         let executed = self.carry_out(request).await;
-        match copied {
+        match prepared {
             Some(version) if executed.outcome == Outcome::Done => self.await_copy(version).await,
             _ => executed,
         }
     }
 
-    /// Waits until a map is copied in whole, or another one is wanted, for a bounded time.
+    /// Waits until a map is copied completely or a newer one is being prepared, at most [`COPY_TIMEOUT`].
     async fn await_copy(&self, version: MapVersion) -> Executed {
         let outcome = within(COPY_TIMEOUT, async {
             loop {
@@ -175,7 +181,7 @@
                 match state.and_then(|s| s.prepared) {
                     Some(prepared) if prepared == version => return Outcome::Prepared,
                     Some(prepared) if prepared > version => return Outcome::Done,
-                    _ => pause(COPYING).await,
+                    _ => pause(COPY_CHECK_INTERVAL).await,
                 }
             }
         });
@@ -184,77 +190,86 @@
         }
     }
 
+    /// Carries out an order once the earlier ones have ended, and logs its outcome.
     async fn carry_out(&self, request: Execute) -> Executed {
         let _turn = self.turn.lock().await;
         let seq = OrderSeq {
             lead: request.lead,
             number: request.number,
         };
-        let name = name(&request.order);
+        let description = describe_order(&request.order);
         let (task, refusal) = {
             let mut executor = self.executor.lock();
             let refusal = executor.refusal(seq);
             (executor.accept(seq, request.order, request.epoch), refusal)
         };
         let outcome = match task {
-            Some(task) => self.run(task, request.epoch, request.lead).await,
+            Some(task) => self.run_task(task, request.epoch, request.lead).await,
             None => refusal,
         };
         let subject = format_args!("epoch {}", request.epoch);
-        let detail = format_args!("{name}: {outcome:?}");
+        let detail = format_args!("{description}: {outcome:?}");
         self.journal.record(Event::OrderPassed, subject, detail);
         Executed { outcome }
     }
 
-    async fn run(&self, mut task: Task, epoch: GroupIncarnation, request_lead: Ballot) -> Outcome {
+    /// Sends the rank what an order needs until the outcome is settled or too many reports were requested.
+    async fn run_task(
+        &self,
+        mut task: Task,
+        epoch: GroupIncarnation,
+        request_lead: Ballot,
+    ) -> Outcome {
         let mut reports = 0;
-        while reports < REPORTS {
+        while reports < MAX_REPORTS {
             reports += 1;
-            let Some((accepted, state, lead)) = self.told().await else {
-                pause(PAUSE).await;
+            let Some((accepted, state, lead)) = self.observe_state().await else {
+                pause(RETRY_PAUSE).await;
                 continue;
             };
             if lead > request_lead {
                 return Outcome::Overtaken;
             }
             let next = self.executor.lock().next_action(&mut task, &state);
-            let given = match next {
+            let command = match next {
                 Action::Settled(outcome) => return outcome,
-                Action::Give(given) => given,
-                Action::PrepareHeld(version) => match self.kept().await {
+                Action::Give(command) => command,
+                Action::PrepareHeld(version) => match self.map_as_held().await {
                     Some(map) => EngineOrder::Prepare(version, Arc::new(map)),
                     None => {
-                        pause(PAUSE).await;
+                        pause(RETRY_PAUSE).await;
                         continue;
                     }
                 },
             };
-            let before = self.executor.lock().before_send(&given);
-            let answer = self.give(&given, accepted, epoch).await;
-            self.note(&mut task, &given, before, answer);
+            let before = self.executor.lock().before_send(&command);
+            let answer = self.send(&command, accepted, epoch).await;
+            self.record_answer(&mut task, &command, before, answer);
             if answer != Answer::Accepted {
-                pause(PAUSE).await;
+                pause(RETRY_PAUSE).await;
             }
         }
         Outcome::Unsure
     }
 
-    fn note(&self, task: &mut Task, given: &EngineOrder, before: bool, answer: Answer) {
+    /// Records the answer to an order.
+    fn record_answer(&self, task: &mut Task, command: &EngineOrder, before: bool, answer: Answer) {
         let mut executor = self.executor.lock();
-        executor.after_send(task, given, before, answer);
+        executor.after_send(task, command, before, answer);
     }
 
-    async fn give(&self, given: &EngineOrder, accepted: u64, epoch: GroupIncarnation) -> Answer {
-        match self.engine.order(order(given, accepted, epoch)).await {
+    /// Sends the rank an order.
+    async fn send(&self, command: &EngineOrder, accepted: u64, epoch: GroupIncarnation) -> Answer {
+        match self.engine.order(order(command, accepted, epoch)).await {
             Ok(status) if is_accepted(status) => Answer::Accepted,
             Ok(_) => Answer::Refused,
             Err(_) => Answer::None,
         }
     }
 
-    /// A map in which the rank holds what it holds already, and the others hold anything; nothing where it does
-    /// not answer.
-    async fn kept(&self) -> Option<ExpertMap> {
+    /// Returns a map in which the rank keeps the experts that it holds, and the other ranks' experts are
+    /// arbitrary; nothing where the rank doesn't answer.
+    async fn map_as_held(&self) -> Option<ExpertMap> {
         let rank = self.report().await?.rank?;
         let held = self.engine.experts().await.ok()?;
         let counted = self.engine.counts().await.ok()?;
@@ -263,28 +278,28 @@
         Some(ExpertMap::from_rank(own, &held, ranks, experts as u16))
     }
 
-    /// How many orders the rank has accepted, its state, and the highest lead that gave it orders.
-    async fn told(&self) -> Option<(u64, RankState, Ballot)> {
-        let Some(teller) = &self.teller else {
+    /// Returns how many orders the rank has accepted, its state, and the highest lead that gave it orders.
+    async fn observe_state(&self) -> Option<(u64, RankState, Ballot)> {
+        let Some(process_client) = &self.process_client else {
             let report = self.report().await?;
             return Some((report.accepted, report.rank?.state, self.lead()));
         };
         let query = StateQuery::default();
-        let told = teller.call::<_, RankReport>(path::STATE, &query, TOLD);
-        let told = told.await.ok()?;
+        let report = process_client.call::<_, RankReport>(path::STATE, &query, STATE_TIMEOUT);
+        let report = report.await.ok()?;
         let mut executor = self.executor.lock();
-        executor.observe_remote(told.start, &told.state, told.floor);
-        Some((told.accepted, told.state, told.lead))
+        executor.observe_remote(report.start, &report.state, report.floor);
+        Some((report.accepted, report.state, report.lead))
     }
 }
 
-/// An order, short, for the log.
-fn name(order: &Order) -> String {
+/// Describes an order in a few words for the log.
+fn describe_order(order: &Order) -> String {
     match order {
         Order::Prepare { version, .. } => format!("prepare map {version}"),
         Order::Hold { ahead } => format!("hold {ahead} steps ahead"),
-        Order::Pledge { step } => format!("leave step {step} to the lead"),
-        Order::Settle { step } => format!("was step {step} let go"),
+        Order::Pledge { step } => format!("pledge to leave step {step} to the lead"),
+        Order::Settle { step } => format!("settle whether step {step} was released"),
         Order::Arm { version, step } => format!("arm map {version} for step {step}"),
         Order::Disarm { .. } => "disarm".into(),
         Order::Go { step } => format!("go on with step {step}"),
