--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -1,7 +1,7 @@
-//! Polls every controller that is known for news, each in a task of its own.
+//! Polls every known controller for news, each in a task of its own.
 //!
-//! The controllers are those that the settings name as seeds and those that the last news named.
-//! What a poll says and what becomes of news is up to the [`FeedHandler`].
+//! The known controllers are the seeds in the settings and those that the last news named.
+//! A [`FeedHandler`] makes the polls and handles the news; a [`Feed`] runs the tasks.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -15,68 +15,72 @@
 use snipemast_net::RpcClient;
 use snipemast_registry::{news, News, Poll};
 
-/// How much longer than its own wait a poll may take: a few round trips and one lost packet.
-const SLACK: Span = Span::from_millis(900);
+/// How much longer a poll may take than the wait that it asks for: a few round-trips and one lost packet.
+const POLL_SLACK: Span = Span::from_millis(900);
 
-/// The pauses after polls that failed.
-const PAUSE: Span = Span::from_millis(150);
-const LONGEST_PAUSE: Span = Span::from_millis(1_000);
+/// The pause after the first failed poll; it doubles with each further failure.
+const FIRST_BACKOFF: Span = Span::from_millis(150);
+/// The longest pause after a failed poll.
+const MAX_BACKOFF: Span = Span::from_millis(1_000);
 
-/// Makes polls and takes news.
+/// Makes the polls of a [`Feed`] and handles the news.
 pub trait FeedHandler: Send + Sync + 'static {
-    /// The next poll to a controller.
+    /// Returns the next poll to a controller.
     fn next_poll(&self, controller: SocketAddr) -> Poll;
 
-    /// Takes a controller's news.
+    /// Handles a controller's news.
     fn handle_news(&self, controller: SocketAddr, news: News);
 
-    /// What must be waited for before the controller is polled again.
+    /// Waits until the controller may be polled again after its news was handled.
     fn wait_after_news(
         &self,
         controller: SocketAddr,
     ) -> impl std::future::Future<Output = ()> + Send;
 
-    /// A controller answers no more.
+    /// Handles that a controller no longer answers.
     fn handle_loss(&self, _controller: SocketAddr) {}
 }
 
-/// Polls every controller that is known.
+/// Polls every known controller, each in a task of its own.
 #[derive(Debug)]
 pub struct Feed<S> {
-    sink: Arc<S>,
+    handler: Arc<S>,
     journal: Journal,
     state: Mutex<State>,
 }
 
+/// The known controllers and the tasks that poll them.
 #[derive(Debug, Default)]
 struct State {
+    /// The address of this process where it is a controller itself.
     own: Option<SocketAddr>,
     seeds: BTreeSet<SocketAddr>,
+    /// The controllers that the last news named.
     named: BTreeSet<SocketAddr>,
     tasks: HashMap<SocketAddr, Task<()>>,
 }
 
 impl<S: FeedHandler> Feed<S> {
-    /// A feed that polls nobody yet; a controller never polls its own address.
-    pub fn new(sink: Arc<S>, journal: Journal, own: Option<SocketAddr>) -> Arc<Self> {
+    /// Creates a feed that polls no controller yet; a controller gives its `own` address, which is never polled.
+    pub fn new(handler: Arc<S>, journal: Journal, own: Option<SocketAddr>) -> Arc<Self> {
         let state = State {
             own,
             ..State::default()
         };
         Arc::new(Self {
-            sink,
+            handler,
             journal,
             state: Mutex::new(state),
         })
     }
 
-    /// Sets the controllers that the settings name.
+    /// Sets the controllers that the settings name as seeds.
     pub fn set_seeds(self: &Arc<Self>, seeds: impl IntoIterator<Item = SocketAddr>) {
         self.state.lock().seeds = seeds.into_iter().collect();
-        self.rearrange();
+        self.update_tasks();
     }
 
-    /// Sets the controllers that the news named.
+    /// Sets the controllers that the last news named; an empty list is ignored.
     pub fn set_named(self: &Arc<Self>, named: impl IntoIterator<Item = SocketAddr>) {
         let named: BTreeSet<SocketAddr> = named.into_iter().collect();
         let changed = {
@@ -88,17 +92,17 @@
             changed
         };
         if changed {
-            self.rearrange();
+            self.update_tasks();
         }
     }
 
-    /// Every controller that is polled.
+    /// Returns every controller that is polled.
     pub fn controllers(&self) -> Vec<SocketAddr> {
         self.state.lock().tasks.keys().copied().collect()
     }
 
-    /// Starts and ends tasks so that each known controller has one.
-    fn rearrange(self: &Arc<Self>) {
+    /// Starts and stops tasks so that each known controller has one.
+    fn update_tasks(self: &Arc<Self>) {
         let mut state = self.state.lock();
         let own = state.own;
         let wanted: BTreeSet<SocketAddr> = state.seeds.union(&state.named).copied().collect();
@@ -108,59 +112,62 @@
                 continue;
             }
             let feed = Arc::clone(self);
-            let task = spawn(async move { feed.follow(address).await });
+            let task = spawn(async move { feed.poll_controller(address).await });
             state.tasks.insert(address, task);
         }
     }
 
-    async fn follow(self: Arc<Self>, address: SocketAddr) {
+    /// Polls a controller for as long as the future is polled.
+    async fn poll_controller(self: Arc<Self>, address: SocketAddr) {
         let client = RpcClient::new(address);
-        let mut delay = PAUSE;
+        let mut backoff = FIRST_BACKOFF;
         let mut answers = None;
         loop {
-            let poll = self.sink.next_poll(address);
-            let limit = Span::from_micros(poll.wait.as_micros() + SLACK.as_micros());
+            let poll = self.handler.next_poll(address);
+            let limit = Span::from_micros(poll.wait.as_micros() + POLL_SLACK.as_micros());
             let news = client.call::<_, News>(news::PATH, &poll, limit).await;
             if answers != Some(news.is_ok()) {
                 answers = Some(news.is_ok());
-                self.note_contact(address, news.is_ok());
+                self.log_contact(address, news.is_ok());
             }
             match news {
                 Ok(news) => {
-                    delay = PAUSE;
+                    backoff = FIRST_BACKOFF;
                     let named = news.controllers.clone();
-                    self.sink.handle_news(address, news);
-                    self.set_named_later(named);
-                    self.sink.wait_after_news(address).await;
+                    self.handler.handle_news(address, news);
+                    self.spawn_set_named(named);
+                    self.handler.wait_after_news(address).await;
                 }
                 Err(_) => {
-                    pause(delay).await;
-                    delay = delay.times(2).min(LONGEST_PAUSE);
+                    pause(backoff).await;
+                    backoff = backoff.times(2).min(MAX_BACKOFF);
                 }
             }
         }
     }
 
-    fn note_contact(&self, address: SocketAddr, answers: bool) {
+    /// Logs that a controller answers or no longer does, and tells the handler of the latter.
+    fn log_contact(&self, address: SocketAddr, answers: bool) {
         let event = if answers {
             Event::MemberJoined
         } else {
-            self.sink.handle_loss(address);
+            self.handler.handle_loss(address);
             Event::MemberUnreachable
         };
         self.journal.record(event, address, "controller");
     }
 
-    /// A task must not end itself in the middle, so another one rearranges.
-    fn set_named_later(self: &Arc<Self>, named: Vec<SocketAddr>) {
-        let known = self
+    /// Sets the named controllers from another task: [`update_tasks`](Self::update_tasks) may stop the task that
+    /// polls, which must not stop itself halfway.
+    fn spawn_set_named(self: &Arc<Self>, named: Vec<SocketAddr>) {
+        let unchanged = self
             .state
             .lock()
             .named
             .iter()
             .copied()
             .eq(named.iter().copied());
-        if known || named.is_empty() {
+        if unchanged || named.is_empty() {
             return;
         }
         let feed = Arc::clone(self);
