--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -1,6 +1,6 @@
-//! The gate for orders: what reaches the backend server, whether or not it checks by itself.
+//! Decides which orders reach the backend server, whether or not the server checks them itself.
 //!
-//! - [`service`]: the shell around the gate.
+//! - [`service`]: takes and passes on orders, learns fencing numbers, and follows the configuration.
 
 pub mod service;
 
@@ -10,34 +10,34 @@
 use snipemast_core::prelude::*;
 use snipemast_wire::order::{FenceReport, Order, OrderId, OrderRefusal};
 
-/// How many orders that were carried out are remembered.
-const REMEMBERED: usize = 256;
-/// When to come back while another order is being carried out.
-const RUNNING: Span = Span::from_secs(1);
+/// The most carried out orders that are remembered.
+const MAX_REMEMBERED: usize = 256;
+/// When the sender may try again while another order is being carried out.
+const BUSY_RETRY_PAUSE: Span = Span::from_secs(1);
 
-/// The rate at which weights may be read.
+/// Limits the rate at which weights are loaded.
 pub trait LoadRate {
-    /// Takes the right to one load, or says how long to wait for it.
-    fn take(&mut self, now: Moment) -> Result<(), Span>;
+    /// Permits one load now, or returns how long to wait for it.
+    fn try_load(&mut self, now: Moment) -> Result<(), Span>;
 }
 
-/// At most one load in each interval.
+/// Permits at most one load per interval.
 #[derive(Debug, Clone, Copy)]
-pub struct Interval {
+pub struct LoadInterval {
     length: Span,
     next: Moment,
 }
 
-impl Interval {
-    /// One load in each interval of this length.
+impl LoadInterval {
+    /// Creates a limit of one load per interval of this length.
     pub fn new(length: Span) -> Self {
         let next = Moment::ZERO;
         Self { length, next }
     }
 }
 
-impl LoadRate for Interval {
-    fn take(&mut self, now: Moment) -> Result<(), Span> {
+impl LoadRate for LoadInterval {
+    fn try_load(&mut self, now: Moment) -> Result<(), Span> {
         if now < self.next {
             return Err(now.until(self.next));
         }
@@ -46,47 +46,53 @@
     }
 }
 
-/// What is done with an order.
+/// The decision on an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It goes to the backend server, and [`OrderGate::finish`] follows.
+    /// The order goes to the backend server, and [`OrderGate::finish`] follows.
     Pass,
-    /// It was carried out before.
+    /// The order was carried out before.
     Done,
-    /// It goes no further.
+    /// The order is refused.
     Refuse(OrderRefusal),
 }
 
 /// Decides which orders reach the backend server.
 ///
-/// Failure guarded against: a control leader that was cut off and deposed goes on giving
-/// orders, and its orders mix with its successor's. It shows as a server that loads and
-/// unloads in turns. Orders carry the number of their leader's term of office, and a lower one
-/// than was seen goes no further.
+/// Failure guarded against: a control leader that was cut off and deposed goes on giving orders,
+/// and they mix with its successor's, so that a server loads and unloads in turns. Orders carry the
+/// fencing number of their leader's term, and an order with a lower one than was seen is refused.
 #[derive(Debug)]
 pub struct OrderGate<R> {
     process: ProcessId,
     started: Moment,
+    /// How long after the start orders are refused while no majority has told its fencing numbers.
     hold: Span,
+    /// The highest fencing number known.
     floor: Fence,
-    told: BTreeMap<HostId, Fence>,
-    known: bool,
+    /// The last fencing number of each control host that told one.
+    fences: BTreeMap<HostId, Fence>,
+    /// Whether a majority of the voters has told its fencing numbers.
+    has_majority: bool,
+    /// The order that is being carried out.
     running: Option<OrderId>,
+    /// The orders that were carried out.
     done: BTreeMap<OrderId, Action>,
+    /// The same orders, oldest first.
     oldest: VecDeque<OrderId>,
     rate: R,
 }
 
 impl<R: LoadRate> OrderGate<R> {
-    /// The gate of an agent that has just started; `hold` is longer than any leader's lease.
+    /// Creates the gate of an agent that has just started; `hold` is longer than any leader's lease.
     pub fn new(process: ProcessId, now: Moment, hold: Span, rate: R) -> Self {
         Self {
             process,
             started: now,
             hold,
             floor: Fence::default(),
-            told: BTreeMap::new(),
-            known: false,
+            fences: BTreeMap::new(),
+            has_majority: false,
             running: None,
             done: BTreeMap::new(),
             oldest: VecDeque::new(),
@@ -94,18 +100,18 @@
         }
     }
 
-    /// The highest fencing number that is known of.
+    /// Returns the highest known fencing number.
     pub fn floor(&self) -> Fence {
         self.floor
     }
 
     /// Whether orders with the current fencing number are passed on.
     pub fn is_open(&self, now: Moment) -> bool {
-        self.known || now.since(self.started) >= self.hold
+        self.has_majority || now.since(self.started) >= self.hold
     }
 
     /// Decides on an order.
-    pub fn take(&mut self, now: Moment, order: &Order) -> Decision {
+    pub fn decide(&mut self, now: Moment, order: &Order) -> Decision {
         if let Some(refusal) = self.refusal(now, order) {
             return Decision::Refuse(refusal);
         }
@@ -115,13 +121,15 @@
             Some(_) => return Decision::Refuse(OrderRefusal::Reused),
             None => {}
         }
-        // A server that does not check carries orders out in the order in which it gets them;
-        // two at once could end in either.
+        // A server that doesn't check orders carries them out as they arrive; of two at once, either
+        // could come last.
         if self.running.is_some() {
-            return Decision::Refuse(OrderRefusal::Busy { left: RUNNING });
+            return Decision::Refuse(OrderRefusal::Busy {
+                left: BUSY_RETRY_PAUSE,
+            });
         }
         if order.action.loads() {
-            if let Err(left) = self.rate.take(now) {
+            if let Err(left) = self.rate.try_load(now) {
                 return Decision::Refuse(OrderRefusal::Busy { left });
             }
         }
@@ -129,10 +137,11 @@
         Decision::Pass
     }
 
+    /// Returns why an order is refused, if it is, by its target, deadline and fencing number.
     fn refusal(&self, now: Moment, order: &Order) -> Option<OrderRefusal> {
         if order.agent != self.process {
-            // Failure guarded against: an order that was held up on its way while the agent
-            // restarted. The new agent's memory says nothing of it.
+            // Failure guarded against: an order is held up on its way while the agent restarts. The
+            // new process doesn't know whether it was carried out.
             Some(OrderRefusal::Incarnation)
         } else if order.left == Span::default() {
             Some(OrderRefusal::Late)
@@ -147,7 +156,7 @@
         }
     }
 
-    /// Notes how an order ended that was passed on; one that failed may be sent again.
+    /// Records whether an order that was passed on was carried out; one that failed may be sent again.
     pub fn finish(&mut self, order: &Order, done: bool) {
         self.running = None;
         if !done {
@@ -155,33 +164,33 @@
         }
         self.done.insert(order.id.clone(), order.action.clone());
         self.oldest.push_back(order.id.clone());
-        if self.oldest.len() > REMEMBERED {
+        if self.oldest.len() > MAX_REMEMBERED {
             if let Some(oldest) = self.oldest.pop_front() {
                 self.done.remove(&oldest);
             }
         }
     }
 
-    /// Takes what control hosts said.
+    /// Takes the fencing numbers of control hosts.
     ///
-    /// Failure guarded against: an agent restarts and has forgotten which numbers it saw, and
-    /// the first order to arrive comes from a deposed leader. A leader in office was elected by
-    /// a majority, and any majority that is asked shares a voter with it: the highest number of
-    /// a majority is no lower than that of the leader in office. Where no majority can be
-    /// asked, the agent waits until any lease from before its start has run out.
-    pub fn learn(&mut self, report: &FenceReport) {
+    /// Failure guarded against: an agent restarts and has forgotten which fencing numbers it saw, and
+    /// the first order to arrive comes from a deposed leader. The current leader was elected by a
+    /// majority, and any majority that is asked shares a voter with that one: the highest number of a
+    /// majority is no lower than the current leader's. Where no majority can be asked, the agent
+    /// waits until any lease from before its start has expired.
+    pub fn learn_fences(&mut self, report: &FenceReport) {
         for told in &report.told {
-            self.hear(told.fence);
-            self.told.insert(told.host.clone(), told.fence);
+            self.raise_floor(told.fence);
+            self.fences.insert(told.host.clone(), told.fence);
         }
         let majority = report.voters as usize / 2 + 1;
-        if report.voters > 0 && self.told.len() >= majority {
-            self.known = true;
+        if report.voters > 0 && self.fences.len() >= majority {
+            self.has_majority = true;
         }
     }
 
-    /// Takes a number that came with news of the configuration; it only raises the floor.
-    pub fn hear(&mut self, fence: Fence) {
+    /// Raises the floor to a fencing number, such as one that came with the configuration; never lowers it.
+    pub fn raise_floor(&mut self, fence: Fence) {
         self.floor = self.floor.max(fence);
     }
 }
--- a/crates/agent/src/orders/service.rs
+++ b/crates/agent/src/orders/service.rs
@@ -1,5 +1,4 @@
-//! The shell of the gate for orders: takes them, passes them on, learns fencing numbers, and
-//! follows the configuration.
+//! Takes orders and passes them on, learns fencing numbers, and follows the configuration.
 
 use std::sync::Arc;
 
@@ -15,37 +14,39 @@
 use snipemast_wire::serve::{malformed, message, reply};
 use snipemast_wire::{Peer, Sink};
 
-use super::{Decision, Interval, OrderGate};
+use super::{Decision, LoadInterval, OrderGate};
 
-/// Longer than the lease of any control leader, with room for clocks that run apart.
+/// How long an agent that can't learn fencing numbers refuses orders after its start: longer than the
+/// lease of any control leader, with a margin for clocks that drift.
 pub const FENCE_HOLD: Span = Span::from_secs(5);
 /// The shortest time between two loads from the weight store.
 const LOAD_INTERVAL: Span = Span::from_secs(2);
-/// How often control hosts are asked for fencing numbers until a majority answered.
-const LEARN: Span = Span::from_millis(250);
-/// How long they may take.
-const TIMEOUT: Span = Span::from_secs(2);
-/// How many hosts may pass the question on.
-const HOPS: u8 = 2;
-
-/// Takes orders and keeps what the agent knows of the configuration.
+/// The pause between two requests for fencing numbers, until a majority has answered.
+const LEARN_INTERVAL: Span = Span::from_millis(250);
+/// How long a control host may take to answer such a request.
+const LEARN_TIMEOUT: Span = Span::from_secs(2);
+/// The most hosts that may forward such a request.
+const MAX_HOPS: u8 = 2;
+
+/// Takes orders and keeps the configuration in force at the agent.
 #[derive(Debug)]
 pub struct OrderService {
     process: ProcessId,
     settings: AgentSettings,
     journal: Journal,
     clock: Clock,
-    gate: Mutex<OrderGate<Interval>>,
+    gate: Mutex<OrderGate<LoadInterval>>,
     client: OrderClient,
     config: ArcSwap<Config>,
+    /// The age of the configuration when it was last told, and when that was.
     age: Mutex<Option<(Moment, Span)>>,
 }
 
 impl OrderService {
-    /// A desk in front of the settings' backend server.
+    /// Creates the service in front of the settings' backend server.
     pub fn new(process: ProcessId, settings: AgentSettings, journal: Journal) -> Self {
         let clock = Clock::new();
-        let rate = Interval::new(LOAD_INTERVAL);
+        let rate = LoadInterval::new(LOAD_INTERVAL);
         let gate = OrderGate::new(process.clone(), clock.now(), FENCE_HOLD, rate);
         Self {
             client: OrderClient::new(settings.server),
@@ -59,30 +60,31 @@
         }
     }
 
-    /// The configuration in force at the agent.
+    /// Returns the configuration in force at the agent.
     pub fn config(&self) -> Arc<Config> {
         self.config.load_full()
     }
 
-    /// The highest fencing number that is known of.
+    /// Returns the highest known fencing number.
     pub fn floor(&self) -> Fence {
         self.gate.lock().floor()
     }
 
-    /// Decides on an order and passes it on.
+    /// Decides on an order, and passes it on where it isn't refused.
     pub async fn handle_order(&self, order: Order) -> OrderAnswer {
-        let decision = self.gate.lock().take(self.clock.now(), &order);
+        let decision = self.gate.lock().decide(self.clock.now(), &order);
         match decision {
             Decision::Done => OrderAnswer::Done,
             Decision::Refuse(refusal) => {
                 self.journal.record(Event::OrderRefused, &order.id, refusal);
                 OrderAnswer::Refused(refusal)
             }
-            Decision::Pass => self.pass(&order).await,
+            Decision::Pass => self.pass_order(&order).await,
         }
     }
 
-    async fn pass(&self, order: &Order) -> OrderAnswer {
+    /// Passes an order on to the backend server and records the result.
+    async fn pass_order(&self, order: &Order) -> OrderAnswer {
         self.journal
             .record(Event::OrderPassed, &order.id, &order.action);
         let engine = EngineOrder {
@@ -100,23 +102,23 @@
         }
     }
 
-    /// Asks control hosts for fencing numbers until a majority has answered.
+    /// Asks control hosts for fencing numbers until orders are no longer held back.
     pub async fn learn_forever(self: Arc<Self>) {
         let peers: Vec<Peer> = self.settings.seeds.iter().copied().map(Peer::new).collect();
         for peer in peers.iter().cycle() {
             if self.gate.lock().is_open(self.clock.now()) {
                 return;
             }
-            let ask = FenceAsk { hops: HOPS };
-            let report = peer.call::<_, FenceReport>(path::FENCES, &ask, TIMEOUT);
+            let ask = FenceAsk { hops: MAX_HOPS };
+            let report = peer.call::<_, FenceReport>(path::FENCES, &ask, LEARN_TIMEOUT);
             if let Ok(report) = report.await {
-                self.gate.lock().learn(&report);
+                self.gate.lock().learn_fences(&report);
             }
-            smol::Timer::after(LEARN.as_duration()).await;
+            smol::Timer::after(LEARN_INTERVAL.as_duration()).await;
         }
     }
 
-    /// Follows the configuration of the seeds.
+    /// Follows the configuration that the seeds report.
     pub async fn follow_forever(self: Arc<Self>) {
         let seed = snipemast_config::KeyHash::of(&self.process.to_string()).prefix();
         let seeds = &self.settings.seeds;
@@ -154,20 +156,20 @@
     fn note(&self, _: bool, age: Option<Span>, fence: Fence) {
         let now = self.clock.now();
         *self.age.lock() = age.map(|age| (now, age));
-        self.gate.lock().hear(fence);
+        self.gate.lock().raise_floor(fence);
     }
 }
 
-/// Serves the desk to the system's own processes; other paths go on to the next handler.
+/// Serves the orders to the system's own processes; other paths go on to the next handler.
 #[derive(Debug)]
 pub struct OrderHandler {
-    desk: Arc<OrderService>,
+    service: Arc<OrderService>,
 }
 
 impl OrderHandler {
-    /// Serves this desk.
-    pub fn new(desk: Arc<OrderService>) -> Self {
-        Self { desk }
+    /// Creates the handler of this service.
+    pub fn new(service: Arc<OrderService>) -> Self {
+        Self { service }
     }
 }
 
@@ -180,6 +182,6 @@
         let Some(order) = message::<Order>(&mut conn).await else {
             return malformed(conn);
         };
-        reply(conn, &self.desk.handle_order(order).await)
+        reply(conn, &self.service.handle_order(order).await)
     }
 }
