--- a/crates/agent/src/announce.rs
+++ b/crates/agent/src/announce.rs
@@ -1,4 +1,4 @@
-//! Tells entry hosts what the backend server offers and how loaded it is.
+//! Announces to entry hosts what the backend server offers and how loaded it is.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,52 +18,53 @@
 
 use crate::gate::Gate;
 
-/// The longest pause between two looks at the gate: how late a drain may be told.
-const LOOK: Span = Span::from_millis(50);
+/// The longest pause between two checks of the gate, and so the longest delay before a drain is announced.
+const GATE_CHECK_INTERVAL: Span = Span::from_millis(50);
 
-/// How often the backend server is asked again what it offers.
-const INFO: Span = Span::from_secs(5);
+/// How often the backend server is asked what it offers.
+const INFO_INTERVAL: Span = Span::from_secs(5);
 
-/// How long the agent's last word may take.
-const FAREWELL: Span = Span::from_millis(400);
+/// How long the agent waits for its leave message to reach the entries.
+const LEAVE_TIMEOUT: Span = Span::from_millis(400);
 
-/// The most answers that wait to be handled.
-const BOUND: usize = 64;
+/// The most inputs that wait to be handled.
+const MAX_INPUTS: usize = 64;
 
-/// The most entries whose connections are kept; beyond it all are dropped and opened as needed.
+/// The most entries whose connections are kept; beyond that, all are dropped and opened again as needed.
 const MAX_PEERS: usize = 64;
 
 /// The task that keeps the agent's leases.
 #[derive(Debug)]
-pub struct Announcing {
+pub struct AnnounceTask {
     task: Task<()>,
     inputs: Sender<AnnounceInput>,
 }
 
-impl Announcing {
-    /// Begins to announce the agent.
+impl AnnounceTask {
+    /// Starts to announce the agent.
     pub fn start(
         gate: Arc<Gate>,
         settings: AgentSettings,
         address: SocketAddr,
         info: ServerInfo,
     ) -> Self {
-        let (inputs, handled) = async_channel::bounded(BOUND);
-        let shell = Shell::new(gate, settings, address, info, inputs.clone());
-        let task = spawn(shell.run(handled));
+        let (inputs, received) = async_channel::bounded(MAX_INPUTS);
+        let announce_loop = AnnounceLoop::new(gate, settings, address, info, inputs.clone());
+        let task = spawn(announce_loop.run(received));
         Self { task, inputs }
     }
 
-    /// Tells the entries that the agent ends, and stops.
+    /// Tells the entries that the agent leaves, and stops the task.
     pub async fn stop(self) {
-        // A loop that ended by itself has nobody to tell.
+        // A loop that has ended by itself sends nothing.
         let _ = self.inputs.send(AnnounceInput::Leave).await;
-        smol::Timer::after(FAREWELL.as_duration()).await;
+        smol::Timer::after(LEAVE_TIMEOUT.as_duration()).await;
         self.task.cancel().await;
     }
 }
 
-struct Shell {
+/// The loop that drives the [`Announcer`].
+struct AnnounceLoop {
     gate: Arc<Gate>,
     clock: Clock,
     announcer: Announcer,
@@ -72,7 +73,7 @@
     peers: HashMap<SocketAddr, Arc<Peer>>,
 }
 
-impl Shell {
+impl AnnounceLoop {
     fn new(
         gate: Arc<Gate>,
         settings: AgentSettings,
@@ -94,7 +95,7 @@
             ..AnnounceTuning::default()
         };
         let clock = Clock::new();
-        let seed = seed_of(gate.process());
+        let seed = process_seed(gate.process());
         let announcer = Announcer::new(clock.now(), card, settings.seeds, tuning, seed);
         Self {
             gate,
@@ -106,36 +107,40 @@
         }
     }
 
-    async fn run(mut self, handled: Receiver<AnnounceInput>) {
-        let reading = spawn(read_forever(
+    /// Handles inputs until the task that reads the backend server ends.
+    async fn run(mut self, received: Receiver<AnnounceInput>) {
+        let reader = spawn(read_forever(
             Arc::clone(&self.gate),
             self.report,
             self.inputs.clone(),
         ));
         loop {
-            let input = self.next(&handled).await;
+            let input = self.next_input(&received).await;
             self.handle(input);
             if self.gate.is_draining() && !self.announcer.card().draining {
                 self.handle(AnnounceInput::Drain);
             }
-            if reading.is_finished() {
+            if reader.is_finished() {
                 return;
             }
         }
     }
 
-    /// The next answer, or a tick when one is due.
-    async fn next(&self, handled: &Receiver<AnnounceInput>) -> AnnounceInput {
+    /// Returns the next input, or a tick when one is due.
+    async fn next_input(&self, received: &Receiver<AnnounceInput>) -> AnnounceInput {
         let now = self.clock.now();
-        let wait = now.until(self.announcer.next_tick()).min(LOOK);
+        let wait = now
+            .until(self.announcer.next_tick())
+            .min(GATE_CHECK_INTERVAL);
         let tick = async {
             smol::Timer::after(wait.as_duration()).await;
             AnnounceInput::Tick
         };
-        let input = async { handled.recv().await.unwrap_or(AnnounceInput::Tick) };
+        let input = async { received.recv().await.unwrap_or(AnnounceInput::Tick) };
         input.or(tick).await
     }
 
+    /// Passes an input to the announcer and carries out its outputs.
     fn handle(&mut self, input: AnnounceInput) {
         let now = self.clock.now();
         for output in self.announcer.handle(now, input) {
@@ -157,6 +162,7 @@
         }
     }
 
+    /// Sends a message to an entry and queues its answer as an input.
     fn send(
         &mut self,
         token: snipemast_membership::Token,
@@ -185,32 +191,32 @@
                     AnnounceInput::TimedOut(token)
                 }
             };
-            // An agent that ended waits for no answer.
+            // The receiver is gone only where the agent has ended.
             let _ = inputs.send(input).await;
         })
         .detach();
     }
 }
 
-/// Reads the backend server's load and, more seldom, what it offers.
+/// Reads the backend server's load and, less often, what it offers.
 async fn read_forever(gate: Arc<Gate>, pause: Span, inputs: Sender<AnnounceInput>) {
     let clock = Clock::new();
-    let mut again = clock.now() + INFO;
+    let mut info_due = clock.now() + INFO_INTERVAL;
     loop {
-        // A server that does not report keeps its last load; the entry's own counts of what it
-        // sent carry the choice until the next report.
-        let mut news = Vec::new();
+        // A server that doesn't report keeps its last load. Until the next report, an entry chooses
+        // by its own counts of what it sent.
+        let mut updates = Vec::new();
         if let Ok(load) = gate.engine().load().await {
-            gate.report(load);
-            news.push(AnnounceInput::Load(load.into()));
+            gate.record_load(load);
+            updates.push(AnnounceInput::Load(load.into()));
         }
-        if clock.now() >= again {
-            again = clock.now() + INFO;
+        if clock.now() >= info_due {
+            info_due = clock.now() + INFO_INTERVAL;
             if let Ok(info) = gate.engine().info().await {
-                news.push(AnnounceInput::Info(Box::new(info)));
+                updates.push(AnnounceInput::Info(Box::new(info)));
             }
         }
-        for input in news {
+        for input in updates {
             if inputs.send(input).await.is_err() {
                 return;
             }
@@ -219,8 +225,8 @@
     }
 }
 
-/// A seed of its own for each process.
-fn seed_of(process: &ProcessId) -> u64 {
+/// Derives a random seed from the process, so that each process has its own.
+fn process_seed(process: &ProcessId) -> u64 {
     use std::hash::{Hash, Hasher};
     let mut hasher = std::hash::DefaultHasher::new();
     process.hash(&mut hasher);
--- a/crates/agent/src/gate.rs
+++ b/crates/agent/src/gate.rs
@@ -1,9 +1,9 @@
-//! The gate: the one way to a backend server.
+//! The gate through which every dispatch reaches the backend server.
 //!
-//! - [`shards`]: the ledger in shards, each under its own lock, with whom to wake.
-//! - `work`: runs a dispatch on the backend server and keeps its answer.
-//! - `relay`: reads a kept answer and frames it for an entry.
-//! - `crashes`: tells a dead backend server from a broken connection, and counts its deaths.
+//! - [`shards`]: the ledger in shards, each under its own lock, and the tasks to wake.
+//! - `work`: runs a dispatch on the backend server and stores its answer.
+//! - `relay`: reads a stored answer and sends it to an entry in frames.
+//! - `crashes`: distinguishes a dead backend server from a broken connection, and counts its deaths.
 //! - [`handler`]: the endpoints for the system's own processes.
 
 mod crashes;
@@ -28,10 +28,10 @@
 
 pub use handler::GateHandler;
 
-/// The longest part of one answer that is kept.
-const ANSWER: usize = 1 << 20;
+/// The most bytes of one answer that are kept.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// The one gate in front of a backend server.
+/// Accepts dispatches for a backend server, runs them, and keeps their answers.
 #[derive(Debug)]
 pub struct Gate {
     process: ProcessId,
@@ -39,6 +39,7 @@
     limits: AgentLimits,
     journal: Journal,
     shards: Shards,
+    /// The dispatch that runs under suspicion; only one may at a time.
     suspect: Mutex<Option<DispatchId>>,
     load: Mutex<LoadReport>,
     crashes: Mutex<Crashes>,
@@ -47,12 +48,12 @@
 }
 
 impl Gate {
-    /// A gate in front of this engine.
+    /// Creates a gate in front of this engine.
     pub fn new(process: ProcessId, engine: Engine, limits: AgentLimits, journal: Journal) -> Self {
         let ledger = LedgerLimits {
             entries: limits.ledger as usize,
             bytes: limits.answers.as_bytes() as usize,
-            answer_bytes: ANSWER,
+            answer_bytes: MAX_ANSWER_BYTES,
         };
         let shards = Shards::new(&process, ledger);
         Self {
@@ -69,22 +70,22 @@
         }
     }
 
-    /// The agent's process.
+    /// Returns the agent's process.
     pub fn process(&self) -> &ProcessId {
         &self.process
     }
 
-    /// The backend server behind the gate.
+    /// Returns the backend server behind the gate.
     pub fn engine(&self) -> &Engine {
         &self.engine
     }
 
-    /// The agent's journal.
+    /// Returns the agent's journal.
     pub fn journal(&self) -> &Journal {
         &self.journal
     }
 
-    /// The ledger of dispatches.
+    /// Returns the ledger of dispatches.
     pub fn shards(&self) -> &Shards {
         &self.shards
     }
@@ -102,13 +103,14 @@
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Dispatches that run, or whose answer nobody has read to its end yet.
+    /// Returns how many dispatches run or wait for a reader to reach the end of their answer, and how
+    /// many relays of answers are open.
     pub fn running(&self) -> u32 {
         self.running.load(Ordering::SeqCst)
     }
 
-    /// Waits until nothing is in flight; false where the bound passed first.
-    pub async fn wait_empty(&self, bound: Span) -> bool {
+    /// Waits until nothing is in flight; returns false where the bound passes first.
+    pub async fn wait_idle(&self, bound: Span) -> bool {
         let clock = Clock::new();
         let end = clock.now() + bound;
         while self.running() > 0 {
@@ -120,13 +122,13 @@
         true
     }
 
-    /// Takes the backend server's latest report.
-    pub fn report(&self, load: LoadReport) {
-        self.crashes.lock().up();
+    /// Records the backend server's latest report.
+    pub fn record_load(&self, load: LoadReport) {
+        self.crashes.lock().mark_alive();
         *self.load.lock() = load;
     }
 
-    /// The latest report, with the gate's own fresh count of what runs.
+    /// Returns the latest report, with the gate's own current count of what runs.
     pub fn load(&self) -> LoadReport {
         LoadReport {
             running: self.running(),
@@ -135,34 +137,34 @@
         }
     }
 
-    /// Counts a piece of work until the guard is dropped.
-    fn enter(self: &Arc<Self>) -> InFlight {
+    /// Counts work as in flight until the guard is dropped.
+    fn track_work(self: &Arc<Self>) -> InFlight {
         self.running.fetch_add(1, Ordering::SeqCst);
         InFlight {
             gate: Arc::clone(self),
         }
     }
 
-    /// Whether a dispatch is refused before it comes to the ledger, and why.
+    /// Returns why a dispatch is refused before it enters the ledger, if it is.
     ///
-    /// Failure guarded against: a request that comes just after its server died is blamed for
-    /// the death. It shows as innocent requests under suspicion; until the server answers again
+    /// Failure guarded against: a request that arrives just after the server died is blamed for the
+    /// death, so that innocent requests come under suspicion. Until the server answers again,
     /// nothing is passed to it.
     fn refusal(&self, dispatch: &Dispatch) -> Option<RefusalReason> {
         if self.crashes.lock().is_down() {
             Some(RefusalReason::Unreachable)
-        } else if dispatch.suspect && !self.take_suspect(&dispatch.id) {
+        } else if dispatch.suspect && !self.claim_suspect(&dispatch.id) {
             Some(RefusalReason::Suspect)
         } else {
             None
         }
     }
 
-    /// Takes the one place for suspects; false where another suspect has it.
+    /// Takes the one place for suspects; returns false where another suspect has it.
     ///
-    /// Failure guarded against: two suspects side by side when the backend server dies again.
-    /// It shows as two requests under the same suspicion, of which one is innocent.
-    fn take_suspect(&self, id: &DispatchId) -> bool {
+    /// Failure guarded against: two suspects run side by side when the backend server dies again, and
+    /// the innocent one of them stays under the same suspicion as the other.
+    fn claim_suspect(&self, id: &DispatchId) -> bool {
         let mut suspect = self.suspect.lock();
         match suspect.as_ref() {
             Some(other) => other == id,
@@ -173,7 +175,8 @@
         }
     }
 
-    fn free_suspect(&self, id: &DispatchId) {
+    /// Frees the place for suspects where this dispatch has it.
+    fn release_suspect(&self, id: &DispatchId) {
         let mut suspect = self.suspect.lock();
         if suspect.as_ref() == Some(id) {
             *suspect = None;
@@ -181,7 +184,7 @@
     }
 }
 
-/// Work in flight.
+/// Counts as work in flight until it is dropped.
 #[derive(Debug)]
 struct InFlight {
     gate: Arc<Gate>,
--- a/crates/agent/src/gate/crashes.rs
+++ b/crates/agent/src/gate/crashes.rs
@@ -1,4 +1,4 @@
-//! Tells a dead backend server from a broken connection, and counts its deaths.
+//! Distinguishes a dead backend server from a broken connection, and counts its deaths.
 
 use std::sync::Arc;
 
@@ -11,25 +11,25 @@
 
 use super::Gate;
 
-/// How long a backend server whose connection broke gets to show that it lives.
-const PROBE: Span = Span::from_secs(1);
-/// How often a dead one is asked again.
-const AGAIN: Span = Span::from_millis(250);
+/// How long a backend server whose connection broke may take to show that it is alive.
+const PROBE_TIMEOUT: Span = Span::from_secs(1);
+/// The pause between two probes of a dead backend server.
+const PROBE_INTERVAL: Span = Span::from_millis(250);
 
 /// The deaths of the backend server.
 ///
-/// All dispatches that one death takes with it carry the same number, however late each finds
-/// out, so that ten copies of an innocent request beside a culprit count one crash and not ten.
+/// All dispatches that one death ends carry the same number, however late each of them learns of it,
+/// so that ten copies of an innocent request beside the culprit count as one crash and not as ten.
 #[derive(Debug, Default)]
 pub(super) struct Crashes {
-    number: u64,
+    deaths: u64,
     is_down: bool,
 }
 
 impl Crashes {
-    /// The number of deaths so far: the life that a dispatch begins in.
-    pub(super) fn life(&self) -> u64 {
-        self.number
+    /// Returns the number of deaths so far; a dispatch notes it when it begins.
+    pub(super) fn deaths(&self) -> u64 {
+        self.deaths
     }
 
     /// Whether the backend server is thought dead.
@@ -37,61 +37,62 @@
         self.is_down
     }
 
-    /// The backend server was seen alive.
-    pub(super) fn up(&mut self) {
+    /// Records that the backend server was seen alive.
+    pub(super) fn mark_alive(&mut self) {
         self.is_down = false;
     }
 
-    /// A dispatch of this life found the backend server dead; returns the number of the death.
-    fn down(&mut self, life: u64) -> u64 {
-        if self.number == life {
+    /// Records that a dispatch which began after this many deaths found the backend server dead; returns
+    /// the number of that death.
+    fn record_death(&mut self, deaths: u64) -> u64 {
+        if self.deaths == deaths {
             self.is_down = true;
-            self.number += 1;
+            self.deaths += 1;
         }
-        life + 1
+        deaths + 1
     }
 }
 
 impl Gate {
-    /// How a dispatch failed whose connection to the backend server broke.
-    pub(super) async fn broken(self: &Arc<Self>, life: u64, restarts: u32) -> Failure {
+    /// Returns how a dispatch failed whose connection to the backend server broke.
+    pub(super) async fn diagnose_break(self: &Arc<Self>, deaths: u64, restarts: u32) -> Failure {
         let probe = async { probe(&self.engine).await };
         let late = async {
-            smol::Timer::after(PROBE.as_duration()).await;
+            smol::Timer::after(PROBE_TIMEOUT.as_duration()).await;
             None
         };
-        let again = match probe.or(late).await {
+        let silent = match probe.or(late).await {
             Some(load) if load.is_none_or(|l| l.restarts == restarts) => return Failure::Broken,
             Some(_) => false,
             None => true,
         };
-        let number = self.crashes.lock().down(life);
-        if again {
-            self.await_life();
+        let number = self.crashes.lock().record_death(deaths);
+        if silent {
+            self.await_restart();
         } else {
-            self.crashes.lock().up();
+            self.crashes.lock().mark_alive();
         }
         Failure::Died(number)
     }
 
-    /// Asks the backend server in the background until it answers.
-    fn await_life(self: &Arc<Self>) {
+    /// Probes the backend server in the background until it answers.
+    fn await_restart(self: &Arc<Self>) {
         let gate = Arc::downgrade(self);
         spawn(async move {
             while let Some(gate) = gate.upgrade() {
                 if probe(&gate.engine).await.is_some() {
-                    gate.crashes.lock().up();
+                    gate.crashes.lock().mark_alive();
                     return;
                 }
                 drop(gate);
-                smol::Timer::after(AGAIN.as_duration()).await;
+                smol::Timer::after(PROBE_INTERVAL.as_duration()).await;
             }
         })
         .detach();
     }
 }
 
-/// The load of a backend server that answers; one that answers anything at all is alive.
+/// Asks the backend server for its load; one that answers anything at all is alive.
 async fn probe(engine: &Engine) -> Option<Option<LoadReport>> {
     match engine.load().await {
         Ok(load) => Some(Some(load)),
--- a/crates/agent/src/gate/handler.rs
+++ b/crates/agent/src/gate/handler.rs
@@ -16,11 +16,11 @@
 };
 
 use super::relay::Relay;
-use super::work::Work;
+use super::work::DispatchWork;
 use super::Gate;
 
-/// The batches of frames that wait for a slow entry before no more are made.
-const PIPE_BOUND: usize = 4;
+/// The most batches of frames that wait for a slow entry before no more are made.
+const MAX_BATCHES: usize = 4;
 
 /// Serves the gate to the system's own processes.
 #[derive(Debug)]
@@ -29,27 +29,28 @@
 }
 
 impl GateHandler {
-    /// Serves this gate.
+    /// Creates the handler of this gate.
     pub fn new(gate: Arc<Gate>) -> Self {
         Self { gate }
     }
 
+    /// Answers a dispatch with its frames or a refusal.
     async fn dispatch(&self, mut conn: Conn) -> Conn {
         let Some(dispatch) = message::<Dispatch>(&mut conn).await else {
             return malformed(conn);
         };
-        match self.take(dispatch) {
-            Ok(id) => self.relay(conn, id, 0),
+        match self.accept(dispatch) {
+            Ok(id) => self.relay_answer(conn, id, 0),
             Err((id, reason)) => refuse(conn, &id, reason),
         }
     }
 
-    /// Takes a dispatch into the ledger and starts its work, unless it runs already.
-    fn take(&self, dispatch: Dispatch) -> Result<DispatchId, (DispatchId, RefusalReason)> {
+    /// Enters a dispatch into the ledger and starts its work, unless it runs already.
+    fn accept(&self, dispatch: Dispatch) -> Result<DispatchId, (DispatchId, RefusalReason)> {
         let (gate, id) = (&self.gate, dispatch.id.clone());
         if let Some(reason) = gate.refusal(&dispatch) {
-            // A refusal binds: a second copy of the dispatch must not run later. One that runs
-            // already is not refused.
+            // A refusal is final: a second copy of the dispatch must not run later. A dispatch that
+            // runs already is not refused.
             if gate.shards.settle(&id, &dispatch.agent, dispatch.left) == AttemptStatus::Barred {
                 gate.journal
                     .record(Event::DispatchRefused, &dispatch.request, reason);
@@ -64,15 +65,15 @@
             suspect: dispatch.suspect,
         };
         match gate.shards.arrive(&arrival) {
-            (ArrivalOutcome::Run, Some(ring)) => {
+            (ArrivalOutcome::Run, Some(wakeups)) => {
                 gate.journal
                     .record(Event::DispatchAccepted, &dispatch.request, &id);
-                self.start(dispatch, ring);
+                self.start_work(dispatch, wakeups);
                 Ok(id)
             }
             (ArrivalOutcome::Run | ArrivalOutcome::Attach, _) => Ok(id),
             (ArrivalOutcome::Refused(reason), _) => {
-                gate.free_suspect(&id);
+                gate.release_suspect(&id);
                 gate.journal
                     .record(Event::DispatchRefused, &dispatch.request, reason);
                 Err((id, reason))
@@ -80,9 +81,10 @@
         }
     }
 
-    fn start(&self, dispatch: Dispatch, ring: async_channel::Receiver<()>) {
-        let work = Work::new(Arc::clone(&self.gate), &dispatch, ring);
-        let guard = self.gate.enter();
+    /// Starts the work of a dispatch.
+    fn start_work(&self, dispatch: Dispatch, wakeups: async_channel::Receiver<()>) {
+        let work = DispatchWork::new(Arc::clone(&self.gate), &dispatch, wakeups);
+        let guard = self.gate.track_work();
         spawn(async move {
             work.run(dispatch.call).await;
             drop(guard);
@@ -90,6 +92,7 @@
         .detach();
     }
 
+    /// Answers a dispatch that runs already from an offset on.
     async fn resume(&self, mut conn: Conn) -> Conn {
         let Some(ResumeFrom { id, agent, offset }) = message(&mut conn).await else {
             return malformed(conn);
@@ -97,16 +100,17 @@
         if agent != self.gate.process {
             return refuse(conn, &id, RefusalReason::Incarnation);
         }
-        if !self.gate.shards.knows(&id) {
+        if !self.gate.shards.is_known(&id) {
             return refuse(conn, &id, RefusalReason::Unknown);
         }
-        self.relay(conn, id, offset)
+        self.relay_answer(conn, id, offset)
     }
 
-    fn relay(&self, conn: Conn, id: DispatchId, offset: u64) -> Conn {
-        let (writer, reader) = pipe(PIPE_BOUND);
+    /// Streams the frames of an answer from an offset on.
+    fn relay_answer(&self, conn: Conn, id: DispatchId, offset: u64) -> Conn {
+        let (writer, reader) = pipe(MAX_BATCHES);
         let relay = Relay::new(Arc::clone(&self.gate), id, offset, writer);
-        let guard = self.gate.enter();
+        let guard = self.gate.track_work();
         spawn(async move {
             relay.run().await;
             drop(guard);
@@ -115,6 +119,7 @@
         stream(conn, reader)
     }
 
+    /// Settles the status of a dispatch.
     async fn settle(&self, mut conn: Conn) -> Conn {
         let Some(Settle { id, agent, keep }) = message(&mut conn).await else {
             return malformed(conn);
@@ -126,6 +131,7 @@
         reply(conn, &Settlement { id, settled })
     }
 
+    /// Cancels a dispatch.
     async fn cancel(&self, mut conn: Conn) -> Conn {
         let Some(Cancel { id, agent, keep }) = message(&mut conn).await else {
             return malformed(conn);
@@ -134,6 +140,7 @@
         reply(conn, &Settlement { id, settled })
     }
 
+    /// Answers with a page of the timeline.
     async fn page(&self, mut conn: Conn) -> Conn {
         let Some(packed) = message::<Packed>(&mut conn).await else {
             return malformed(conn);
@@ -145,6 +152,7 @@
         reply(conn, &Packed::new(&page))
     }
 
+    /// Answers with the events since a stamp.
     async fn events(&self, mut conn: Conn) -> Conn {
         let Some(since) = message::<Stamp>(&mut conn).await else {
             return malformed(conn);
@@ -153,6 +161,7 @@
     }
 }
 
+/// Answers with the frame of a refusal.
 fn refuse(conn: Conn, id: &DispatchId, reason: RefusalReason) -> Conn {
     let frame = Frame::new(Tag::for_dispatch(id), Part::Refused { reason });
     conn.ok(FrameWriter::encode(&frame))
--- a/crates/agent/src/gate/relay.rs
+++ b/crates/agent/src/gate/relay.rs
@@ -1,4 +1,4 @@
-//! Reads a kept answer and frames it for an entry.
+//! Reads a stored answer and sends it to an entry in frames.
 
 use std::sync::Arc;
 
@@ -11,10 +11,10 @@
 
 use super::Gate;
 
-/// The bytes of an answer that go into one frame at most.
-const FRAME: usize = 32 << 10;
-/// How long an entry may take no byte before its connection counts as dead.
-const STALL: Span = Span::from_secs(20);
+/// The most bytes of an answer in one frame.
+const MAX_FRAME_BYTES: usize = 32 << 10;
+/// How long an entry may read no byte before its connection counts as dead.
+const STALL_TIMEOUT: Span = Span::from_secs(20);
 
 /// One reader of an answer.
 #[derive(Debug)]
@@ -22,24 +22,24 @@
     gate: Arc<Gate>,
     id: DispatchId,
     frames: PipeWriter,
-    place: ReadPosition,
+    cursor: ReadPosition,
 }
 
-/// Whether a relay goes on.
+/// Whether a relay waits for more of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Next {
+enum RelayState {
     Wait,
     Ended,
 }
 
-/// The entry is gone or takes nothing more.
+/// The error of an entry that is gone or reads nothing more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Gone;
+struct EntryGone;
 
 impl Relay {
-    /// Relays the answer of a dispatch from an offset on.
+    /// Creates the relay of a dispatch's answer from an offset on.
     pub(super) fn new(gate: Arc<Gate>, id: DispatchId, offset: u64, frames: PipeWriter) -> Self {
-        let place = ReadPosition {
+        let cursor = ReadPosition {
             head: false,
             offset,
         };
@@ -47,76 +47,88 @@
             gate,
             id,
             frames,
-            place,
+            cursor,
         }
     }
 
-    /// Relays until the end of the answer or of the connection.
+    /// Relays the answer until it or the connection ends.
     pub(super) async fn run(mut self) {
-        let (number, ring) = self.gate.shards.attach(&self.id);
-        let ended = self.follow(&ring).await.is_ok();
-        self.gate.shards.detach(&self.id, number, ended);
+        let (number, wakeups) = self.gate.shards.attach_reader(&self.id);
+        let ended = self.relay_frames(&wakeups).await.is_ok();
+        self.gate.shards.detach_reader(&self.id, number, ended);
     }
 
-    async fn follow(&mut self, ring: &async_channel::Receiver<()>) -> Result<(), Gone> {
+    /// Sends frames as the answer grows, and a beat where none is sent for a while.
+    async fn relay_frames(
+        &mut self,
+        wakeups: &async_channel::Receiver<()>,
+    ) -> Result<(), EntryGone> {
         self.send(FrameWriter::accepted(&self.id)).await?;
         let mut beats = smol::Timer::interval(self.gate.limits.beat.as_duration());
         loop {
-            if self.flush().await? == Next::Ended {
+            if self.send_available().await? == RelayState::Ended {
                 return Ok(());
             }
-            let rung = async { ring.recv().await.is_ok() };
+            let woken = async { wakeups.recv().await.is_ok() };
             let beat = async {
                 beats.next().await;
                 false
             };
-            if !rung.or(beat).await {
+            if !woken.or(beat).await {
                 let beat = Frame::new(Tag::for_dispatch(&self.id), Part::Beat);
                 self.send(FrameWriter::encode(&beat)).await?;
             }
         }
     }
 
-    /// Sends everything that is there, many frames at once.
-    async fn flush(&mut self) -> Result<Next, Gone> {
+    /// Sends all that the ledger holds so far, many frames at once.
+    async fn send_available(&mut self) -> Result<RelayState, EntryGone> {
         loop {
             let mut bytes = Vec::new();
-            let mut next = Next::Wait;
-            while bytes.len() < FRAME {
-                let Some(frame) = self.gate.shards.frame(&self.id, self.place, FRAME) else {
+            let mut state = RelayState::Wait;
+            while bytes.len() < MAX_FRAME_BYTES {
+                let Some(frame) =
+                    self.gate
+                        .shards
+                        .next_frame(&self.id, self.cursor, MAX_FRAME_BYTES)
+                else {
                     break;
                 };
                 FrameWriter::append(&frame, &mut bytes);
-                if self.advance(&frame.part) == Next::Ended {
-                    next = Next::Ended;
+                if self.advance(&frame.part) == RelayState::Ended {
+                    state = RelayState::Ended;
                     break;
                 }
             }
             if bytes.is_empty() {
-                return Ok(Next::Wait);
+                return Ok(RelayState::Wait);
             }
             self.send(bytes).await?;
-            if next == Next::Ended {
-                return Ok(next);
+            if state == RelayState::Ended {
+                return Ok(state);
             }
         }
     }
 
-    fn advance(&mut self, part: &Part) -> Next {
+    /// Moves the cursor past a frame.
+    fn advance(&mut self, part: &Part) -> RelayState {
         match part {
-            Part::Head { .. } => self.place.head = true,
-            Part::Data { bytes, .. } => self.place.offset += bytes.len() as u64,
-            Part::End { .. } | Part::Failed { .. } | Part::Refused { .. } => return Next::Ended,
+            Part::Head { .. } => self.cursor.head = true,
+            Part::Data { bytes, .. } => self.cursor.offset += bytes.len() as u64,
+            Part::End { .. } | Part::Failed { .. } | Part::Refused { .. } => {
+                return RelayState::Ended
+            }
             Part::Accepted { .. } | Part::Beat => {}
         }
-        Next::Wait
+        RelayState::Wait
     }
 
-    async fn send(&self, bytes: Vec<u8>) -> Result<(), Gone> {
-        let sent = async { self.frames.send(bytes).await.map_err(|_| Gone) };
+    /// Sends bytes to the entry.
+    async fn send(&self, bytes: Vec<u8>) -> Result<(), EntryGone> {
+        let sent = async { self.frames.send(bytes).await.map_err(|_| EntryGone) };
         let stalled = async {
-            smol::Timer::after(STALL.as_duration()).await;
-            Err(Gone)
+            smol::Timer::after(STALL_TIMEOUT.as_duration()).await;
+            Err(EntryGone)
         };
         sent.or(stalled).await
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,11 +1,11 @@
-//! The agent beside a backend server: the one gate in front of it.
+//! The agent beside a backend server: every request and order reaches the server through it.
 //!
-//! - [`process`]: start, announce, drain, stop.
-//! - [`metrics`]: reports the metrics, again and again.
-//! - [`gate`]: takes dispatches, passes them to the backend server, frames the answer.
-//! - [`orders`]: the gate for orders.
-//! - [`announce`]: tells entry hosts what the backend server offers and how loaded it is.
-//! - [`rank`]: a rank's part in its group: the shell around the machines of agreement.
+//! - [`process`]: starts, drains and stops the agent.
+//! - [`metrics`]: reports the metrics at a fixed interval.
+//! - [`gate`]: accepts dispatches, passes them to the backend server, and relays its answers to entries.
+//! - [`orders`]: decides which orders reach the backend server.
+//! - [`announce`]: announces to entry hosts what the backend server offers and how loaded it is.
+//! - [`rank`]: runs the state machines by which the ranks of a group agree on expert maps.
 
 pub mod announce;
 pub mod gate;
@@ -15,4 +15,4 @@
 pub mod rank;
 
 pub use process::{Agent, AgentError};
-pub use rank::{RankHandler, RankShell};
+pub use rank::{RankDriver, RankHandler};
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -44,6 +44,7 @@
     }
 }
 
+/// Runs the agent until a signal ends it.
 fn serve(settings: AgentSettings) -> ExitCode {
     let incarnation = start_incarnation();
     let process = ProcessId::new(settings.host.clone(), incarnation);
@@ -53,7 +54,7 @@
     let mut signals = match Signals::new([SIGTERM, SIGINT]) {
         Ok(signals) => signals,
         Err(e) => {
-            eprintln!("snipemast-agent: signals can't be handled: {e}");
+            eprintln!("snipemast-agent: can't install signal handlers: {e}");
             return ExitCode::FAILURE;
         }
     };
@@ -69,7 +70,7 @@
     ExitCode::SUCCESS
 }
 
-/// The wall clock in milliseconds: later starts of a host get a larger one.
+/// Returns the wall clock in milliseconds, so that later starts of a host get a larger incarnation.
 fn start_incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     Incarnation::new(since.map_or(0, |d| d.as_millis() as u64))
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Reports the agent's metrics, again and again.
+//! Reports the agent's metrics at a fixed interval.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 
 use crate::gate::Gate;
 
-/// Reports once an interval.
+/// Reports once per [`INTERVAL`] for as long as the future is polled.
 pub async fn report_forever(gate: Arc<Gate>, mut metrics: Metrics) {
     loop {
         smol::Timer::after(INTERVAL.as_duration()).await;
--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -1,4 +1,4 @@
-//! The life of an agent process: start, announce, drain, stop.
+//! The life cycle of an agent process: start, announce, drain, stop.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,16 +13,16 @@
 use snipemast_settings::AgentSettings;
 use snipemast_wire::{listen, spawn, Listening, Stamped};
 
-use crate::announce::Announcing;
+use crate::announce::AnnounceTask;
 use crate::gate::{Gate, GateHandler};
 use crate::metrics::report_forever;
 use crate::orders::service::{OrderHandler, OrderService};
-use crate::rank::{RankHandler, RankShell};
+use crate::rank::{RankDriver, RankHandler};
 
-/// How long entries may take to hear of a drain before the agent looks whether it is idle.
-const SPREAD: Span = Span::from_millis(200);
-/// How long the last frames may take to be written.
-const FLUSH: Span = Span::from_secs(5);
+/// How long entries may take to learn of a drain before the agent checks whether it is idle.
+const DRAIN_SPREAD_TIME: Span = Span::from_millis(200);
+/// How long writing the last frames may take.
+const FLUSH_TIMEOUT: Span = Span::from_secs(5);
 
 /// The result of starting an agent.
 pub type Result<T> = std::result::Result<T, Report<AgentError>>;
@@ -55,12 +55,12 @@
 pub struct Agent {
     gate: Arc<Gate>,
     listening: Listening,
-    announcing: Announcing,
+    announce_task: AnnounceTask,
     orders: Arc<OrderService>,
-    learning: Vec<Task<()>>,
+    order_tasks: Vec<Task<()>>,
     shutdown: Span,
-    reporting: Option<Task<()>>,
-    rank: Option<Arc<RankShell>>,
+    metrics_task: Option<Task<()>>,
+    rank: Option<Arc<RankDriver>>,
 }
 
 impl Agent {
@@ -73,12 +73,12 @@
         Self::start_advertised(settings, incarnation, journal, None).await
     }
 
-    /// Starts an agent that others reach at another address than the one it binds.
+    /// Starts an agent that announces another address than the one it binds, where one is given.
     pub async fn start_advertised(
         settings: AgentSettings,
         incarnation: Incarnation,
         journal: Journal,
-        reached: Option<SocketAddr>,
+        advertised: Option<SocketAddr>,
     ) -> Result<Self> {
         let engine = Engine::new(settings.server);
         let info = engine
@@ -87,18 +87,18 @@
             .change_context(AgentError::Server(settings.server))?;
         let process = ProcessId::new(settings.host.clone(), incarnation);
         let gate = Arc::new(Gate::new(process, engine, settings.limits.clone(), journal));
-        let desk = OrderService::new(
+        let order_service = OrderService::new(
             gate.process().clone(),
             settings.clone(),
             gate.journal().clone(),
         );
-        let desk = Arc::new(desk);
+        let order_service = Arc::new(order_service);
         let rank = info.rank.clone().map(|place| {
-            RankShell::new(place, incarnation, settings.server, gate.journal().clone())
+            RankDriver::new(place, incarnation, settings.server, gate.journal().clone())
         });
         let handler = (
             rank.clone().map(RankHandler::new),
-            OrderHandler::new(Arc::clone(&desk)),
+            OrderHandler::new(Arc::clone(&order_service)),
             GateHandler::new(Arc::clone(&gate)),
         );
         let handler = Stamped::new(Arc::clone(gate.journal().ring()), handler);
@@ -107,7 +107,7 @@
             .change_context(AgentError::Bind(settings.own))?;
         gate.journal()
             .record(Event::ProcessStarted, &settings.host, listening.address());
-        let reporting = match settings.statsd {
+        let metrics_task = match settings.statsd {
             Some(address) => {
                 let metrics = Metrics::new(address, &settings.host);
                 let metrics = metrics.change_context(AgentError::Metrics(address))?;
@@ -116,71 +116,70 @@
             None => None,
         };
         let shutdown = settings.limits.shutdown;
-        let address = reached.unwrap_or(listening.address());
-        let announcing = Announcing::start(Arc::clone(&gate), settings, address, info);
-        let learning = vec![
-            spawn(Arc::clone(&desk).learn_forever()),
-            spawn(Arc::clone(&desk).follow_forever()),
+        let address = advertised.unwrap_or(listening.address());
+        let announce_task = AnnounceTask::start(Arc::clone(&gate), settings, address, info);
+        let order_tasks = vec![
+            spawn(Arc::clone(&order_service).learn_forever()),
+            spawn(Arc::clone(&order_service).follow_forever()),
         ];
         Ok(Self {
             gate,
             listening,
-            announcing,
-            orders: desk,
-            learning,
+            announce_task,
+            orders: order_service,
+            order_tasks,
             shutdown,
-            reporting,
+            metrics_task,
             rank,
         })
     }
 
-    /// Where the agent listens.
+    /// Returns the address at which the agent listens.
     pub fn address(&self) -> SocketAddr {
         self.listening.address()
     }
 
-    /// The gate in front of the backend server.
+    /// Returns the gate in front of the backend server.
     pub fn gate(&self) -> &Arc<Gate> {
         &self.gate
     }
 
-    /// The rank's part in its group, where the backend server is a rank.
-    pub fn rank(&self) -> Option<&Arc<RankShell>> {
+    /// Returns the driver of the rank, where the backend server is one.
+    pub fn rank(&self) -> Option<&Arc<RankDriver>> {
         self.rank.as_ref()
     }
 
-    /// The gate for orders, and what the agent knows of the configuration.
+    /// Returns the service that takes orders and follows the configuration.
     pub fn orders(&self) -> &Arc<OrderService> {
         &self.orders
     }
 
-    /// Refuses new dispatches from now on; the announcements spread it.
+    /// Refuses new dispatches from now on; the announcements tell entries of it.
     pub fn drain(&self) {
         self.gate.drain();
     }
 
-    /// Drains, waits until nothing is in flight or the bound has passed, and ends.
+    /// Drains, waits until nothing is in flight or the shutdown limit has passed, and stops.
     ///
-    /// Failure guarded against: an answer that is cut by a planned restart. It shows as a stream
-    /// that an entry can't resume. The drain spreads first, so that entries choose other servers;
-    /// what still comes is refused as not run; and the listener ends last, once its last frames
-    /// are written.
+    /// Failure guarded against: a planned restart cuts an answer, so that an entry can't resume its
+    /// stream. Entries learn of the drain first and choose other servers; dispatches that still
+    /// arrive are refused as not run; and the listener stops last, once its last frames are written.
     pub async fn stop(self) {
         self.drain();
-        smol::Timer::after(SPREAD.as_duration()).await;
-        let empty = self.gate.wait_empty(self.shutdown).await;
-        self.announcing.stop().await;
-        let written = self.listening.stop_within(FLUSH).await;
-        let event = if empty && written {
+        smol::Timer::after(DRAIN_SPREAD_TIME.as_duration()).await;
+        let idle = self.gate.wait_idle(self.shutdown).await;
+        self.announce_task.stop().await;
+        let written = self.listening.stop_within(FLUSH_TIMEOUT).await;
+        let event = if idle && written {
             Event::ProcessEnded
         } else {
             Event::DrainExpired
         };
         self.gate.journal().record(event, self.gate.process(), "");
         if let Some(rank) = &self.rank {
-            rank.end();
+            rank.stop();
         }
-        for task in self.learning.into_iter().chain(self.reporting) {
+        for task in self.order_tasks.into_iter().chain(self.metrics_task) {
             task.cancel().await;
         }
     }
--- a/crates/agent/src/rank.rs
+++ b/crates/agent/src/rank.rs
@@ -1,7 +1,7 @@
-//! A rank's part in its group: the thin shell around the machines of agreement.
+//! Runs the state machines by which the ranks of a group agree on expert maps.
 //!
-//! Messages may be lost, doubled and late: the machines resend what matters, so a full queue
-//! drops and every send has a deadline.
+//! Messages may be lost, duplicated or late. The state machines resend what matters, so a full queue
+//! drops messages and every send has a timeout.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -23,43 +23,45 @@
 use snipemast_wire::serve::{malformed, message, reply};
 use snipemast_wire::{spawn, Peer};
 
-/// How many messages wait for a slow peer before further ones are dropped.
-const QUEUE: usize = 64;
+/// The most messages that wait for a slow peer before further ones are dropped.
+const QUEUE_LENGTH: usize = 64;
 /// How long a message to another agent may take.
-const SEND: Span = Span::from_millis(500);
-/// How often the engine is asked where it stands; a part of the shortest step.
-const POLL: Span = Span::from_millis(2);
+const SEND_TIMEOUT: Span = Span::from_millis(500);
+/// How often the engine's status is polled: a part of the shortest step.
+const POLL_INTERVAL: Span = Span::from_millis(2);
 /// How long weights may take to load.
-const LOAD: Span = Span::from_secs(60);
+const LOAD_TIMEOUT: Span = Span::from_secs(60);
 
-/// A timer of a machine.
+/// A timer of one of the state machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Alarm {
+enum MachineTimer {
     Rank(Timer),
     Lead(LeadTimer),
 }
 
-/// What a machine is told next.
+/// An input of one of the state machines.
 #[derive(Debug)]
-enum Work {
+enum MachineInput {
     Rank(RankInput),
     Lead(LeadInput),
 }
 
-/// The machines of one rank, and where its messages go.
+/// The state machines of one rank, their timers, and the queues to the other ranks.
 #[derive(Debug)]
 struct Machines {
     rank: RankAgent,
     lead: Option<Lead>,
-    alarms: BTreeMap<Alarm, u64>,
-    armed: u64,
+    /// The id of the latest start of each timer that runs.
+    timers: BTreeMap<MachineTimer, u64>,
+    last_timer: u64,
     peers: Vec<Sender<GroupBody>>,
-    shown: Option<EngineStatus>,
+    /// The engine's status as last seen.
+    last_status: Option<EngineStatus>,
 }
 
-/// The shell around one rank's machines.
+/// Drives the state machines of one rank: carries messages, timers, permits and loads of weights.
 #[derive(Debug)]
-pub struct RankShell {
+pub struct RankDriver {
     place: Rank,
     start: Incarnation,
     margin: Margin,
@@ -67,54 +69,56 @@
     engine: Peer,
     permits: (Sender<Permit>, Receiver<Permit>),
     machines: Mutex<Option<Machines>>,
-    ended: AtomicBool,
+    stopped: AtomicBool,
 }
 
-impl RankShell {
-    /// The shell of a rank whose engine listens at this address; it waits for a roster.
+impl RankDriver {
+    /// Creates the driver of a rank whose engine listens at this address; it waits for a roster.
     pub fn new(place: Rank, start: Incarnation, engine: SocketAddr, journal: Journal) -> Arc<Self> {
-        let shell = Arc::new(Self {
+        let driver = Arc::new(Self {
             place,
             start,
             margin: Margin::default(),
             journal,
             engine: Peer::new(engine),
-            permits: async_channel::bounded(QUEUE),
+            permits: async_channel::bounded(QUEUE_LENGTH),
             machines: Mutex::new(None),
-            ended: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
         });
-        spawn(Arc::clone(&shell).follow_engine()).detach();
-        spawn(Arc::clone(&shell).pass_permits()).detach();
-        shell
+        spawn(Arc::clone(&driver).poll_engine()).detach();
+        spawn(Arc::clone(&driver).forward_permits()).detach();
+        driver
     }
 
-    /// The map that the rank committed last.
+    /// Returns the map that the rank committed last.
     pub fn committed_map(&self) -> Option<ActiveMap> {
         let machines = self.machines.lock();
         machines.as_ref().and_then(|m| m.rank.active_map().cloned())
     }
 
-    /// Issues no permit and sends no message from now on.
-    pub fn end(&self) {
-        self.ended.store(true, Ordering::SeqCst);
+    /// Stops the driver: it issues no permit and sends no message from now on.
+    pub fn stop(&self) {
+        self.stopped.store(true, Ordering::SeqCst);
         self.permits.0.close();
         *self.machines.lock() = None;
     }
 
-    /// Takes a message of another agent, an entry or the control role.
-    pub fn take(self: &Arc<Self>, message: GroupMessage) {
+    /// Handles a message of another agent, an entry or the control role.
+    pub fn handle_message(self: &Arc<Self>, message: GroupMessage) {
         let GroupMessage { group, from, body } = message;
-        if group != self.place.group || self.ended.load(Ordering::SeqCst) {
+        if group != self.place.group || self.stopped.load(Ordering::SeqCst) {
             return;
         }
         match body {
-            GroupBody::Lead(message) => self.drive(Work::Rank(RankInput::Lead(message))),
+            GroupBody::Lead(message) => {
+                self.handle_input(MachineInput::Rank(RankInput::Lead(message)))
+            }
             GroupBody::Peer(message) => {
-                self.drive(Work::Rank(RankInput::Peer { from, message }));
+                self.handle_input(MachineInput::Rank(RankInput::Peer { from, message }));
             }
             GroupBody::Rank(term, message) => {
-                if self.leads(term) {
-                    self.drive(Work::Lead(LeadInput::Rank {
+                if self.leads_term(term) {
+                    self.handle_input(MachineInput::Lead(LeadInput::Rank {
                         from,
                         term,
                         message,
@@ -124,22 +128,24 @@
             GroupBody::Propose(proposal) => {
                 self.journal
                     .record(Event::MapProposed, &group, proposal.base);
-                self.drive(Work::Lead(LeadInput::Propose(proposal)));
+                self.handle_input(MachineInput::Lead(LeadInput::Propose(proposal)));
+            }
+            GroupBody::Appoint => self.handle_input(MachineInput::Rank(RankInput::Appointed)),
+            GroupBody::Fence(fence) => {
+                self.handle_input(MachineInput::Rank(RankInput::FenceLearnt(fence)))
             }
-            GroupBody::Appoint => self.drive(Work::Rank(RankInput::Appointed)),
-            GroupBody::Fence(fence) => self.drive(Work::Rank(RankInput::FenceLearnt(fence))),
-            GroupBody::Roster(addresses) => self.join(&addresses),
+            GroupBody::Roster(addresses) => self.set_roster(&addresses),
         }
     }
 
-    /// Whether a lead of this process gathers answers for the term.
-    fn leads(&self, term: LeadTerm) -> bool {
+    /// Whether this process leads in the term.
+    fn leads_term(&self, term: LeadTerm) -> bool {
         term.rank == self.place.number && term.start == self.start
     }
 
-    /// Learns where the other ranks' agents listen, and begins where that is news.
-    fn join(self: &Arc<Self>, addresses: &[SocketAddr]) {
-        let peers = addresses.iter().map(|a| self.sender(*a)).collect();
+    /// Takes the addresses of the ranks' agents, and starts the state machines at the first roster.
+    fn set_roster(self: &Arc<Self>, addresses: &[SocketAddr]) {
+        let peers = addresses.iter().map(|a| self.spawn_sender(*a)).collect();
         let begins = {
             let mut machines = self.machines.lock();
             match machines.as_mut() {
@@ -148,39 +154,42 @@
                     false
                 }
                 None => {
-                    *machines = Some(self.machines_for(peers));
+                    *machines = Some(self.new_machines(peers));
                     true
                 }
             }
         };
         if begins {
-            self.drive(Work::Rank(RankInput::Begin));
+            self.handle_input(MachineInput::Rank(RankInput::Begin));
         }
     }
 
-    fn machines_for(&self, peers: Vec<Sender<GroupBody>>) -> Machines {
+    /// Creates the state machines of a rank with these peers.
+    fn new_machines(&self, peers: Vec<Sender<GroupBody>>) -> Machines {
         let ranks = peers.len() as u32;
         Machines {
             rank: RankAgent::new(self.place.number, ranks, self.start, self.margin.window),
             lead: None,
-            alarms: BTreeMap::new(),
-            armed: 0,
+            timers: BTreeMap::new(),
+            last_timer: 0,
             peers,
-            shown: None,
+            last_status: None,
         }
     }
 
-    /// A queue to another agent, and the task that empties it.
-    fn sender(&self, address: SocketAddr) -> Sender<GroupBody> {
-        let (sender, receiver) = async_channel::bounded::<GroupBody>(QUEUE);
+    /// Creates a queue to another agent and the task that sends its messages.
+    fn spawn_sender(&self, address: SocketAddr) -> Sender<GroupBody> {
+        let (sender, receiver) = async_channel::bounded::<GroupBody>(QUEUE_LENGTH);
         let peer = Peer::new(address);
         let (group, from) = (self.place.group.clone(), self.place.number);
         spawn(async move {
             while let Ok(body) = receiver.recv().await {
                 let group = group.clone();
                 let message = GroupMessage { group, from, body };
-                let sent = peer.call::<_, Taken>(path::GROUP, &message, SEND).await;
-                // A connection that went silent is not used again; the machines resend.
+                let sent = peer
+                    .call::<_, Taken>(path::GROUP, &message, SEND_TIMEOUT)
+                    .await;
+                // A connection that failed is not used again; the state machines resend.
                 if sent.is_err() {
                     peer.retire();
                 }
@@ -190,40 +199,41 @@
         sender
     }
 
-    /// Tells a machine something, and everything that follows from it in this process.
-    fn drive(self: &Arc<Self>, work: Work) {
+    /// Passes an input to its state machine, and handles all that follows from it in this process.
+    fn handle_input(self: &Arc<Self>, input: MachineInput) {
         let mut guard = self.machines.lock();
         let Some(machines) = guard.as_mut() else {
             return;
         };
-        let mut todo = VecDeque::from([work]);
-        while let Some(work) = todo.pop_front() {
-            match work {
-                Work::Rank(input) => {
+        let mut pending = VecDeque::from([input]);
+        while let Some(input) = pending.pop_front() {
+            match input {
+                MachineInput::Rank(input) => {
                     for output in machines.rank.handle(input) {
-                        self.rank_wants(machines, output, &mut todo);
+                        self.handle_rank_output(machines, output, &mut pending);
                     }
                 }
-                Work::Lead(input) => {
+                MachineInput::Lead(input) => {
                     let outputs = machines.lead.as_mut().map(|l| l.handle(input));
                     for output in outputs.unwrap_or_default() {
-                        self.lead_wants(machines, output, &mut todo);
+                        self.handle_lead_output(machines, output, &mut pending);
                     }
                 }
             }
         }
     }
 
-    fn rank_wants(
+    /// Carries out an output of the rank's state machine.
+    fn handle_rank_output(
         self: &Arc<Self>,
         machines: &mut Machines,
         output: RankOutput,
-        todo: &mut VecDeque<Work>,
+        pending: &mut VecDeque<MachineInput>,
     ) {
         match output {
-            RankOutput::ToLead(term, message) if self.leads(term) => {
+            RankOutput::ToLead(term, message) if self.leads_term(term) => {
                 let from = self.place.number;
-                todo.push_back(Work::Lead(LeadInput::Rank {
+                pending.push_back(MachineInput::Lead(LeadInput::Rank {
                     from,
                     term,
                     message,
@@ -233,15 +243,15 @@
                 machines.send(term.rank, GroupBody::Rank(term, message));
             }
             RankOutput::ToRank(to, message) => machines.send(to, GroupBody::Peer(message)),
-            // A permit that finds no room is issued again when the engine shows itself.
+            // A permit that finds no room in the queue is issued again at the engine's next status.
             RankOutput::Permit(permit) => drop(self.permits.0.try_send(permit)),
-            RankOutput::LoadWeights(version, map) => self.load(version, map),
+            RankOutput::LoadWeights(version, map) => self.load_weights(version, map),
             RankOutput::DropWeights(_) | RankOutput::Evict(_) => {}
-            RankOutput::Arm(timer) => self.arm(machines, Alarm::Rank(timer)),
+            RankOutput::Arm(timer) => self.start_timer(machines, MachineTimer::Rank(timer)),
             RankOutput::StartLead(term) => {
                 let ranks = machines.peers.len() as u32;
                 machines.lead = Some(Lead::new(term, ranks, self.margin));
-                todo.push_back(Work::Lead(LeadInput::Begin));
+                pending.push_back(MachineInput::Lead(LeadInput::Begin));
             }
             RankOutput::Event(event, version) => {
                 let detail = format!("map {version} at rank {}", self.place.number);
@@ -250,20 +260,21 @@
         }
     }
 
-    fn lead_wants(
+    /// Carries out an output of the lead's state machine.
+    fn handle_lead_output(
         self: &Arc<Self>,
         machines: &mut Machines,
         output: LeadOutput,
-        todo: &mut VecDeque<Work>,
+        pending: &mut VecDeque<MachineInput>,
     ) {
         match output {
             LeadOutput::ToRank(to, message) if to == self.place.number => {
-                todo.push_back(Work::Rank(RankInput::Lead(message)));
+                pending.push_back(MachineInput::Rank(RankInput::Lead(message)));
             }
             LeadOutput::ToRank(to, message) => machines.send(to, GroupBody::Lead(message)),
-            LeadOutput::Arm(timer) => self.arm(machines, Alarm::Lead(timer)),
+            LeadOutput::Arm(timer) => self.start_timer(machines, MachineTimer::Lead(timer)),
             LeadOutput::Committed(version) => {
-                let detail = format!("map {version} by every rank's promise");
+                let detail = format!("map {version}, promised by every rank");
                 self.journal
                     .record(Event::MapCommitted, &self.place.group, detail);
             }
@@ -275,56 +286,62 @@
         }
     }
 
-    fn arm(self: &Arc<Self>, machines: &mut Machines, alarm: Alarm) {
-        machines.armed += 1;
-        let id = machines.armed;
-        machines.alarms.insert(alarm, id);
-        let shell = Arc::clone(self);
-        let wait = self.wait(alarm);
+    /// Starts a timer, which replaces an earlier start of the same timer.
+    fn start_timer(self: &Arc<Self>, machines: &mut Machines, timer: MachineTimer) {
+        machines.last_timer += 1;
+        let id = machines.last_timer;
+        machines.timers.insert(timer, id);
+        let driver = Arc::clone(self);
+        let wait = self.timer_delay(timer);
         spawn(async move {
             smol::Timer::after(wait.as_duration()).await;
-            shell.fire(alarm, id);
+            driver.finish_timer(timer, id);
         })
         .detach();
     }
 
-    fn fire(self: &Arc<Self>, alarm: Alarm, id: u64) {
+    /// Passes a timer that has run out to its state machine, unless it was started again.
+    fn finish_timer(self: &Arc<Self>, timer: MachineTimer, id: u64) {
         let current = {
             let mut guard = self.machines.lock();
-            let alarms = guard.as_mut().map(|m| &mut m.alarms);
-            let Some(alarms) = alarms else { return };
-            let current = alarms.get(&alarm) == Some(&id);
+            let timers = guard.as_mut().map(|m| &mut m.timers);
+            let Some(timers) = timers else { return };
+            let current = timers.get(&timer) == Some(&id);
             if current {
-                alarms.remove(&alarm);
+                timers.remove(&timer);
             }
             current
         };
         if current {
-            self.drive(match alarm {
-                Alarm::Rank(timer) => Work::Rank(RankInput::Fired(timer)),
-                Alarm::Lead(timer) => Work::Lead(LeadInput::Fired(timer)),
+            self.handle_input(match timer {
+                MachineTimer::Rank(timer) => MachineInput::Rank(RankInput::Fired(timer)),
+                MachineTimer::Lead(timer) => MachineInput::Lead(LeadInput::Fired(timer)),
             });
         }
     }
 
-    fn wait(&self, alarm: Alarm) -> Span {
-        match alarm {
-            Alarm::Rank(Timer::VerdictTimeout) => self.margin.verdict_timeout(self.place.number),
-            Alarm::Lead(LeadTimer::Resend) => self.margin.delay.times(3),
-            Alarm::Lead(LeadTimer::LoadTimeout(_)) => LOAD,
-            Alarm::Lead(LeadTimer::PromiseTimeout(_)) => self.margin.promise_timeout(),
+    /// Returns how long a timer runs.
+    fn timer_delay(&self, timer: MachineTimer) -> Span {
+        match timer {
+            MachineTimer::Rank(Timer::VerdictTimeout) => {
+                self.margin.verdict_timeout(self.place.number)
+            }
+            MachineTimer::Lead(LeadTimer::Resend) => self.margin.delay.times(3),
+            MachineTimer::Lead(LeadTimer::LoadTimeout(_)) => LOAD_TIMEOUT,
+            MachineTimer::Lead(LeadTimer::PromiseTimeout(_)) => self.margin.promise_timeout(),
         }
     }
 
-    fn load(self: &Arc<Self>, version: MapVersion, map: SharedMap) {
-        let shell = Arc::clone(self);
+    /// Has the engine load the weights of a map.
+    fn load_weights(self: &Arc<Self>, version: MapVersion, map: SharedMap) {
+        let driver = Arc::clone(self);
         spawn(async move {
-            let wish = (version, map);
-            let loaded = shell
+            let request = (version, map);
+            let loaded = driver
                 .engine
-                .call::<_, MapVersion>(path::ENGINE_WEIGHTS, &wish, LOAD)
+                .call::<_, MapVersion>(path::ENGINE_WEIGHTS, &request, LOAD_TIMEOUT)
                 .await;
-            shell.drive(Work::Rank(match loaded {
+            driver.handle_input(MachineInput::Rank(match loaded {
                 Ok(_) => RankInput::Loaded(version),
                 Err(_) => RankInput::LoadFailed(version),
             }));
@@ -332,54 +349,55 @@
         .detach();
     }
 
-    /// Asks the engine again and again where it stands.
-    async fn follow_engine(self: Arc<Self>) {
-        while !self.ended.load(Ordering::SeqCst) {
+    /// Polls the engine's status until the driver is stopped.
+    async fn poll_engine(self: Arc<Self>) {
+        while !self.stopped.load(Ordering::SeqCst) {
             let status = self
                 .engine
-                .call::<_, EngineStatus>(path::ENGINE_STATUS, &(), SEND)
+                .call::<_, EngineStatus>(path::ENGINE_STATUS, &(), SEND_TIMEOUT)
                 .await;
             match status {
-                Ok(status) => self.show(status),
+                Ok(status) => self.observe_engine(status),
                 Err(_) => self.engine.retire(),
             }
-            smol::Timer::after(POLL.as_duration()).await;
+            smol::Timer::after(POLL_INTERVAL.as_duration()).await;
         }
     }
 
-    /// Shows the rank's machine its engine.
+    /// Passes the engine's status to the rank's state machine.
     ///
-    /// Failure guarded against: the engine died and came up again between two questions, and its
-    /// permits and place are gone. It shows as an incarnation or a step that runs back.
-    fn show(self: &Arc<Self>, status: EngineStatus) {
+    /// Failure guarded against: the engine dies and restarts between two polls, and its permits and
+    /// its place are gone. This is recognized by an incarnation or a step that goes back.
+    fn observe_engine(self: &Arc<Self>, status: EngineStatus) {
         let lost = {
             let mut guard = self.machines.lock();
             let Some(machines) = guard.as_mut() else {
                 return;
             };
             let place = (status.incarnation, status.step);
-            let before = machines.shown.replace(status.clone());
+            let before = machines.last_status.replace(status.clone());
             before.is_some_and(|b| place < (b.incarnation, b.step))
         };
         if lost {
-            self.drive(Work::Rank(RankInput::EngineLost));
+            self.handle_input(MachineInput::Rank(RankInput::EngineLost));
         }
-        self.drive(Work::Rank(RankInput::Engine(status)));
+        self.handle_input(MachineInput::Rank(RankInput::Engine(status)));
     }
 
-    async fn pass_permits(self: Arc<Self>) {
+    /// Sends permits to the engine until the driver is stopped.
+    async fn forward_permits(self: Arc<Self>) {
         while let Ok(permit) = self.permits.1.recv().await {
-            // A lost permit is issued again when the engine shows that it lacks it.
+            // A lost permit is issued again once the engine's status shows that it is missing.
             let _ = self
                 .engine
-                .call::<_, EngineStatus>(path::ENGINE_PERMIT, &permit, SEND)
+                .call::<_, EngineStatus>(path::ENGINE_PERMIT, &permit, SEND_TIMEOUT)
                 .await;
         }
     }
 }
 
 impl Machines {
-    /// Queues a message; where the queue is full it is dropped, as the network might.
+    /// Queues a message for a rank; a full queue drops it, as the network might.
     fn send(&self, to: u32, body: GroupBody) {
         if let Some(peer) = self.peers.get(to as usize) {
             let _ = peer.try_send(body);
@@ -387,16 +405,16 @@
     }
 }
 
-/// Serves a rank's shell to the other agents of its group.
+/// Serves a rank's driver to the other agents of its group; other paths go on to the next handler.
 #[derive(Debug)]
 pub struct RankHandler {
-    shell: Arc<RankShell>,
+    driver: Arc<RankDriver>,
 }
 
 impl RankHandler {
-    /// Serves this shell.
-    pub fn new(shell: Arc<RankShell>) -> Self {
-        Self { shell }
+    /// Creates the handler of this driver.
+    pub fn new(driver: Arc<RankDriver>) -> Self {
+        Self { driver }
     }
 }
 
@@ -408,7 +426,7 @@
         }
         match message::<GroupMessage>(&mut conn).await {
             Some(message) => {
-                self.shell.take(message);
+                self.driver.handle_message(message);
                 reply(conn, &Taken)
             }
             None => malformed(conn),
