--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -66,13 +66,13 @@
 pub struct OrderGate<R> {
     process: ProcessId,
     started: Moment,
-    /// How long after the start orders are refused while no majority has told its fencing numbers.
+    /// How long after the start orders are refused while no majority has reported its fencing numbers.
     hold: Span,
     /// The highest fencing number known.
     floor: Fence,
-    /// The last fencing number of each control host that told one.
+    /// The last fencing number of each control host that reported one.
     fences: BTreeMap<HostId, Fence>,
-    /// Whether a majority of the voters has told its fencing numbers.
+    /// Whether a majority of the voters has reported its fencing numbers.
     has_majority: bool,
     /// The order that is being carried out.
     running: Option<OrderId>,
--- a/crates/agent/src/orders/service.rs
+++ b/crates/agent/src/orders/service.rs
@@ -38,7 +38,7 @@
     gate: Mutex<OrderGate<LoadInterval>>,
     client: OrderClient,
     config: ArcSwap<Config>,
-    /// The age of the configuration when it was last told, and when that was.
+    /// The age of the configuration when it was last reported, and when that was.
     age: Mutex<Option<(Moment, Span)>>,
 }
 
--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -154,7 +154,7 @@
         &self.orders
     }
 
-    /// Refuses new dispatches from now on; the announcements tell entries of it.
+    /// Refuses new dispatches from now on; the announcements inform entries.
     pub fn drain(&self) {
         self.gate.drain();
     }
--- a/crates/sidecar/src/news.rs
+++ b/crates/sidecar/src/news.rs
@@ -33,7 +33,7 @@
     known: Mutex<Knowledge>,
 }
 
-/// What the news has told so far.
+/// What the process has learned from news so far.
 #[derive(Debug, Default)]
 struct Knowledge {
     table: Table,
