--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a whole document: every fault is found, each with its path.
+//! Finds every fault of a document or a change, each with its path.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -16,7 +16,7 @@
 data! {
     /// One fault of a document or patch.
     pub struct Fault {
-        /// Where, as a dotted path from the document's root.
+        /// The dotted path from the document's root.
         pub path: String,
         /// What is wrong.
         pub kind: FaultKind,
@@ -25,25 +25,25 @@
     /// What is wrong at a path.
     #[serde(rename_all = "kebab-case")]
     pub enum FaultKind {
-        /// The text does not have the shape that the path asks for.
+        /// The value does not have the form that the path requires.
         Malformed(String),
-        /// A name that nothing defines.
+        /// The value names something that the document doesn't define.
         Dangling(String),
-        /// A value out of its bounds.
+        /// The value is out of its bounds.
         Impossible(String),
-        /// A value that must be unique stands at another path too.
+        /// The value must be unique but also occurs at another path.
         Doubled(String),
         /// The path can't be patched.
         ReadOnly,
-        /// Nothing has a field of this name.
+        /// There is no field of this name.
         Unknown,
-        /// A field that must be there is not.
+        /// A required field is missing.
         Missing,
     }
 }
 
 impl Fault {
-    /// A fault at a path.
+    /// Creates a fault at a path.
     pub fn new(path: impl Into<String>, kind: FaultKind) -> Self {
         Self {
             path: path.into(),
@@ -75,17 +75,17 @@
 /// Finds every fault of a whole document.
 pub fn check(config: &Config) -> Vec<Fault> {
     let empty = Config::default();
-    let mut whole = Delta::between(&empty, config);
-    whole.to = config.version.max(Version::new(1));
+    let mut delta = Delta::between(&empty, config);
+    delta.to = config.version.max(Version::new(1));
     let mut faults = Vec::new();
-    check_change(&empty, config, &whole, &mut faults);
+    check_change(&empty, config, &delta, &mut faults);
     faults
 }
 
 /// Finds every fault that a change brings into a document without faults.
 ///
-/// Only what the change can have broken is looked at: of the workspaces those that it names, of
-/// the small sections all that refer to each other.
+/// Only what the change can have broken is checked: of the workspaces, which are many, those that
+/// it names; the other sections, which are small and refer to each other, in full.
 pub fn check_change(before: &Config, after: &Config, delta: &Delta, faults: &mut Vec<Fault>) {
     for (id, workspace) in &delta.workspaces.set {
         check_workspace(id, workspace, faults);
@@ -127,7 +127,7 @@
     }
 }
 
-/// A key that two workspaces share would let one read the other's answers.
+/// Finds keys that several workspaces hold, which would let one read the other's answers.
 fn check_keys(before: &Config, after: &Config, delta: &Delta, faults: &mut Vec<Fault>) {
     let mut seen: HashMap<&KeyHash, String> = HashMap::new();
     for (id, workspace) in &delta.workspaces.set {
@@ -143,7 +143,7 @@
     }
 }
 
-/// Where a key stands in a workspace that the change leaves alone.
+/// Returns the path of a key in a workspace that the change doesn't touch.
 fn untouched_owner(
     before: &Config,
     after: &Config,
@@ -159,7 +159,8 @@
     Some(format!("workspaces.{owner}.keys.{n}"))
 }
 
-/// Operators none of whom may write could never be changed again.
+/// Finds operators with the same key, and operators none of whom may write: those could never be
+/// changed again.
 fn check_operators(config: &Config, faults: &mut Vec<Fault>) {
     let mut seen: HashMap<&KeyHash, &OperatorId> = HashMap::new();
     for (id, operator) in &config.operators {
@@ -182,8 +183,8 @@
             check_model(config, &path, model, adapter.as_ref(), faults);
         }
         Service::Plain { idempotent } => {
-            let relative = idempotent.iter().enumerate();
-            for (n, _) in relative.filter(|(_, prefix)| !prefix.starts_with('/')) {
+            let prefixes = idempotent.iter().enumerate();
+            for (n, _) in prefixes.filter(|(_, prefix)| !prefix.starts_with('/')) {
                 let why = "a path prefix begins with /";
                 faults.push(impossible(format!("services.{id}.idempotent.{n}"), why));
             }
@@ -198,18 +199,19 @@
     adapter: Option<&AdapterId>,
     faults: &mut Vec<Fault>,
 ) {
-    let Some(found) = config.models.get(model) else {
+    let Some(definition) = config.models.get(model) else {
         let kind = FaultKind::Dangling(model.to_string());
         faults.push(Fault::new(format!("{path}.model"), kind));
         return;
     };
-    if let Some(adapter) = adapter.filter(|a| !found.adapters.contains(a)) {
+    if let Some(adapter) = adapter.filter(|a| !definition.adapters.contains(a)) {
         let kind = FaultKind::Dangling(adapter.to_string());
         faults.push(Fault::new(format!("{path}.adapter"), kind));
     }
 }
 
-/// A backend server that is a rank twice would have to step in two places at once.
+/// Finds faulty groups, among them a backend server that is a rank twice: it would have to execute
+/// steps of both ranks at once.
 fn check_groups(config: &Config, faults: &mut Vec<Fault>) {
     let mut seen: HashMap<&ServerId, String> = HashMap::new();
     for (id, group) in &config.groups {
@@ -246,9 +248,11 @@
     }
 }
 
-/// Failure guarded against: claims of request keys that are lost because a shard's majority
-/// moved at once. It shows as a non-idempotent request that runs twice. A shard changes one of
-/// its three hosts in a version, so that two of them always know its claims.
+/// Finds faults of the keeper table.
+///
+/// If a majority of a shard's hosts moved at once, the shard would lose its claims of request keys
+/// and a non-idempotent request could run twice. A version may therefore change only one of a
+/// shard's three hosts, so that two of them always know its claims.
 fn check_keepers(before: &Config, after: &Config, faults: &mut Vec<Fault>) {
     for (n, [a, b, c]) in after.keepers.iter().enumerate() {
         if a == b || b == c || a == c {
--- a/crates/config/src/delta.rs
+++ b/crates/config/src/delta.rs
@@ -1,4 +1,4 @@
-//! What changed between two versions, as a value of its own.
+//! The difference between two versions, as a value that can be sent, applied and combined.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -15,14 +15,14 @@
 /// A delta that does not fit the configuration it was applied to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeltaError {
-    /// It starts from another version.
+    /// The delta starts from another version.
     Gap {
-        /// The version in hand.
+        /// The version that the delta was applied to.
         have: Version,
         /// The version that the delta starts from.
         from: Version,
     },
-    /// It does not lead forward.
+    /// The delta does not lead to a later version.
     Backward,
 }
 
@@ -40,7 +40,7 @@
 impl std::error::Error for DeltaError {}
 
 data! {
-    /// The change of one section: entries set, and names removed.
+    /// The changes of one section: the entries that are set and the names that are removed.
     #[serde(bound(
         serialize = "K: serde::Serialize, V: serde::Serialize",
         deserialize = "K: serde::Deserialize<'de> + Ord, V: serde::Deserialize<'de>"
@@ -48,74 +48,74 @@
     pub struct Changes<K: Ord, V> {
         /// The entries that are new or different.
         pub set: Section<K, V>,
-        /// The names that have no entry any more.
+        /// The names whose entries are removed.
         pub removed: BTreeSet<K>,
     }
 
-    /// The change from one version to a later one.
+    /// The changes that lead from one version to a later one.
     #[serde(deny_unknown_fields)]
     pub struct Delta {
-        /// The version that it starts from.
+        /// The version that the delta starts from.
         pub from: Version,
-        /// The version that it leads to.
+        /// The version that the delta leads to.
         pub to: Version,
-        /// Changed operators.
+        /// The changes of operators.
         #[serde(default, skip_serializing_if = "Changes::is_empty")]
         pub operators: Changes<OperatorId, Operator>,
-        /// Changed workspaces.
+        /// The changes of workspaces.
         #[serde(default, skip_serializing_if = "Changes::is_empty")]
         pub workspaces: Changes<WorkspaceId, Workspace>,
-        /// Changed services.
+        /// The changes of services.
         #[serde(default, skip_serializing_if = "Changes::is_empty")]
         pub services: Changes<ServiceId, Service>,
-        /// Changed models.
+        /// The changes of models.
         #[serde(default, skip_serializing_if = "Changes::is_empty")]
         pub models: Changes<ModelId, Model>,
-        /// Changed groups.
+        /// The changes of groups.
         #[serde(default, skip_serializing_if = "Changes::is_empty")]
         pub groups: Changes<GroupId, Group>,
-        /// Changed servers.
+        /// The changes of backend servers.
         #[serde(default, skip_serializing_if = "Changes::is_empty")]
         pub servers: Changes<ServerId, Server>,
-        /// The keeper table, where it changed.
+        /// The whole keeper table if it changed.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub keepers: Option<Vec<[HostId; 3]>>,
     }
 }
 
 impl<K: Ord + Clone, V: PartialEq> Changes<K, V> {
-    /// What leads from one section to another.
+    /// Returns the changes that lead from one section to another.
     pub fn between(old: &Section<K, V>, new: &Section<K, V>) -> Self {
         let mut changes = Self::default();
         if old.is_same(new) {
             return changes;
         }
         for name in new.keys() {
-            let (Some(entry), before) = (new.share(name), old.share(name)) else {
+            let (Some(entry), before) = (new.get_shared(name), old.get_shared(name)) else {
                 continue;
             };
             if before.is_none_or(|b| !Arc::ptr_eq(b, entry) && b != entry) {
-                changes.set.put(name.clone(), Arc::clone(entry));
+                changes.set.insert_shared(name.clone(), Arc::clone(entry));
             }
         }
-        let gone = old.keys().filter(|name| !new.contains_key(name));
-        changes.removed = gone.cloned().collect();
+        let dropped = old.keys().filter(|name| !new.contains_key(name));
+        changes.removed = dropped.cloned().collect();
         changes
     }
 
-    /// Brings a section forward.
+    /// Applies the changes to a section.
     pub fn apply(&self, section: &mut Section<K, V>) {
         for name in &self.removed {
             section.remove(name);
         }
         for name in self.set.keys() {
-            if let Some(entry) = self.set.share(name) {
-                section.put(name.clone(), Arc::clone(entry));
+            if let Some(entry) = self.set.get_shared(name) {
+                section.insert_shared(name.clone(), Arc::clone(entry));
             }
         }
     }
 
-    /// Adds a later change of the same section.
+    /// Adds later changes of the same section.
     pub fn extend(&mut self, later: &Self) {
         for name in &later.removed {
             self.set.remove(name);
@@ -123,26 +123,26 @@
         }
         for name in later.set.keys() {
             self.removed.remove(name);
-            if let Some(entry) = later.set.share(name) {
-                self.set.put(name.clone(), Arc::clone(entry));
+            if let Some(entry) = later.set.get_shared(name) {
+                self.set.insert_shared(name.clone(), Arc::clone(entry));
             }
         }
     }
 
-    /// The names that are set or removed.
+    /// Returns the names of the entries that are set or removed.
     pub fn names(&self) -> impl Iterator<Item = &K> {
         self.set.keys().chain(&self.removed)
     }
 }
 
 impl<K: Ord + Clone + fmt::Display, V: PartialEq> Changes<K, V> {
-    fn list(&self, section: &str, paths: &mut Vec<String>) {
+    fn push_paths(&self, section: &str, paths: &mut Vec<String>) {
         paths.extend(self.names().map(|name| format!("{section}.{name}")));
     }
 }
 
 impl<K: Ord, V> Changes<K, V> {
-    /// Whether nothing changes.
+    /// Whether there are no changes.
     pub fn is_empty(&self) -> bool {
         self.set.is_empty() && self.removed.is_empty()
     }
@@ -158,7 +158,7 @@
 }
 
 impl Delta {
-    /// A delta that changes nothing but the version.
+    /// Creates a delta that changes only the version number.
     pub fn new(from: Version, to: Version) -> Self {
         Self {
             from,
@@ -173,7 +173,7 @@
         }
     }
 
-    /// What leads from one version to another.
+    /// Returns the delta that leads from one version to another.
     pub fn between(old: &Config, new: &Config) -> Self {
         Self {
             from: old.version,
@@ -188,22 +188,25 @@
         }
     }
 
-    /// The configuration that the delta leads to.
+    /// Returns the configuration that the delta leads to.
     ///
-    /// Failure guarded against: a delta that is applied to another version than the one it was
-    /// made from, which shows as entries of two versions in force at once. The versions are
-    /// compared first, and the result is a new value: nobody sees it half done.
+    /// A delta that is applied to another version than the one it starts from would bring entries
+    /// of two versions into force at once. The versions are therefore compared first, and the
+    /// result is a new value, so that no reader sees it half applied.
     pub fn apply(&self, config: &Config) -> Result<Config> {
         let mut next = config.clone();
         self.apply_in_place(&mut next)?;
         let names = self.workspaces.names();
         next.owners = config
             .owners
-            .changed(&config.workspaces, &next.workspaces, names);
+            .updated(&config.workspaces, &next.workspaces, names);
         Ok(next)
     }
 
-    /// Brings a configuration that nobody else reads forward in place.
+    /// Applies the delta to a configuration that no one else reads.
+    ///
+    /// Unlike [`Delta::apply`], this doesn't update the index of key owners, which is then not used
+    /// if the workspaces change.
     pub fn apply_in_place(&self, config: &mut Config) -> Result<()> {
         if self.from != config.version {
             return Err(DeltaError::Gap {
@@ -227,7 +230,7 @@
         Ok(())
     }
 
-    /// Adds the delta that follows, so that both are applied at once.
+    /// Appends the delta that follows this one, so that both are applied together.
     pub fn extend(&mut self, later: &Self) -> Result<()> {
         if later.from != self.to {
             return Err(DeltaError::Gap {
@@ -248,26 +251,27 @@
         Ok(())
     }
 
-    /// One delta out of several that follow each other, from a version on; nothing where none
-    /// of them starts there.
+    /// Combines consecutive deltas into one that starts from `from`.
+    ///
+    /// Returns `None` if none of them starts there, or if there is a gap between two of them.
     pub fn combined<'a>(deltas: impl Iterator<Item = &'a Self>, from: Version) -> Option<Self> {
         let mut later = deltas.skip_while(|d| d.from < from);
-        let mut joined = later.next().filter(|d| d.from == from)?.clone();
+        let mut combined = later.next().filter(|d| d.from == from)?.clone();
         for delta in later {
-            joined.extend(delta).ok()?;
+            combined.extend(delta).ok()?;
         }
-        Some(joined)
+        Some(combined)
     }
 
-    /// The names that change, as dotted paths.
+    /// Returns the dotted paths of all changed entries.
     pub fn paths(&self) -> Vec<String> {
         let mut paths = Vec::new();
-        self.operators.list("operators", &mut paths);
-        self.workspaces.list("workspaces", &mut paths);
-        self.services.list("services", &mut paths);
-        self.models.list("models", &mut paths);
-        self.groups.list("groups", &mut paths);
-        self.servers.list("servers", &mut paths);
+        self.operators.push_paths("operators", &mut paths);
+        self.workspaces.push_paths("workspaces", &mut paths);
+        self.services.push_paths("services", &mut paths);
+        self.models.push_paths("models", &mut paths);
+        self.groups.push_paths("groups", &mut paths);
+        self.servers.push_paths("servers", &mut paths);
         if self.keepers.is_some() {
             paths.push("keepers".into());
         }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,4 +1,4 @@
-//! The document that operators patch: who may ask for what, and what serves it.
+//! The configuration document that operators patch: who may call what, and what serves the calls.
 
 use snipemast_core::data;
 use snipemast_core::prelude::*;
@@ -17,22 +17,22 @@
     pub struct Config {
         /// The number of this version; 0 is the empty configuration.
         pub version: Version,
-        /// Who may patch.
+        /// The operators, who may read or patch the configuration.
         pub operators: Section<OperatorId, Operator>,
-        /// Who may call.
+        /// The workspaces, whose callers may send requests.
         pub workspaces: Workspaces,
-        /// What callers address by name.
+        /// The services that callers address by name.
         pub services: Section<ServiceId, Service>,
-        /// What model engines can load.
+        /// The models that engines can load.
         pub models: Section<ModelId, Model>,
-        /// Groups of ranks that step together.
+        /// The groups of ranks that execute steps together.
         pub groups: Section<GroupId, Group>,
-        /// What is asked of single backend servers.
+        /// The settings of single backend servers.
         #[serde(skip_serializing_if = "Section::is_empty")]
         pub servers: Section<ServerId, Server>,
-        /// For each shard of request keys, the three hosts that keep its claims.
+        /// The three hosts that keep the claims of each shard of request keys.
         pub keepers: Vec<[HostId; 3]>,
-        /// The owners of the workspaces' keys, filled on first use.
+        /// The index of the workspaces' keys, built on first use.
         #[serde(skip)]
         pub owners: KeyIndex,
     }
@@ -50,57 +50,57 @@
     #[derive(Copy)]
     #[serde(rename_all = "lowercase")]
     pub enum Role {
-        /// Read configuration, status and time line.
+        /// The operator may read the configuration, the status and the timeline.
         Read,
-        /// Also submit patches.
+        /// The operator may also submit patches.
         Write,
     }
 
-    /// A customer of the reseller.
+    /// A customer, whose callers share keys and limits.
     #[serde(deny_unknown_fields)]
     pub struct Workspace {
         /// Hashes of the bearer keys that callers present.
         pub keys: Vec<KeyHash>,
-        /// The share under contention, relative to other workspaces.
+        /// The workspace's share under contention, relative to other workspaces.
         #[serde(default = "one")]
         pub weight: u32,
-        /// What the workspace may use at most.
+        /// The upper bounds of what the workspace may use.
         #[serde(default)]
         pub limits: Limits,
-        /// The region to prefer.
+        /// The preferred region.
         #[serde(default)]
         pub home: Option<RegionId>,
     }
 
-    /// Upper bounds of one workspace over the whole fleet.
+    /// The upper bounds of one workspace across the whole fleet.
     #[derive(Default)]
     #[serde(deny_unknown_fields, default)]
     pub struct Limits {
-        /// Requests a second.
+        /// The number of requests per second.
         pub requests: Option<Rate>,
-        /// Generated tokens a second.
+        /// The number of generated tokens per second.
         pub tokens: Option<Rate>,
-        /// Requests in flight.
+        /// The number of requests in flight.
         pub concurrency: Option<u32>,
     }
 
-    /// What stands behind a name that callers address.
+    /// A service that callers address by name.
     #[serde(tag = "kind", rename_all = "lowercase", deny_unknown_fields)]
     pub enum Service {
-        /// A model, with an adapter where one is named.
+        /// A model, optionally with an adapter.
         Model {
-            /// The model that answers.
+            /// The model that serves the calls.
             model: ModelId,
-            /// The adapter on top of it.
+            /// The adapter to apply to the model.
             #[serde(default)]
             adapter: Option<AdapterId>,
-            /// Whether a call may be repeated; model calls may, unless this says otherwise.
+            /// Whether calls may be repeated; by default they may.
             #[serde(default = "yes")]
             idempotent: bool,
         },
-        /// A plain service.
+        /// A service without a model.
         Plain {
-            /// Path prefixes whose calls may be repeated whatever their method.
+            /// The path prefixes whose calls may be repeated regardless of their method.
             #[serde(default)]
             idempotent: Vec<String>,
         },
@@ -111,58 +111,59 @@
     pub struct Model {
         /// The version of the weights.
         pub version: String,
-        /// The adapters that may be loaded on top.
+        /// The adapters that may be loaded with the model.
         #[serde(default)]
         pub adapters: Vec<AdapterId>,
     }
 
-    /// A group of ranks.
+    /// A group of ranks that serve a model together.
     #[serde(deny_unknown_fields)]
     pub struct Group {
         /// The model that the group serves.
         pub model: ModelId,
-        /// The backend servers, in the order of their ranks.
+        /// The backend servers in rank order.
         pub ranks: Vec<ServerId>,
-        /// What the rebalancer weighs.
+        /// The rebalancer's weights.
         #[serde(default)]
         pub weights: GroupWeights,
-        /// Whether moves are held back.
+        /// Whether moves of experts are suspended.
         #[serde(default)]
         pub frozen: bool,
     }
 
-    /// What is asked of one backend server.
+    /// The settings of one backend server.
     #[derive(Default)]
     #[serde(deny_unknown_fields, default)]
     pub struct Server {
-        /// Whether it refuses orders with an old fencing number by itself; where this says
-        /// nothing, the server's own word counts.
+        /// Whether the server itself refuses orders with an old fencing number; if `None`, what
+        /// the server announces counts.
         pub fencing: Option<bool>,
-        /// The role that it is to have.
+        /// The role that the server should have.
         pub role: Option<ServerRole>,
-        /// The models that it is to have loaded; nothing is unloaded that is not ordered away.
+        /// The models that the server should have loaded. A model that is not listed is not
+        /// unloaded for that reason.
         pub models: Vec<ModelId>,
     }
 
-    /// What a model engine does for requests.
+    /// Which part of a request a model engine runs.
     #[derive(Copy, PartialOrd, Ord, Hash)]
     #[serde(rename_all = "lowercase")]
     pub enum ServerRole {
-        /// It runs whole requests.
+        /// The engine runs whole requests.
         Whole,
-        /// It reads prompts and hands their KV cache on.
+        /// The engine processes prompts and passes their KV caches on.
         Prefill,
-        /// It generates from KV caches that others filled.
+        /// The engine generates tokens from KV caches that others filled.
         Decode,
     }
 
-    /// What the rebalancer weighs, each from 0 to 1000.
+    /// The rebalancer's weights, each from 0 to 1000.
     #[derive(Copy)]
     #[serde(deny_unknown_fields)]
     pub struct GroupWeights {
         /// The weight of skew between ranks.
         pub skew: u32,
-        /// The weight of moves, weight loads and disturbed requests.
+        /// The weight of moves, of loading model weights and of disturbed requests.
         pub disturbance: u32,
     }
 }
@@ -177,12 +178,12 @@
 }
 
 impl Config {
-    /// Finds the workspace that a bearer key belongs to.
+    /// Returns the workspace that a bearer key belongs to.
     pub fn workspace_of(&self, key: &KeyHash) -> Option<&WorkspaceId> {
         self.owners.owner(&self.workspaces, key)
     }
 
-    /// Finds the operator that a bearer key belongs to.
+    /// Returns the operator that a bearer key belongs to.
     pub fn operator_of(&self, key: &KeyHash) -> Option<(&OperatorId, &Operator)> {
         self.operators.iter().find(|(_, o)| o.key.matches(key))
     }
--- a/crates/config/src/follower.rs
+++ b/crates/config/src/follower.rs
@@ -1,8 +1,8 @@
-//! Keeps one process at the newest version that it can learn of.
+//! Keeps one process at the newest version of the configuration that it can get.
 //!
-//! The follower asks one source at a time, by long polls, and moves to the next source when one
-//! fails or has old news itself. It is sans-I/O: the shell sends what [`Output::Send`] says and
-//! hands back replies, losses and the passing of time.
+//! The follower sends long polls to one source at a time. It moves to the next source when one
+//! fails or is itself out of date. It does no I/O: the caller carries out each [`Output`], and
+//! passes in replies, failures and the passing of time as [`Input`].
 
 use std::sync::Arc;
 
@@ -10,105 +10,106 @@
 
 use crate::delta::Delta;
 use crate::document::Config;
-use crate::news::{Ask, News, Reply, SnapshotHead, MAX_SNAPSHOT};
+use crate::news::{Ask, News, Reply, SnapshotHead, MAX_SNAPSHOT_BYTES};
 
 data! {
-    /// One question of a follower; answers to any but the last are dropped.
+    /// The id of a request of a follower; replies to any but the last request are dropped.
     #[derive(Copy, PartialOrd, Ord, Hash)]
     pub struct AskId(u64);
 }
 
 /// The timeouts of a follower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FollowLimits {
-    /// How long a poll may be held back.
+pub struct FollowerTimeouts {
+    /// How long a source may hold a poll until there is a later version.
     pub wait: Span,
-    /// How long a poll may be held back while the news is old: other sources wait to be asked.
-    pub hurry: Span,
-    /// How much longer than that an answer may take before it counts as lost.
-    pub slack: Span,
-    /// The age from which on news is old.
-    pub stale: Span,
-    /// The shortest time between two polls that brought nothing.
-    pub pause: Span,
-    /// The longest pause after failures in a row.
-    pub longest: Span,
-    /// How long a follower stays with another source before it tries the first again.
-    pub stay: Span,
+    /// How long a source may hold a poll while the follower is out of date. This is shorter, so
+    /// that the other sources are soon asked too.
+    pub stale_wait: Span,
+    /// How much longer than the hold time a reply may take before it counts as lost.
+    pub grace: Span,
+    /// The age of its last confirmation from which on a version counts as out of date.
+    pub stale_age: Span,
+    /// The shortest time between two polls without a later version.
+    pub min_pause: Span,
+    /// The longest pause after consecutive failures.
+    pub max_pause: Span,
+    /// How long a follower stays with another source before it returns to the preferred one.
+    pub fallback_time: Span,
 }
 
-impl Default for FollowLimits {
+impl Default for FollowerTimeouts {
     fn default() -> Self {
         Self {
             wait: Span::from_secs(5),
-            hurry: Span::from_secs(1),
-            slack: Span::from_secs(2),
-            stale: Span::from_secs(15),
-            pause: Span::from_millis(200),
-            longest: Span::from_secs(2),
-            stay: Span::from_secs(60),
+            stale_wait: Span::from_secs(1),
+            grace: Span::from_secs(2),
+            stale_age: Span::from_secs(15),
+            min_pause: Span::from_millis(200),
+            max_pause: Span::from_secs(2),
+            fallback_time: Span::from_secs(60),
         }
     }
 }
 
-/// What happens to a follower.
+/// An event that a follower handles.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// Time passed.
+    /// Time has passed.
     Tick,
-    /// An answer came.
+    /// A reply has arrived.
     Reply {
-        /// The question.
+        /// The request that it answers.
         ask: AskId,
-        /// The answer.
+        /// The reply.
         reply: Reply,
     },
-    /// A question has no answer: refused, broken off or out of time.
+    /// A request got no reply: it was refused or timed out, or its connection broke.
     Lost {
-        /// The question.
+        /// The request.
         ask: AskId,
     },
 }
 
-/// What a follower wants done.
+/// An action that a follower asks its caller to take.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Send a question to a source.
+    /// Send a request to a source.
     Send {
-        /// The question's id.
+        /// The request's id.
         id: AskId,
-        /// The place of the source in the list.
+        /// The index of the source.
         source: usize,
-        /// The question.
+        /// The request.
         ask: Ask,
-        /// How long the answer may take.
+        /// How long the reply may take.
         timeout: Span,
     },
-    /// Drop the connections to a source.
+    /// Close the connections to a source.
     Retire {
-        /// The place of the source in the list.
+        /// The index of the source.
         source: usize,
     },
-    /// A later version is whole and is to come into force.
+    /// Bring a later version into force, which is complete.
     Apply {
         /// The version.
         config: Arc<Config>,
-        /// What leads to it from the one before; nothing where it came as a snapshot.
+        /// The delta from the version before, or `None` if the version came as a snapshot.
         delta: Option<Box<Delta>>,
     },
 }
 
-/// Keeps one process at the newest version that it can learn of.
+/// Keeps one process at the newest version of the configuration that it can get.
 #[derive(Debug)]
 pub struct Follower {
-    limits: FollowLimits,
+    timeouts: FollowerTimeouts,
     sources: usize,
     source: usize,
-    moved: Moment,
+    moved_at: Moment,
     failures: u32,
     seed: u64,
-    asked: u64,
-    heard: Option<Confirmed>,
+    last_ask: u64,
+    confirmed: Option<Confirmation>,
     linked: bool,
     fence: Fence,
     config: Arc<Config>,
@@ -117,10 +118,10 @@
 
 #[derive(Debug)]
 enum State {
-    Resting {
+    Idle {
         until: Moment,
     },
-    Asking {
+    Waiting {
         id: AskId,
         sent: Moment,
         deadline: Moment,
@@ -128,26 +129,26 @@
     },
 }
 
-/// When a source answered and how old its news was then.
+/// When a source replied, and how long before that the control leader had confirmed its version.
 ///
-/// Failure guarded against: news older than the process. A moment before the start of the
-/// clock can't be told from the start, and the news of a source that was cut off for an hour
-/// would look as young as the process. Age and moment are kept apart, so nothing is cut short.
+/// The two are kept apart because a confirmation can be older than this process. As a [`Moment`],
+/// it would be cut off at the start of the clock, and the version of a source that was cut off for
+/// an hour would seem to be only as old as the process.
 #[derive(Debug, Clone, Copy)]
-struct Confirmed {
-    /// The earliest moment at which the source can have answered.
-    answered: Moment,
-    /// The age of its news then.
+struct Confirmation {
+    /// The earliest moment at which the source can have replied.
+    replied: Moment,
+    /// The age of the confirmation at that moment.
     age: Span,
 }
 
-impl Confirmed {
+impl Confirmation {
     fn age(&self, now: Moment) -> Span {
-        Span::from_micros(self.age.as_micros() + now.since(self.answered).as_micros())
+        Span::from_micros(self.age.as_micros() + now.since(self.replied).as_micros())
     }
 }
 
-/// A snapshot of which some pieces have come.
+/// A snapshot of which some pieces have arrived.
 #[derive(Debug)]
 struct Partial {
     head: SnapshotHead,
@@ -155,23 +156,24 @@
 }
 
 impl Follower {
-    /// A follower of this many sources, the preferred one first, that has this configuration.
+    /// Creates a follower that has a configuration and can ask a number of sources, of which the
+    /// first is the preferred one.
     ///
     /// The seed spreads the pauses of many followers.
     pub fn new(sources: usize, config: Arc<Config>, seed: u64) -> Self {
         Self {
-            limits: FollowLimits::default(),
+            timeouts: FollowerTimeouts::default(),
             sources,
             source: 0,
-            moved: Moment::ZERO,
+            moved_at: Moment::ZERO,
             failures: 0,
             seed,
-            asked: 0,
-            heard: None,
+            last_ask: 0,
+            confirmed: None,
             linked: false,
             fence: Fence::default(),
             config,
-            state: State::Resting {
+            state: State::Idle {
                 until: Moment::ZERO,
             },
         }
@@ -179,57 +181,59 @@
 
     /// Sets the timeouts.
     #[must_use]
-    pub fn with_limits(mut self, limits: FollowLimits) -> Self {
-        self.limits = limits;
+    pub fn with_timeouts(mut self, timeouts: FollowerTimeouts) -> Self {
+        self.timeouts = timeouts;
         self
     }
 
-    /// The configuration in hand.
+    /// Returns the newest configuration that the follower has.
     pub fn config(&self) -> &Arc<Config> {
         &self.config
     }
 
-    /// How long ago the control leader confirmed the version in hand, as far as is known.
+    /// Returns how long ago the control leader confirmed the follower's version, or `None` if that
+    /// is not known.
     pub fn age(&self, now: Moment) -> Option<Span> {
-        self.heard.map(|heard| heard.age(now))
+        self.confirmed.map(|c| c.age(now))
     }
 
-    /// Whether the last poll was answered.
+    /// Whether the last request succeeded.
     pub fn is_linked(&self) -> bool {
         self.linked
     }
 
-    /// The highest fencing number that was heard of.
+    /// Returns the highest fencing number of all replies.
     pub fn fence(&self) -> Fence {
         self.fence
     }
 
-    /// When the follower next needs a tick.
+    /// Returns when the follower next needs an [`Input::Tick`].
     pub fn wake(&self) -> Moment {
         match &self.state {
-            State::Resting { .. } if self.sources == 0 => Moment::NEVER,
-            State::Resting { until } => *until,
-            State::Asking { deadline, .. } => *deadline,
+            State::Idle { .. } if self.sources == 0 => Moment::NEVER,
+            State::Idle { until } => *until,
+            State::Waiting { deadline, .. } => *deadline,
         }
     }
 
-    /// Takes one input and says what is to be done.
+    /// Handles one input and returns the actions to take.
     pub fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         let mut out = Vec::new();
         match input {
             Input::Tick => self.tick(now, &mut out),
-            Input::Lost { ask } if self.waits_for(ask) => self.fail(now, &mut out),
-            // Failure guarded against: an answer that was held up or doubled arrives after a
-            // later question was sent. It shows as a version that jumps about. Only the answer
-            // to the last question counts.
-            Input::Reply { ask, reply } if self.waits_for(ask) => self.take(now, reply, &mut out),
+            Input::Lost { ask } if self.is_current(ask) => self.fail(now, &mut out),
+            // A delayed or duplicated reply can arrive after a later request was sent, and would
+            // make the version jump back and forth. Only a reply to the last request counts.
+            Input::Reply { ask, reply } if self.is_current(ask) => {
+                self.handle_reply(now, reply, &mut out)
+            }
             Input::Lost { .. } | Input::Reply { .. } => {}
         }
         out
     }
 
-    fn waits_for(&self, ask: AskId) -> bool {
-        matches!(&self.state, State::Asking { id, .. } if *id == ask)
+    fn is_current(&self, ask: AskId) -> bool {
+        matches!(&self.state, State::Waiting { id, .. } if *id == ask)
     }
 
     fn tick(&mut self, now: Moment, out: &mut Vec<Output>) {
@@ -237,19 +241,19 @@
             return;
         }
         match &self.state {
-            State::Resting { .. } => self.poll(now, out),
-            State::Asking { .. } => self.fail(now, out),
+            State::Idle { .. } => self.poll(now, out),
+            State::Waiting { .. } => self.fail(now, out),
         }
     }
 
     fn poll(&mut self, now: Moment, out: &mut Vec<Output>) {
-        if self.source != 0 && now.since(self.moved) >= self.limits.stay {
+        if self.source != 0 && now.since(self.moved_at) >= self.timeouts.fallback_time {
             self.move_to(0, now);
         }
-        let wait = if self.is_old(now, self.heard) {
-            self.limits.hurry
+        let wait = if self.is_stale(now, self.confirmed) {
+            self.timeouts.stale_wait
         } else {
-            self.limits.wait
+            self.timeouts.wait
         };
         let after = self.config.version;
         self.send(now, Ask::Poll { after, wait }, wait, None, out);
@@ -263,10 +267,10 @@
         partial: Option<Partial>,
         out: &mut Vec<Output>,
     ) {
-        self.asked += 1;
-        let id = AskId(self.asked);
-        let timeout = Span::from_micros(wait.as_micros() + self.limits.slack.as_micros());
-        self.state = State::Asking {
+        self.last_ask += 1;
+        let id = AskId(self.last_ask);
+        let timeout = Span::from_micros(wait.as_micros() + self.timeouts.grace.as_micros());
+        self.state = State::Waiting {
             id,
             sent: now,
             deadline: now + timeout,
@@ -280,16 +284,16 @@
         });
     }
 
-    fn take(&mut self, now: Moment, reply: Reply, out: &mut Vec<Output>) {
-        let rest = State::Resting { until: now };
-        let State::Asking { sent, partial, .. } = std::mem::replace(&mut self.state, rest) else {
+    fn handle_reply(&mut self, now: Moment, reply: Reply, out: &mut Vec<Output>) {
+        let idle = State::Idle { until: now };
+        let State::Waiting { sent, partial, .. } = std::mem::replace(&mut self.state, idle) else {
             return;
         };
         self.fence = self.fence.max(reply.fence);
-        let brought = match (reply.news, partial) {
+        let updated = match (reply.news, partial) {
             (News::Unchanged, None) => Some(false),
-            (News::Delta(delta), None) => self.take_delta(delta, out).then_some(true),
-            (News::Snapshot(head), None) => return self.begin(now, head, out),
+            (News::Delta(delta), None) => self.apply_delta(delta, out).then_some(true),
+            (News::Snapshot(head), None) => return self.begin_snapshot(now, head, out),
             (
                 News::Piece {
                     version,
@@ -298,33 +302,35 @@
                 },
                 Some(partial),
             ) if version == partial.head.version && offset == partial.bytes.len() as u64 => {
-                return self.take_piece(now, partial, &bytes, out);
+                return self.add_piece(now, partial, &bytes, out);
             }
             _ => None,
         };
-        let Some(brought) = brought else {
+        let Some(updated) = updated else {
             return self.fail(now, out);
         };
-        let answered = sent + reply.held;
-        let confirmed = reply.age.map(|age| Confirmed { answered, age });
-        self.hear(now, confirmed);
-        let swift = !brought && now.since(sent) < self.limits.pause;
-        self.settle(now, swift);
-        if !reply.linked || self.is_old(now, confirmed) {
-            // Failure guarded against: a source that answers well and was itself cut off from
-            // control. It shows as a zone that keeps an old version while another source of
-            // the same zone has the new one. A source that says so, or whose news is old, makes
-            // the follower ask the next. Its connections go too: one may lead to a process that
-            // was stopped, while a new one reaches its successor.
+        let replied = sent + reply.held;
+        let confirmed = reply.age.map(|age| Confirmation { replied, age });
+        self.update_confirmation(now, confirmed);
+        let early = !updated && now.since(sent) < self.timeouts.min_pause;
+        self.schedule_poll(now, early);
+        if !reply.linked || self.is_stale(now, confirmed) {
+            // A source can reply normally and yet be cut off from control itself. The zone would
+            // keep an old version although another source of the zone has the new one. If a
+            // source says that it is cut off, or if it is out of date, the follower asks the next
+            // one. It also closes the connections: one may lead to a stopped process, while a
+            // new connection would reach its successor.
             let source = self.source;
             out.push(Output::Retire { source });
             self.move_to(self.source + 1, now);
         }
     }
 
-    /// Failure guarded against: a delta that was made from another version. See
-    /// [`Delta::apply`]; it refuses, and the follower asks elsewhere.
-    fn take_delta(&mut self, delta: Box<Delta>, out: &mut Vec<Output>) -> bool {
+    /// Applies a delta, and returns whether it was accepted.
+    ///
+    /// [`Delta::apply`] refuses a delta that starts from another version; the follower then asks
+    /// another source.
+    fn apply_delta(&mut self, delta: Box<Delta>, out: &mut Vec<Output>) -> bool {
         let Ok(next) = delta.apply(&self.config) else {
             return false;
         };
@@ -336,15 +342,16 @@
         true
     }
 
-    fn begin(&mut self, now: Moment, head: SnapshotHead, out: &mut Vec<Output>) {
-        if head.version <= self.config.version || head.length > MAX_SNAPSHOT {
+    fn begin_snapshot(&mut self, now: Moment, head: SnapshotHead, out: &mut Vec<Output>) {
+        if head.version <= self.config.version || head.length > MAX_SNAPSHOT_BYTES {
             return self.fail(now, out);
         }
         let bytes = Vec::new();
-        self.fetch(now, Partial { head, bytes }, out);
+        self.request_piece(now, Partial { head, bytes }, out);
     }
 
-    fn fetch(&mut self, now: Moment, partial: Partial, out: &mut Vec<Output>) {
+    /// Requests the next piece of a snapshot.
+    fn request_piece(&mut self, now: Moment, partial: Partial, out: &mut Vec<Output>) {
         let ask = Ask::Piece {
             version: partial.head.version,
             offset: partial.bytes.len() as u64,
@@ -352,10 +359,12 @@
         self.send(now, ask, Span::default(), Some(partial), out);
     }
 
-    /// Failure guarded against: pieces of two versions in one snapshot, after a source moved on
-    /// or another one answered. Each piece names its version and place, and the whole is
-    /// checked before anybody sees it.
-    fn take_piece(
+    /// Adds a piece to a snapshot, and brings the snapshot into force once it is complete.
+    ///
+    /// Pieces of two versions could get into one snapshot when a source moves on or another source
+    /// replies. Each piece therefore names its version and offset, and the complete snapshot is
+    /// verified before anyone sees it.
+    fn add_piece(
         &mut self,
         now: Moment,
         mut partial: Partial,
@@ -366,11 +375,11 @@
         let left = partial.head.length.checked_sub(partial.bytes.len() as u64);
         match left {
             Some(0) => {}
-            Some(_) if !bytes.is_empty() => return self.fetch(now, partial, out),
+            Some(_) if !bytes.is_empty() => return self.request_piece(now, partial, out),
             _ => return self.fail(now, out),
         }
-        let whole = partial.head.read(&partial.bytes);
-        let Some(config) = whole.filter(|c| c.version > self.config.version) else {
+        let received = partial.head.read(&partial.bytes);
+        let Some(config) = received.filter(|c| c.version > self.config.version) else {
             return self.fail(now, out);
         };
         self.config = Arc::new(config);
@@ -378,22 +387,24 @@
             config: Arc::clone(&self.config),
             delta: None,
         });
-        // The next poll tells how old the snapshot was.
-        self.settle(now, false);
+        // The reply to the next poll tells how long ago the version was confirmed.
+        self.schedule_poll(now, false);
     }
 
-    /// Rests a moment where the poll came back at once with nothing, and else not at all.
-    fn settle(&mut self, now: Moment, swift: bool) {
+    /// Schedules the next poll after a success: after a pause if the last one returned early
+    /// without a later version, and at once otherwise.
+    fn schedule_poll(&mut self, now: Moment, early: bool) {
         self.failures = 0;
         self.linked = true;
-        let pause = if swift {
-            self.jittered(self.limits.pause)
+        let pause = if early {
+            self.jittered(self.timeouts.min_pause)
         } else {
             Span::default()
         };
-        self.state = State::Resting { until: now + pause };
+        self.state = State::Idle { until: now + pause };
     }
 
+    /// Moves to the next source, and schedules its poll after an exponential backoff.
     fn fail(&mut self, now: Moment, out: &mut Vec<Output>) {
         out.push(Output::Retire {
             source: self.source,
@@ -401,27 +412,28 @@
         self.linked = false;
         self.failures = (self.failures + 1).min(16);
         self.move_to(self.source + 1, now);
-        let doubled = self.limits.pause.times(1 << self.failures.min(6));
-        let pause = self.jittered(doubled.min(self.limits.longest));
-        self.state = State::Resting { until: now + pause };
+        let backoff = self.timeouts.min_pause.times(1 << self.failures.min(6));
+        let pause = self.jittered(backoff.min(self.timeouts.max_pause));
+        self.state = State::Idle { until: now + pause };
     }
 
     fn move_to(&mut self, source: usize, now: Moment) {
         self.source = source % self.sources.max(1);
-        self.moved = now;
+        self.moved_at = now;
     }
 
-    /// Whether news that was confirmed then is old; news that nobody confirmed is.
-    fn is_old(&self, now: Moment, confirmed: Option<Confirmed>) -> bool {
-        confirmed.is_none_or(|c| c.age(now) >= self.limits.stale)
+    /// Whether a confirmation is too old, or there is none.
+    fn is_stale(&self, now: Moment, confirmed: Option<Confirmation>) -> bool {
+        confirmed.is_none_or(|c| c.age(now) >= self.timeouts.stale_age)
     }
 
-    fn hear(&mut self, now: Moment, confirmed: Option<Confirmed>) {
-        let known = self.heard.into_iter().chain(confirmed);
-        self.heard = known.min_by_key(|c| c.age(now));
+    /// Keeps the most recent of the known and the new confirmation.
+    fn update_confirmation(&mut self, now: Moment, confirmed: Option<Confirmation>) {
+        let known = self.confirmed.into_iter().chain(confirmed);
+        self.confirmed = known.min_by_key(|c| c.age(now));
     }
 
-    /// Between half and all of a span, by a counter-based generator.
+    /// Returns a random span between half and all of `span`, by the SplitMix64 generator.
     fn jittered(&mut self, span: Span) -> Span {
         self.seed = self.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.seed;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,19 +1,19 @@
-//! The numbered configuration: its document, its patches and their checks.
+//! The versioned configuration: its document, the patches that change it, and their checks.
 //!
 //! - [`document`]: workspaces, services, models and groups, as one [`Config`].
-//! - [`section`]: entries by name, which versions share until one of them changes.
-//! - [`patch`]: a change against a numbered version, taken whole or refused whole.
+//! - [`section`]: maps of named entries that versions share until one of them changes.
+//! - [`patch`]: changes to a numbered version, which are accepted or refused as a whole.
 //! - [`merge`]: JSON merge patches (RFC 7396).
-//! - [`strict`]: JSON in which no object names a field twice.
-//! - [`check`]: every fault of a document, each with its path.
-//! - [`delta`]: what changed between two versions, as a value of its own.
-//! - [`news`]: what processes tell each other about the version in force.
-//! - [`follower`]: keeps one process at the newest version it can learn of.
-//! - [`census`]: who has which version in force.
-//! - [`index`]: the index from bearer keys to workspaces.
-//! - [`wishes`]: what the configuration asks of a backend server.
-//! - [`secret`]: hashes of keys, compared in constant time.
-//! - [`wall`]: wall-clock times, which are shown to people and decide nothing.
+//! - [`strict`]: a JSON parser that refuses duplicate fields.
+//! - [`check`]: finds every fault of a document, each with its path.
+//! - [`delta`]: the difference between two versions, as a value of its own.
+//! - [`news`]: the messages by which processes pass new versions on.
+//! - [`follower`]: polls other processes to keep this one at the newest version.
+//! - [`census`]: counts which processes have which version in force.
+//! - [`index`]: finds the workspace that owns a bearer key.
+//! - [`wishes`]: the actions that bring a backend server to its configured state.
+//! - [`secret`]: hashes of bearer keys, compared in constant time.
+//! - [`wall`]: wall-clock times, which are only displayed and never decided on.
 
 pub mod census;
 pub mod check;
@@ -38,7 +38,7 @@
     Config, Group, GroupWeights, Limits, Model, Operator, Role, Server, ServerRole, Service,
     Workspace, Workspaces,
 };
-pub use follower::{AskId, FollowLimits, Follower};
+pub use follower::{AskId, Follower, FollowerTimeouts};
 pub use news::{Ask, DeltaLog, News, Reply, Snapshot, SnapshotHead};
 pub use patch::{Change, Patch, Refusal, Verdict};
 pub use secret::KeyHash;
--- a/crates/config/src/merge.rs
+++ b/crates/config/src/merge.rs
@@ -1,4 +1,5 @@
-//! JSON merge patches (RFC 7396): objects by key, `null` removes, anything else replaces.
+//! JSON merge patches (RFC 7396): objects are merged by key, `null` removes, and any other value
+//! replaces.
 
 use serde_json::{Map, Value};
 
@@ -23,8 +24,8 @@
     }
 }
 
-/// The patch that leads from one value to another; nothing where they are equal.
-pub fn between(old: &Value, new: &Value) -> Option<Value> {
+/// Returns the patch that leads from one value to another, or `None` if they are equal.
+pub fn diff(old: &Value, new: &Value) -> Option<Value> {
     if old == new {
         return None;
     }
@@ -37,7 +38,7 @@
     }
     for (key, value) in after {
         let change = match before.get(key) {
-            Some(old) => between(old, value),
+            Some(old) => diff(old, value),
             None => Some(value.clone()),
         };
         if let Some(change) = change {
--- a/crates/config/src/news.rs
+++ b/crates/config/src/news.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other about the configuration in force.
+//! The messages by which processes pass new versions of the configuration on.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,71 +8,72 @@
 use crate::delta::Delta;
 use crate::document::Config;
 
-/// The largest piece of a snapshot that is sent at once, in bytes.
-pub const PIECE: usize = 64 << 10;
+/// The largest piece of a snapshot that is sent at once.
+pub const MAX_PIECE_BYTES: usize = 64 << 10;
 
-/// The largest snapshot that is fetched, in bytes.
-pub const MAX_SNAPSHOT: u64 = 64 << 20;
+/// The largest snapshot that a follower fetches.
+pub const MAX_SNAPSHOT_BYTES: u64 = 64 << 20;
 
 data! {
-    /// What a process asks of another.
+    /// A request that one process sends to another.
     #[derive(Copy)]
     pub enum Ask {
-        /// Tell me of a version later than mine, or wait.
+        /// Asks for a version later than the sender's, and waits for it if there is none yet.
         Poll {
-            /// The version in force at the asker.
+            /// The version in force at the sender.
             after: Version,
-            /// How long the answer may wait for a later one.
+            /// How long the receiver may hold the poll until there is a later version.
             wait: Span,
         },
-        /// Send me a piece of a snapshot.
+        /// Asks for a piece of a snapshot.
         Piece {
             /// The version of the snapshot.
             version: Version,
-            /// Where the piece begins.
+            /// The offset of the piece, in bytes.
             offset: u64,
         },
     }
 
     /// The answer to an [`Ask`].
     pub enum News {
-        /// Nothing later within the wait.
+        /// There was no later version within the wait.
         Unchanged,
-        /// What leads to a later version.
+        /// The delta to a later version.
         Delta(Box<Delta>),
-        /// Too much has changed for a delta; the pieces of this snapshot can be asked for.
+        /// The head of a snapshot of a later version, to which no delta is at hand. Its pieces can
+        /// be requested.
         Snapshot(SnapshotHead),
         /// A piece of a snapshot.
         Piece {
             /// The version of the snapshot.
             version: Version,
-            /// Where the piece begins.
+            /// The offset of the piece, in bytes.
             offset: u64,
             /// The bytes.
             #[serde(with = "serde_bytes")]
             bytes: Vec<u8>,
         },
-        /// The snapshot that was asked for is not held any more.
+        /// The requested snapshot is no longer available.
         Gone,
     }
 
-    /// News, and how far it can be trusted.
+    /// The answer to an [`Ask`], and how far it can be trusted.
     pub struct Reply {
-        /// The news.
+        /// The answer itself.
         pub news: News,
-        /// How long ago the control leader confirmed it, as of the answer; nothing where it
-        /// never did.
+        /// How long before the reply the control leader had confirmed it, or `None` if it never
+        /// did.
         pub age: Option<Span>,
-        /// How long the answer was held back.
+        /// How long the reply was held back.
         pub held: Span,
-        /// Whether the answering process has a source, or is one; another is to be asked where
-        /// it has none.
+        /// Whether the replying process has a working source, or is the origin itself. If not,
+        /// another process should be asked.
         pub linked: bool,
-        /// The highest fencing number that the answering process knows of.
+        /// The highest fencing number known to the replying process.
         pub fence: Fence,
     }
 
-    /// What a snapshot holds, so that its pieces can be checked.
+    /// The description of a snapshot, against which its pieces are verified.
     #[derive(Copy)]
     pub struct SnapshotHead {
         /// The version.
@@ -84,7 +85,7 @@
     }
 }
 
-/// One version in bytes, cut into pieces for who is far behind.
+/// A serialized version, which is sent in pieces to processes that are far behind.
 #[derive(Debug, Clone)]
 pub struct Snapshot {
     head: SnapshotHead,
@@ -92,7 +93,7 @@
 }
 
 impl Snapshot {
-    /// The snapshot of a configuration.
+    /// Serializes a configuration.
     pub fn new(config: &Config) -> Self {
         let bytes = rmp_serde::to_vec_named(config).expect("a configuration is plain data");
         let head = SnapshotHead {
@@ -106,17 +107,17 @@
         }
     }
 
-    /// What it holds.
+    /// Returns the description of the snapshot.
     pub fn head(&self) -> SnapshotHead {
         self.head
     }
 
-    /// The whole snapshot.
+    /// Returns the whole snapshot.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// The piece that begins at an offset.
+    /// Returns the piece that begins at an offset.
     pub fn piece(&self, offset: u64) -> News {
         let start = usize::try_from(offset).unwrap_or(usize::MAX);
         let Some(rest) = self.bytes.get(start..) else {
@@ -125,13 +126,14 @@
         News::Piece {
             version: self.head.version,
             offset,
-            bytes: rest[..rest.len().min(PIECE)].to_vec(),
+            bytes: rest[..rest.len().min(MAX_PIECE_BYTES)].to_vec(),
         }
     }
 }
 
 impl SnapshotHead {
-    /// The configuration that the pieces hold, or nothing where they are not whole.
+    /// Reads the configuration from the joined pieces, or returns `None` if they are incomplete or
+    /// corrupt.
     pub fn read(&self, bytes: &[u8]) -> Option<Config> {
         if bytes.len() as u64 != self.length || crc32fast::hash(bytes) != self.checksum {
             return None;
@@ -141,39 +143,41 @@
     }
 }
 
-/// The last deltas, for those that are a little behind.
+/// The last deltas, for processes that are a few versions behind.
 #[derive(Debug)]
 pub struct DeltaLog {
     deltas: VecDeque<Delta>,
-    bound: usize,
+    capacity: usize,
 }
 
 impl DeltaLog {
-    /// An empty log that keeps at most `bound` deltas.
-    pub fn new(bound: usize) -> Self {
+    /// Creates an empty log that keeps at most `capacity` deltas.
+    pub fn new(capacity: usize) -> Self {
         Self {
             deltas: VecDeque::new(),
-            bound,
+            capacity,
         }
     }
 
-    /// Adds the delta that follows; one that doesn't follow makes the older ones useless.
+    /// Appends a delta. If it doesn't follow the last one, all older deltas are dropped, because
+    /// none of them can lead to the new version.
     pub fn push(&mut self, delta: Delta) {
         if self.deltas.back().is_some_and(|d| d.to != delta.from) {
             self.deltas.clear();
         }
         self.deltas.push_back(delta);
-        if self.deltas.len() > self.bound {
+        if self.deltas.len() > self.capacity {
             self.deltas.pop_front();
         }
     }
 
-    /// Forgets all deltas, where a version came that none of them leads to.
+    /// Drops all deltas, for when a version arrived to which none of them leads.
     pub fn clear(&mut self) {
         self.deltas.clear();
     }
 
-    /// One delta from a version to the newest, or nothing where the version fell out.
+    /// Returns one delta from a version to the newest, or `None` if the log doesn't reach back to
+    /// that version.
     pub fn since(&self, version: Version) -> Option<Delta> {
         Delta::combined(self.deltas.iter(), version)
     }
--- a/crates/config/src/patch.rs
+++ b/crates/config/src/patch.rs
@@ -1,4 +1,4 @@
-//! Patches: a change against a numbered version, taken whole or refused whole.
+//! Patches: changes to a numbered version, which are accepted or refused as a whole.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,8 +13,8 @@
 use crate::check::{check_change, Fault, FaultKind};
 use crate::delta::{Changes, Delta};
 use crate::document::Config;
-use crate::merge::{between, merge};
-use crate::read::Read;
+use crate::merge::{diff, merge};
+use crate::read::ReadValue;
 use crate::section::Section;
 use crate::strict;
 
@@ -22,14 +22,15 @@
 pub type Result<T> = std::result::Result<T, Refusal>;
 
 data! {
-    /// A change of the configuration, submitted by an operator.
+    /// A change of the configuration that an operator submits.
     #[serde(deny_unknown_fields)]
     pub struct Patch {
-        /// The operator's own id; a resend under the same id gets the first verdict again.
+        /// The id that the operator gave it. A resend under the same id gets the first verdict
+        /// again.
         pub id: PatchId,
-        /// The version that the change was made against.
+        /// The version that the patch changes.
         pub base: Version,
-        /// Why.
+        /// The operator's reason for the change.
         #[serde(default)]
         pub reason: String,
         /// A JSON merge patch (RFC 7396) of the document; `null` removes.
@@ -39,31 +40,31 @@
     /// Why a patch was refused.
     #[serde(rename_all = "kebab-case")]
     pub enum Refusal {
-        /// The patch was made against another version.
+        /// The patch changes another version than the one in force.
         Conflict {
             /// The version in force.
             current: Version,
         },
-        /// The patch or the document that it would lead to has these faults.
+        /// The patch, or the document that it leads to, has faults.
         Faulty {
-            /// Every fault that was found.
+            /// All faults.
             faults: Vec<Fault>,
         },
-        /// The id was used before, for another patch.
+        /// The id was used before for another patch.
         Reused,
     }
 
-    /// What became of a patch.
+    /// The outcome of a patch.
     #[serde(rename_all = "kebab-case")]
     pub enum Verdict {
-        /// It is in force as this version.
+        /// The patch is in force.
         Accepted {
             /// The new version.
             version: Version,
         },
-        /// Nothing of it is in force.
+        /// No part of the patch is in force.
         Refused {
-            /// Why.
+            /// The reason.
             refusal: Refusal,
         },
     }
@@ -84,27 +85,27 @@
 
 impl std::error::Error for Refusal {}
 
-/// A patch that was found whole and not yet brought into force.
+/// The result of a patch without faults that is not yet in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
     /// The next version.
     pub config: Config,
-    /// What leads to it.
+    /// The delta that leads to it.
     pub delta: Delta,
 }
 
 impl Patch {
-    /// Reads a patch from JSON; a field that is named twice or that no patch has is a fault.
+    /// Reads a patch from JSON. Duplicate and unknown fields are faults.
     pub fn parse(text: &[u8]) -> std::result::Result<Self, Vec<Fault>> {
         let value = strict::parse(text)?;
-        let note = |e: serde_json::Error| {
+        let malformed = |e: serde_json::Error| {
             let fault = Fault::new("", FaultKind::Malformed(e.to_string()));
             vec![fault]
         };
-        serde_json::from_value(value).map_err(note)
+        serde_json::from_value(value).map_err(malformed)
     }
 
-    /// The patch that leads from one configuration to the content of another.
+    /// Returns the patch that leads from one configuration to the content of another.
     pub fn between(id: PatchId, reason: String, from: &Config, to: &Config) -> Self {
         let content = |config: &Config| {
             let mut value = serde_json::to_value(config).unwrap_or_default();
@@ -113,7 +114,7 @@
             }
             value
         };
-        let set = between(&content(from), &content(to));
+        let set = diff(&content(from), &content(to));
         Self {
             id,
             base: from.version,
@@ -122,12 +123,12 @@
         }
     }
 
-    /// The configuration with the whole patch in force, under the next version.
+    /// Returns the configuration with the whole patch applied, under the next version.
     pub fn apply(&self, config: &Config) -> Result<Config> {
         self.prepare(config).map(|change| change.config)
     }
 
-    /// The next version and what leads to it; only what the patch names is touched.
+    /// Returns the next version and the delta to it. Only entries that the patch names change.
     pub fn prepare(&self, config: &Config) -> Result<Change> {
         if self.base != config.version {
             return Err(Refusal::Conflict {
@@ -135,7 +136,7 @@
             });
         }
         let mut faults = Vec::new();
-        let delta = self.plan(config, &mut faults);
+        let delta = self.plan_delta(config, &mut faults);
         let next = delta
             .apply(config)
             .expect("the delta was made from this version");
@@ -150,8 +151,8 @@
         }
     }
 
-    /// What the patch changes; entries with faults stay as they are.
-    fn plan(&self, config: &Config, faults: &mut Vec<Fault>) -> Delta {
+    /// Returns what the patch changes. Entries with faults stay as they are.
+    fn plan_delta(&self, config: &Config, faults: &mut Vec<Fault>) -> Delta {
         let mut delta = Delta::new(config.version, config.version.next());
         let Value::Object(sections) = &self.set else {
             let why = "a patch sets an object".into();
@@ -160,12 +161,16 @@
         };
         for (name, value) in sections {
             match name.as_str() {
-                "operators" => delta.operators = plan(name, value, &config.operators, faults),
-                "workspaces" => delta.workspaces = plan(name, value, &config.workspaces, faults),
-                "services" => delta.services = plan(name, value, &config.services, faults),
-                "models" => delta.models = plan(name, value, &config.models, faults),
-                "groups" => delta.groups = plan(name, value, &config.groups, faults),
-                "servers" => delta.servers = plan(name, value, &config.servers, faults),
+                "operators" => {
+                    delta.operators = plan_section(name, value, &config.operators, faults)
+                }
+                "workspaces" => {
+                    delta.workspaces = plan_section(name, value, &config.workspaces, faults)
+                }
+                "services" => delta.services = plan_section(name, value, &config.services, faults),
+                "models" => delta.models = plan_section(name, value, &config.models, faults),
+                "groups" => delta.groups = plan_section(name, value, &config.groups, faults),
+                "servers" => delta.servers = plan_section(name, value, &config.servers, faults),
                 "keepers" => delta.keepers = plan_keepers(value, config, faults),
                 "version" => faults.push(Fault::new(name, FaultKind::ReadOnly)),
                 _ => faults.push(Fault::new(name, FaultKind::Unknown)),
@@ -175,8 +180,8 @@
     }
 }
 
-/// What a patch changes in one section.
-fn plan<K, V>(
+/// Returns what a patch changes in one section.
+fn plan_section<K, V>(
     section: &str,
     value: &Value,
     current: &Section<K, V>,
@@ -184,7 +189,7 @@
 ) -> Changes<K, V>
 where
     K: FromStr<Err = IdError> + Ord + Clone,
-    V: Read + Serialize + PartialEq,
+    V: ReadValue + Serialize + PartialEq,
 {
     let mut changes = Changes::default();
     let entries = match value {
@@ -209,6 +214,7 @@
     changes
 }
 
+/// Adds what a patch changes in one entry.
 fn plan_entry<K, V>(
     path: &str,
     name: K,
@@ -218,7 +224,7 @@
     faults: &mut Vec<Fault>,
 ) where
     K: Ord + Clone,
-    V: Read + Serialize + PartialEq,
+    V: ReadValue + Serialize + PartialEq,
 {
     let before = current.get(&name);
     if patch.is_null() {
@@ -237,6 +243,7 @@
     }
 }
 
+/// Returns the new keeper table if a patch changes it.
 fn plan_keepers(
     value: &Value,
     config: &Config,
@@ -244,7 +251,7 @@
 ) -> Option<Vec<[HostId; 3]>> {
     let table = match value {
         Value::Null => Vec::new(),
-        table => Read::read("keepers", table.clone(), faults)?,
+        table => ReadValue::read("keepers", table.clone(), faults)?,
     };
     (table != config.keepers).then_some(table)
 }
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -1,7 +1,7 @@
-//! Typed reading of patched entries: every fault is found, each with its path.
+//! Reads patched entries from JSON and finds every fault, each with its path.
 //!
-//! A derived reader stops at the first fault. Here each field is read on its own, so that an
-//! operator sees every fault of a patch at once.
+//! A derived `Deserialize` stops at the first fault. Here each field is read separately, so that
+//! an operator sees all faults of a patch at once.
 
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
@@ -14,13 +14,13 @@
 };
 use crate::secret::KeyHash;
 
-/// Something that is read from a JSON value at a path.
-pub(crate) trait Read: Sized {
-    /// Reads the value, or notes its faults.
+/// A type that can be read from a JSON value and reports every fault.
+pub(crate) trait ReadValue: Sized {
+    /// Reads the value at a path, or adds its faults.
     fn read(path: &str, value: Value, faults: &mut Vec<Fault>) -> Option<Self>;
 }
 
-/// The fields of an entry that were not read yet.
+/// The fields of an entry that have not been read yet.
 struct Fields<'a> {
     path: &'a str,
     fields: Map<String, Value>,
@@ -28,6 +28,7 @@
 }
 
 impl<'a> Fields<'a> {
+    /// Starts to read an entry, which must be an object.
     fn open(path: &'a str, value: Value, faults: &'a mut Vec<Fault>) -> Option<Self> {
         match value {
             Value::Object(fields) => Some(Self {
@@ -42,8 +43,8 @@
         }
     }
 
-    /// A field that must be there.
-    fn required<T: Read>(&mut self, name: &str) -> Option<T> {
+    /// Reads a required field.
+    fn required<T: ReadValue>(&mut self, name: &str) -> Option<T> {
         let path = format!("{}.{name}", self.path);
         match self.fields.remove(name) {
             Some(value) => T::read(&path, value, self.faults),
@@ -54,16 +55,16 @@
         }
     }
 
-    /// A field that has a default.
-    fn or<T: Read>(&mut self, name: &str, default: T) -> Option<T> {
+    /// Reads a field that has a default.
+    fn optional<T: ReadValue>(&mut self, name: &str, default: T) -> Option<T> {
         match self.fields.remove(name) {
             Some(value) => T::read(&format!("{}.{name}", self.path), value, self.faults),
             None => Some(default),
         }
     }
 
-    /// Notes every field that nobody asked for.
-    fn close(self) {
+    /// Adds a fault for every field that was not read.
+    fn finish(self) {
         for name in self.fields.keys() {
             let path = format!("{}.{name}", self.path);
             self.faults.push(Fault::new(path, FaultKind::Unknown));
@@ -71,6 +72,7 @@
     }
 }
 
+/// Returns the fault of a value of the wrong JSON type.
 fn mismatch(path: &str, expected: &str, found: &Value) -> Fault {
     let found = match found {
         Value::Null => "null",
@@ -84,32 +86,33 @@
     Fault::new(path, FaultKind::Malformed(why))
 }
 
-fn leaf<T: DeserializeOwned>(path: &str, value: Value, faults: &mut Vec<Fault>) -> Option<T> {
+/// Reads a value that has at most one fault by its own `Deserialize`.
+fn read_leaf<T: DeserializeOwned>(path: &str, value: Value, faults: &mut Vec<Fault>) -> Option<T> {
     let read = serde_json::from_value(value);
-    let note = |e: serde_json::Error| {
+    let report = |e: serde_json::Error| {
         faults.push(Fault::new(path, FaultKind::Malformed(e.to_string())));
     };
-    read.map_err(note).ok()
+    read.map_err(report).ok()
 }
 
-macro_rules! leaves {
+macro_rules! impl_read_value {
     ($($name:ty),+ $(,)?) => {
         $(
-            impl Read for $name {
+            impl ReadValue for $name {
                 fn read(path: &str, value: Value, faults: &mut Vec<Fault>) -> Option<Self> {
-                    leaf(path, value, faults)
+                    read_leaf(path, value, faults)
                 }
             }
         )+
     };
 }
 
-leaves!(
+impl_read_value!(
     bool, u32, String, KeyHash, Rate, RegionId, HostId, ModelId, AdapterId, ServerId, Role,
     ServerRole,
 );
 
-impl<T: Read> Read for Option<T> {
+impl<T: ReadValue> ReadValue for Option<T> {
     fn read(path: &str, value: Value, faults: &mut Vec<Fault>) -> Option<Self> {
         if value.is_null() {
             return Some(None);
@@ -118,25 +121,25 @@
     }
 }
 
-impl<T: Read> Read for Vec<T> {
+impl<T: ReadValue> ReadValue for Vec<T> {
     fn read(path: &str, value: Value, faults: &mut Vec<Fault>) -> Option<Self> {
         let Value::Array(items) = value else {
             faults.push(mismatch(path, "an array", &value));
             return None;
         };
         let mut read = Vec::with_capacity(items.len());
-        let mut whole = true;
+        let mut complete = true;
         for (n, item) in items.into_iter().enumerate() {
             match T::read(&format!("{path}.{n}"), item, faults) {
                 Some(item) => read.push(item),
-                None => whole = false,
+                None => complete = false,
             }
         }
-        whole.then_some(read)
+        complete.then_some(read)
     }
 }
 
-impl<T: Read> Read for [T; 3] {
+impl<T: ReadValue> ReadValue for [T; 3] {
     fn read(path: &str, value: Value, faults: &mut Vec<Fault>) -> Option<Self> {
         let items = Vec::read(path, value, faults)?;
         let count = items.len();
@@ -149,11 +152,11 @@
     }
 }
 
-impl Read for Operator {
+impl ReadValue for Operator {
     fn read(path: &str, value: Value, faults: &mut Vec<Fault>) -> Option<Self> {
         let mut fields = Fields::open(path, value, faults)?;
         let (key, role) = (fields.required("key"), fields.required("role"));
-        fields.close();
+        fields.finish();
         Some(Self {
             key: key?,
             role: role?,
@@ -161,14 +164,14 @@
     }
 }
 
-impl Read for Workspace {
+impl ReadValue for Workspace {
     fn read(path: &str, value: Value, faults: &mut Vec<Fault>) -> Option<Self> {
         let mut fields = Fields::open(path, value, faults)?;
         let keys = fields.required("keys");
-        let weight = fields.or("weight", crate::document::one());
-        let limits = fields.or("limits", Limits::default());
-        let home = fields.or("home", None);
-        fields.close();
+        let weight = fields.optional("weight", crate::document::one());
+        let limits = fields.optional("limits", Limits::default());
+        let home = fields.optional("home", None);
+        fields.finish();
         Some(Self {
             keys: keys?,
             weight: weight?,
@@ -178,13 +181,13 @@
     }
 }
 
-impl Read for Limits {
+impl ReadValue for Limits {
     fn read(path: &str, value: Value, faults: &mut Vec<Fault>) -> Option<Self> {
         let mut fields = Fields::open(path, value, faults)?;
-        let requests = fields.or("requests", None);
-        let tokens = fields.or("tokens", None);
-        let concurrency = fields.or("concurrency", None);
-        fields.close();
+        let requests = fields.optional("requests", None);
+        let tokens = fields.optional("tokens", None);
+        let concurrency = fields.optional("concurrency", None);
+        fields.finish();
         Some(Self {
             requests: requests?,
             tokens: tokens?,
@@ -193,15 +196,15 @@
     }
 }
 
-impl Read for Service {
+impl ReadValue for Service {
     fn read(path: &str, value: Value, faults: &mut Vec<Fault>) -> Option<Self> {
         let mut fields = Fields::open(path, value, faults)?;
         let kind: String = fields.required("kind")?;
         match kind.as_str() {
             "model" => model_service(fields),
             "plain" => {
-                let idempotent = fields.or("idempotent", Vec::new());
-                fields.close();
+                let idempotent = fields.optional("idempotent", Vec::new());
+                fields.finish();
                 Some(Self::Plain {
                     idempotent: idempotent?,
                 })
@@ -217,9 +220,9 @@
 
 fn model_service(mut fields: Fields<'_>) -> Option<Service> {
     let model = fields.required("model");
-    let adapter = fields.or("adapter", None);
-    let idempotent = fields.or("idempotent", crate::document::yes());
-    fields.close();
+    let adapter = fields.optional("adapter", None);
+    let idempotent = fields.optional("idempotent", crate::document::yes());
+    fields.finish();
     Some(Service::Model {
         model: model?,
         adapter: adapter?,
@@ -227,12 +230,12 @@
     })
 }
 
-impl Read for Model {
+impl ReadValue for Model {
     fn read(path: &str, value: Value, faults: &mut Vec<Fault>) -> Option<Self> {
         let mut fields = Fields::open(path, value, faults)?;
         let version = fields.required("version");
-        let adapters = fields.or("adapters", Vec::new());
-        fields.close();
+        let adapters = fields.optional("adapters", Vec::new());
+        fields.finish();
         Some(Self {
             version: version?,
             adapters: adapters?,
@@ -240,14 +243,14 @@
     }
 }
 
-impl Read for Group {
+impl ReadValue for Group {
     fn read(path: &str, value: Value, faults: &mut Vec<Fault>) -> Option<Self> {
         let mut fields = Fields::open(path, value, faults)?;
         let model = fields.required("model");
         let ranks = fields.required("ranks");
-        let weights = fields.or("weights", GroupWeights::default());
-        let frozen = fields.or("frozen", false);
-        fields.close();
+        let weights = fields.optional("weights", GroupWeights::default());
+        let frozen = fields.optional("frozen", false);
+        fields.finish();
         Some(Self {
             model: model?,
             ranks: ranks?,
@@ -257,12 +260,12 @@
     }
 }
 
-impl Read for GroupWeights {
+impl ReadValue for GroupWeights {
     fn read(path: &str, value: Value, faults: &mut Vec<Fault>) -> Option<Self> {
         let mut fields = Fields::open(path, value, faults)?;
         let skew = fields.required("skew");
         let disturbance = fields.required("disturbance");
-        fields.close();
+        fields.finish();
         Some(Self {
             skew: skew?,
             disturbance: disturbance?,
@@ -270,13 +273,13 @@
     }
 }
 
-impl Read for Server {
+impl ReadValue for Server {
     fn read(path: &str, value: Value, faults: &mut Vec<Fault>) -> Option<Self> {
         let mut fields = Fields::open(path, value, faults)?;
-        let fencing = fields.or("fencing", None);
-        let role = fields.or("role", None);
-        let models = fields.or("models", Vec::new());
-        fields.close();
+        let fencing = fields.optional("fencing", None);
+        let role = fields.optional("role", None);
+        let models = fields.optional("models", Vec::new());
+        fields.finish();
         Some(Self {
             fencing: fencing?,
             role: role?,
--- a/crates/config/src/secret.rs
+++ b/crates/config/src/secret.rs
@@ -1,4 +1,4 @@
-//! Hashes of bearer keys: the configuration never holds a key itself.
+//! Hashes of bearer keys. The configuration never holds a key itself.
 
 use std::fmt;
 use std::str::FromStr;
@@ -20,13 +20,13 @@
         Self(*blake3::hash(key.as_bytes()).as_bytes())
     }
 
-    /// The first eight bytes, as a number.
+    /// Returns the first eight bytes as a big-endian number.
     pub fn prefix(&self) -> u64 {
         let [a, b, c, d, e, f, g, h, ..] = self.0;
         u64::from_be_bytes([a, b, c, d, e, f, g, h])
     }
 
-    /// Compares in constant time, so that timing tells nothing of a key's hash.
+    /// Compares in constant time, so that the duration reveals nothing about a key's hash.
     pub fn matches(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
@@ -48,11 +48,11 @@
     type Err = IdError;
 
     fn from_str(text: &str) -> Result<Self, IdError> {
-        let refused = || IdError {
+        let error = || IdError {
             kind: "KeyHash",
             text: text.chars().take(8).collect(),
         };
-        let hash = blake3::Hash::from_hex(text).map_err(|_| refused())?;
+        let hash = blake3::Hash::from_hex(text).map_err(|_| error())?;
         Ok(Self(*hash.as_bytes()))
     }
 }
--- a/crates/config/src/section.rs
+++ b/crates/config/src/section.rs
@@ -1,4 +1,4 @@
-//! One section of the configuration: entries by name, shared between versions.
+//! A section of the configuration: named entries that versions share.
 
 use std::collections::btree_map::{self, BTreeMap};
 use std::fmt;
@@ -6,88 +6,88 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Entries by name, which versions share until one of them changes.
+/// A map of named entries that versions share until one of them changes.
 ///
-/// A clone costs one reference count. A change copies the names and pointers of its own
-/// section and leaves every other entry where it is.
+/// A clone only increments a reference count. A change copies the names and pointers of its
+/// section, but no other entry.
 pub struct Section<K, V> {
     entries: Arc<BTreeMap<K, Arc<V>>>,
 }
 
 impl<K: Ord + Clone, V> Section<K, V> {
-    /// A section without entries.
+    /// Creates an empty section.
     pub fn new() -> Self {
         Self {
             entries: Arc::default(),
         }
     }
 
-    /// The entry of this name.
+    /// Returns the entry of a name.
     pub fn get(&self, name: &K) -> Option<&V> {
         self.entries.get(name).map(Arc::as_ref)
     }
 
-    /// The entry of this name, to be shared with another section.
-    pub fn share(&self, name: &K) -> Option<&Arc<V>> {
+    /// Returns the entry of a name as a pointer that another section can share.
+    pub fn get_shared(&self, name: &K) -> Option<&Arc<V>> {
         self.entries.get(name)
     }
 
-    /// The section's own copy of a name.
-    pub fn name(&self, name: &K) -> Option<&K> {
+    /// Returns the section's own copy of a name.
+    pub fn get_key(&self, name: &K) -> Option<&K> {
         self.entries.get_key_value(name).map(|(k, _)| k)
     }
 
-    /// Whether there is an entry of this name.
+    /// Whether a name has an entry.
     pub fn contains_key(&self, name: &K) -> bool {
         self.entries.contains_key(name)
     }
 
-    /// Names and entries, by name.
+    /// Iterates over names and entries, ordered by name.
     pub fn iter(&self) -> Iter<'_, K, V> {
         Iter {
             inner: self.entries.iter(),
         }
     }
 
-    /// The names, in order.
+    /// Iterates over the names, in order.
     pub fn keys(&self) -> impl Iterator<Item = &K> {
         self.entries.keys()
     }
 
-    /// The entries, by name.
+    /// Iterates over the entries, ordered by name.
     pub fn values(&self) -> impl Iterator<Item = &V> {
         self.entries.values().map(Arc::as_ref)
     }
 
-    /// Puts an entry under a name, in place of the one that was there.
+    /// Inserts an entry, or replaces the previous entry of the name.
     pub fn insert(&mut self, name: K, entry: V) {
-        self.put(name, Arc::new(entry));
+        self.insert_shared(name, Arc::new(entry));
     }
 
-    /// Puts a shared entry under a name, in place of the one that was there.
-    pub fn put(&mut self, name: K, entry: Arc<V>) {
+    /// Inserts a shared entry, or replaces the previous entry of the name.
+    pub fn insert_shared(&mut self, name: K, entry: Arc<V>) {
         Arc::make_mut(&mut self.entries).insert(name, entry);
     }
 
-    /// Takes the entry of a name away; false where there was none.
+    /// Removes the entry of a name, and returns whether there was one.
     pub fn remove(&mut self, name: &K) -> bool {
         self.contains_key(name) && Arc::make_mut(&mut self.entries).remove(name).is_some()
     }
 }
 
 impl<K, V> Section<K, V> {
-    /// How many entries there are.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Whether both are one and the same copy, which tells without a comparison of entries
-    /// that they are equal.
+    /// Whether both sections share one copy, in which case they are equal without a comparison of
+    /// their entries.
     pub fn is_same(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.entries, &other.entries)
     }
@@ -163,7 +163,7 @@
     }
 }
 
-/// Names and entries of a section, by name.
+/// An iterator over the names and entries of a section, ordered by name.
 pub struct Iter<'a, K, V> {
     inner: btree_map::Iter<'a, K, Arc<V>>,
 }
--- a/crates/config/src/strict.rs
+++ b/crates/config/src/strict.rs
@@ -1,8 +1,8 @@
-//! JSON in which no object names a field twice.
+//! A JSON parser that refuses duplicate fields.
 //!
-//! Failure guarded against: a patch that sets one workspace at two places. A lenient parser
-//! keeps the last one in silence, and the operator sees a patch accepted of which half is not
-//! in force. Here each doubled field is noted with its path and nothing is accepted.
+//! A patch can set one workspace twice by mistake. A lenient parser would silently keep only the
+//! last one, and the operator would see the patch accepted although half of it is not in force.
+//! This parser refuses the text, and names each duplicate field with its path.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -13,10 +13,10 @@
 
 use crate::check::{Fault, FaultKind};
 
-/// Reads a JSON text; every doubled field is a fault, as is a text that is not JSON.
+/// Parses a JSON text. Each duplicate field is a fault, as is a text that is not JSON.
 pub fn parse(text: &[u8]) -> Result<Value, Vec<Fault>> {
     let faults = RefCell::new(Vec::new());
-    let seed = Strict {
+    let seed = StrictReader {
         path: String::new(),
         faults: &faults,
     };
@@ -35,13 +35,15 @@
     }
 }
 
-struct Strict<'a> {
+/// Reads the value at a path, and collects its duplicate fields.
+struct StrictReader<'a> {
     path: String,
     faults: &'a RefCell<Vec<Fault>>,
 }
 
-impl Strict<'_> {
-    fn below(&self, step: impl fmt::Display) -> Self {
+impl StrictReader<'_> {
+    /// Returns the reader of a field or item of this value.
+    fn child(&self, step: impl fmt::Display) -> Self {
         let path = match self.path.as_str() {
             "" => step.to_string(),
             path => format!("{path}.{step}"),
@@ -53,7 +55,7 @@
     }
 }
 
-impl<'de> DeserializeSeed<'de> for Strict<'_> {
+impl<'de> DeserializeSeed<'de> for StrictReader<'_> {
     type Value = Value;
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Value, D::Error> {
@@ -61,7 +63,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Strict<'_> {
+impl<'de> Visitor<'de> for StrictReader<'_> {
     type Value = Value;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -94,7 +96,7 @@
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut items: A) -> Result<Value, A::Error> {
         let mut read = Vec::new();
-        while let Some(item) = items.next_element_seed(self.below(read.len()))? {
+        while let Some(item) = items.next_element_seed(self.child(read.len()))? {
             read.push(item);
         }
         Ok(Value::Array(read))
@@ -103,14 +105,14 @@
     fn visit_map<A: MapAccess<'de>>(self, mut fields: A) -> Result<Value, A::Error> {
         let mut read = Map::new();
         while let Some(name) = fields.next_key::<String>()? {
-            let below = self.below(&name);
+            let child = self.child(&name);
             if read.contains_key(&name) {
-                let kind = FaultKind::Doubled(below.path.clone());
+                let kind = FaultKind::Doubled(child.path.clone());
                 self.faults
                     .borrow_mut()
-                    .push(Fault::new(below.path.clone(), kind));
+                    .push(Fault::new(child.path.clone(), kind));
             }
-            let value = fields.next_value_seed(below)?;
+            let value = fields.next_value_seed(child)?;
             read.insert(name, value);
         }
         Ok(Value::Object(read))
--- a/crates/config/src/wall.rs
+++ b/crates/config/src/wall.rs
@@ -1,4 +1,4 @@
-//! Wall-clock times, which are shown to people and decide nothing.
+//! Wall-clock times, which are only displayed and never decided on.
 
 use std::fmt;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -7,7 +7,7 @@
 
 /// A wall-clock time in milliseconds since 1970, UTC.
 ///
-/// Wall clocks jump: no decision rests on one.
+/// Wall clocks can jump, so that no decision may depend on one.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,25 +15,25 @@
 pub struct WallTime(u64);
 
 impl WallTime {
-    /// The time this many milliseconds after 1970.
+    /// Creates a time from milliseconds since 1970.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis)
     }
 
-    /// What this machine's clock shows.
+    /// Returns the time of this host's clock.
     pub fn now() -> Self {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         Self(since.map_or(0, |d| d.as_millis() as u64))
     }
 
-    /// Milliseconds since 1970.
+    /// Returns the milliseconds since 1970.
     pub const fn as_millis(self) -> u64 {
         self.0
     }
 }
 
 impl fmt::Display for WallTime {
-    /// Writes RFC 3339, in UTC and whole seconds.
+    /// Writes the time as in RFC 3339, in UTC and whole seconds.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let seconds = self.0 / 1_000;
         let (year, month, day) = date(seconds / 86_400);
@@ -45,9 +45,9 @@
     }
 }
 
-/// The Gregorian date of a day counted from 1970-01-01.
+/// Returns the Gregorian year, month and day of a day counted from 1970-01-01.
 fn date(days: u64) -> (u64, u64, u64) {
-    // Years are counted from March, so that a leap day is the last of its year.
+    // Years start in March, so that a leap day is the last day of its year.
     let days = days + 719_468;
     let (era, day) = (days / 146_097, days % 146_097);
     let year = (day - day / 1_460 + day / 36_524 - day / 146_096) / 365;
--- a/crates/config/src/wishes.rs
+++ b/crates/config/src/wishes.rs
@@ -1,4 +1,4 @@
-//! What the configuration asks of a backend server that it does not have yet.
+//! The actions that bring a backend server to its configured state.
 
 use std::fmt;
 
@@ -7,20 +7,20 @@
 use crate::document::{Config, ServerRole};
 
 data! {
-    /// Something that a model engine is ordered to do.
+    /// An action that a model engine is ordered to take.
     #[derive(PartialOrd, Ord, Hash)]
     #[serde(tag = "do", rename_all = "lowercase", deny_unknown_fields)]
     pub enum Action {
-        /// Load a model, with these adapters; another version of it makes way.
+        /// Load a model with adapters, in place of any other version of the model.
         Load {
             /// The model.
             model: ModelId,
-            /// The version of its weights.
+            /// The version of the model's weights.
             version: String,
-            /// The adapters on top.
+            /// The adapters.
             adapters: Vec<AdapterId>,
         },
-        /// Take another role.
+        /// Take a role.
         Role {
             /// The role.
             role: ServerRole,
@@ -29,7 +29,7 @@
 }
 
 impl Action {
-    /// Whether it reads from the weight store.
+    /// Whether the action loads weights from the weight store.
     pub fn loads(&self) -> bool {
         matches!(self, Self::Load { .. })
     }
@@ -44,10 +44,10 @@
     }
 }
 
-/// The actions that lead a server to what the configuration asks of it.
+/// Returns the actions that bring a backend server to its configured state.
 ///
-/// Servers don't announce their role, so that a role is asked for whenever one is configured;
-/// its order's id keeps it from being carried out twice.
+/// Servers don't announce their role, so that a configured role is always among the actions. The
+/// id of the order prevents that it is carried out twice.
 pub fn pending_actions(config: &Config, info: &ServerInfo) -> Vec<Action> {
     let Some(server) = config.servers.get(&info.server) else {
         return Vec::new();
@@ -55,18 +55,19 @@
     let role = server.role.map(|role| Action::Role { role });
     let missing = server.models.iter().filter_map(|id| {
         let model = config.models.get(id)?;
-        let wish = Action::Load {
+        let load = Action::Load {
             model: id.clone(),
             version: model.version.clone(),
             adapters: model.adapters.clone(),
         };
-        (!info.offers.iter().any(|offer| has(offer, &wish))).then_some(wish)
+        (!info.offers.iter().any(|offer| fulfils(offer, &load))).then_some(load)
     });
     role.into_iter().chain(missing).collect()
 }
 
-fn has(offer: &Offer, wish: &Action) -> bool {
-    match (offer, wish) {
+/// Whether an offer already fulfils a load action.
+fn fulfils(offer: &Offer, action: &Action) -> bool {
+    match (offer, action) {
         (
             Offer::Model {
                 model,
--- a/crates/config/tests/patches.rs
+++ b/crates/config/tests/patches.rs
@@ -148,7 +148,10 @@
     let new = patch(1, set).apply(&old).expect("no faults");
     assert!(new.services.is_same(&old.services));
     let name = "cordillera".parse().expect("a name");
-    let shared = old.workspaces.share(&name).zip(new.workspaces.share(&name));
+    let shared = old
+        .workspaces
+        .get_shared(&name)
+        .zip(new.workspaces.get_shared(&name));
     assert!(shared.is_some_and(|(a, b)| std::sync::Arc::ptr_eq(a, b)));
 }
 
