--- a/crates/config/tests/follower.rs
+++ b/crates/config/tests/follower.rs
@@ -1,4 +1,4 @@
-//! The follower under every fault at every step, singly and in pairs, on a virtual clock.
+//! The follower under each fault at each step, alone and in pairs, on a virtual clock.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,24 +11,24 @@
 };
 use snipemast_core::prelude::*;
 
-/// What the wire does to one question.
+/// A fault that one request meets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
-    /// The answer is lost; the follower's own deadline has to pass.
+    /// The reply is lost, so that the follower's own deadline has to pass.
     Lost,
-    /// The answer comes after the next one.
+    /// The reply arrives after the next one.
     Delayed,
-    /// The answer comes twice, the second time much later.
+    /// The reply arrives twice, the second time much later.
     Doubled,
     /// The connection breaks at once.
     Cut,
-    /// The process restarts with the last copy it kept, and the old answer still arrives.
+    /// The process restarts with its last version, and the old reply still arrives.
     Restart,
-    /// The process restarts with nothing.
+    /// The process restarts without a configuration, and the old reply still arrives.
     Blank,
-    /// The source is a relay that was cut off from control long ago.
+    /// The source is a relay that has long been cut off from control.
     OldRelay,
-    /// The answer's bytes are from another version of the snapshot.
+    /// The reply's bytes are corrupt, as if they were from another version.
     WrongPiece,
 }
 
@@ -43,7 +43,7 @@
     Fault::WrongPiece,
 ];
 
-/// A process that answers: it moves from version to version as the script says.
+/// A process that replies to the follower and moves from version to version.
 struct Source {
     versions: Vec<Arc<Config>>,
     snapshots: Vec<Snapshot>,
@@ -52,11 +52,11 @@
 }
 
 impl Source {
-    fn new(versions: &[Arc<Config>], snapshots: &[Snapshot], bound: usize) -> Self {
+    fn new(versions: &[Arc<Config>], snapshots: &[Snapshot], capacity: usize) -> Self {
         Self {
             versions: versions.to_vec(),
             snapshots: snapshots.to_vec(),
-            log: DeltaLog::new(bound),
+            log: DeltaLog::new(capacity),
             at: 0,
         }
     }
@@ -92,7 +92,7 @@
     }
 }
 
-/// Versions 0 to 6, large enough that a snapshot has several pieces.
+/// Returns versions 0 to 6, which are large enough that a snapshot has several pieces.
 fn versions() -> (Vec<Arc<Config>>, Vec<Snapshot>) {
     let mut versions = vec![Arc::new(Config::default())];
     for n in 1..=6 {
@@ -105,18 +105,20 @@
             .collect();
         let last = &versions[n - 1];
         let patch = Patch {
-            id: "p".parse().expect("a name"),
+            id: "p".parse().expect("the name is valid"),
             base: last.version,
             reason: String::new(),
             set: json!({ "workspaces": entries }),
         };
-        versions.push(Arc::new(patch.apply(last).expect("no faults")));
+        versions.push(Arc::new(
+            patch.apply(last).expect("the patch has no faults"),
+        ));
     }
     let snapshots = versions.iter().map(|v| Snapshot::new(v)).collect();
     (versions, snapshots)
 }
 
-/// Runs a follower until it has the last version; the faults strike at their steps.
+/// Runs a follower until it has the last version. Each fault occurs at its step.
 struct Run<'a> {
     versions: &'a [Arc<Config>],
     snapshots: &'a [Snapshot],
@@ -124,17 +126,17 @@
     faults: &'a [(usize, Fault)],
     follower: Follower,
     now: Moment,
-    late: Vec<(AskId, Reply)>,
-    kept: Arc<Config>,
+    delayed: Vec<(AskId, Reply)>,
+    last_applied: Arc<Config>,
 }
 
 impl<'a> Run<'a> {
     fn new(
         (versions, snapshots): &'a (Vec<Arc<Config>>, Vec<Snapshot>),
-        bound: usize,
+        capacity: usize,
         faults: &'a [(usize, Fault)],
     ) -> Self {
-        let source = || Source::new(versions, snapshots, bound);
+        let source = || Source::new(versions, snapshots, capacity);
         Self {
             versions,
             snapshots,
@@ -142,12 +144,12 @@
             faults,
             follower: Follower::new(2, Arc::default(), 7),
             now: Moment::from_millis(1),
-            late: Vec::new(),
-            kept: Arc::default(),
+            delayed: Vec::new(),
+            last_applied: Arc::default(),
         }
     }
 
-    /// Returns how many questions it took, or nothing where the last version never came.
+    /// Returns the number of requests, or `None` if the last version never arrived.
     fn finish(mut self) -> Option<usize> {
         let mut step = 0;
         for _ in 0..400 {
@@ -163,7 +165,7 @@
                     self.sources[1].advance();
                 }
             }
-            let last = self.versions.last().expect("never empty");
+            let last = self.versions.last().expect("there is a first version");
             if self.follower.config().version == last.version {
                 return Some(step);
             }
@@ -173,7 +175,7 @@
 
     fn exchange(&mut self, step: usize, id: AskId, source: usize, ask: Ask) {
         let mut next = Some((id, source, ask));
-        // Pieces are asked for as soon as the one before has come.
+        // The next piece is requested as soon as the one before has arrived.
         while let Some((id, source, ask)) = next.take() {
             let fault = self.faults.iter().find(|(at, _)| *at == step);
             let reply = self.sources[source].answer(ask, Some(Span::default()));
@@ -181,15 +183,15 @@
                 None => self.handle(Input::Reply { ask: id, reply }),
                 Some(Fault::Lost) => Vec::new(),
                 Some(Fault::Delayed) => {
-                    self.late.push((id, reply));
+                    self.delayed.push((id, reply));
                     Vec::new()
                 }
                 Some(Fault::Doubled) => {
-                    self.late.push((id, reply.clone()));
+                    self.delayed.push((id, reply.clone()));
                     self.handle(Input::Reply { ask: id, reply })
                 }
                 Some(Fault::Cut) => self.handle(Input::Lost { ask: id }),
-                Some(Fault::Restart) => self.restart(id, reply, Arc::clone(&self.kept)),
+                Some(Fault::Restart) => self.restart(id, reply, Arc::clone(&self.last_applied)),
                 Some(Fault::Blank) => self.restart(id, reply, Arc::default()),
                 Some(Fault::OldRelay) => {
                     let old = Source::new(self.versions, self.snapshots, 0);
@@ -212,11 +214,11 @@
             });
             next = sends.last();
             if next.is_none() {
-                for (ask, reply) in std::mem::take(&mut self.late) {
+                for (ask, reply) in std::mem::take(&mut self.delayed) {
                     if ask != id {
                         self.handle(Input::Reply { ask, reply });
                     } else {
-                        self.late.push((ask, reply));
+                        self.delayed.push((ask, reply));
                     }
                 }
             }
@@ -228,8 +230,8 @@
         self.handle(Input::Reply { ask, reply })
     }
 
-    /// Every version that comes into force is later than the last and equal to the one that
-    /// was accepted under its number.
+    /// Handles an input. Each version that comes into force must be later than the last, and equal
+    /// to the one that was accepted under its number.
     fn handle(&mut self, input: Input) -> Vec<Output> {
         let before = self.follower.config().version;
         let outputs = self.follower.handle(self.now, input);
@@ -237,34 +239,39 @@
             if let Output::Apply { config, .. } = output {
                 assert!(config.version > before, "the version went back");
                 let accepted = &self.versions[config.version.get() as usize];
-                assert!(config == accepted, "a mix of two versions came into force");
-                self.kept = Arc::clone(config);
+                assert!(
+                    config == accepted,
+                    "the version differs from the accepted one"
+                );
+                self.last_applied = Arc::clone(config);
             }
         }
         outputs
     }
 }
 
+/// Replies are lost, late, duplicated, reordered or corrupt, and the process restarts in between.
+/// It must reach the last version, never go back, and never have anything in force but an accepted
+/// version.
 #[test]
 fn fault_matrix() {
-    // A process catches up while answers are lost, late, doubled, out of order, cut off or
-    // wrong, and it restarts in between. It must come to the last version, never go back on
-    // the way, and never have anything in force but a version that was accepted.
     let versions = versions();
     let mut cells = 0;
-    for bound in [64, 2] {
-        let steps = Run::new(&versions, bound, &[]).finish().expect("it ends");
+    for capacity in [64, 2] {
+        let steps = Run::new(&versions, capacity, &[])
+            .finish()
+            .expect("a run without faults ends");
         for at in 0..steps {
             for fault in FAULTS {
                 let faults = [(at, fault)];
-                let run = Run::new(&versions, bound, &faults);
-                assert!(run.finish().is_some(), "{faults:?} never ends");
+                let run = Run::new(&versions, capacity, &faults);
+                assert!(run.finish().is_some(), "the run with {faults:?} never ends");
                 cells += 1;
                 for second in (at + 1)..(at + 4) {
                     for other in FAULTS {
                         let faults = [(at, fault), (second, other)];
-                        let run = Run::new(&versions, bound, &faults);
-                        assert!(run.finish().is_some(), "{faults:?} never ends");
+                        let run = Run::new(&versions, capacity, &faults);
+                        assert!(run.finish().is_some(), "the run with {faults:?} never ends");
                         cells += 1;
                     }
                 }
@@ -274,6 +281,7 @@
     println!("cells: {cells}");
 }
 
+/// A late reply to an earlier request would make the version jump back and forth.
 #[test]
 fn late_reply_dropped() {
     let (versions, snapshots) = versions();
@@ -283,7 +291,7 @@
     let mut follower = Follower::new(1, Arc::default(), 1);
     let ask = |outputs: &[Output]| match outputs {
         [Output::Send { id, ask, .. }] => (*id, *ask),
-        other => panic!("not one question: {other:?}"),
+        other => panic!("expected one request, found {other:?}"),
     };
     let (first, poll) = ask(&follower.handle(Moment::ZERO, Input::Tick));
     let reply = source.answer(poll, Some(Span::default()));
@@ -301,10 +309,10 @@
     assert!(matches!(applied[..], [Output::Apply { .. }]));
 }
 
+/// A relay that is cut off from control still replies that there is no later version. The processes
+/// behind it would keep an old version although the zone's other relay has the new one.
 #[test]
-fn cut_relay_left() {
-    // A relay of the zone is cut off from control and goes on answering "nothing new". The
-    // entries behind it keep an old version although the zone's other relay has the new one.
+fn stale_relay_left() {
     let mut follower = Follower::new(2, Arc::default(), 1);
     let mut now = Moment::ZERO;
     let mut asked = Vec::new();
@@ -331,10 +339,10 @@
     assert_eq!(asked, [0, 1, 1]);
 }
 
+/// All sources are gone. Without a backoff, the follower would flood them with requests; without an
+/// upper capacity of the backoff, it would stop asking.
 #[test]
-fn silent_source() {
-    // Every source is gone: the follower goes on asking, ever more seldom, and no faster than
-    // its longest pause.
+fn unreachable_sources() {
     let mut follower = Follower::new(3, Arc::default(), 1);
     let mut now = Moment::ZERO;
     let mut asked = 0;
@@ -347,27 +355,27 @@
             }
         }
     }
-    assert!((300..700).contains(&asked), "{asked} questions in 600 s");
+    assert!((300..700).contains(&asked), "{asked} requests in 600 s");
     assert!(!follower.is_linked());
 }
 
+/// A source replies with a piece from another offset of the snapshot. The piece must not be used,
+/// and the follower starts over at another source.
 #[test]
 fn misplaced_piece() {
-    // A source answers with a piece from another place of the snapshot. The fetch ends at once
-    // and begins anew elsewhere, and nothing of the piece is kept.
     let (versions, snapshots) = versions();
     let mut source = Source::new(&versions, &snapshots, 0);
     source.advance();
     let mut follower = Follower::new(1, Arc::default(), 1);
     let asked = |outputs: &[Output]| match outputs {
         [Output::Send { id, ask, .. }] => (*id, *ask),
-        other => panic!("not one question: {other:?}"),
+        other => panic!("expected one request, found {other:?}"),
     };
     let (id, poll) = asked(&follower.handle(Moment::ZERO, Input::Tick));
     let reply = source.answer(poll, Some(Span::default()));
     let (id, ask) = asked(&follower.handle(Moment::ZERO, Input::Reply { ask: id, reply }));
     let Ask::Piece { version, .. } = ask else {
-        panic!("no piece is asked for: {ask:?}");
+        panic!("expected a request for a piece, found {ask:?}");
     };
     let elsewhere = Ask::Piece { version, offset: 9 };
     let reply = source.answer(elsewhere, Some(Span::default()));
--- a/crates/config/tests/patches.rs
+++ b/crates/config/tests/patches.rs
@@ -1,4 +1,4 @@
-//! Patches: whole or refused whole, with every fault named.
+//! Patches are accepted or refused as a whole, with every fault named.
 
 use serde_json::{json, Value};
 
@@ -6,15 +6,17 @@
 use snipemast_config::{Config, Fault, KeyHash, Patch, Refusal};
 use snipemast_core::prelude::*;
 
+/// Creates a patch to a version.
 fn patch(base: u64, set: Value) -> Patch {
     Patch {
-        id: "p".parse().expect("a name"),
+        id: "p".parse().expect("the name is valid"),
         base: Version::new(base),
         reason: String::new(),
         set,
     }
 }
 
+/// Returns version 1, on which most patches are based.
 fn base() -> Config {
     let set = json!({
         "operators": { "ana": { "key": KeyHash::from_key("ana"), "role": "write" } },
@@ -23,9 +25,12 @@
         "services": { "lector": { "kind": "model", "model": "lector-1", "adapter": "es" } },
         "keepers": [["a", "b", "c"], ["b", "c", "d"]],
     });
-    patch(0, set).apply(&Config::default()).expect("no faults")
+    patch(0, set)
+        .apply(&Config::default())
+        .expect("the patch has no faults")
 }
 
+/// Returns the faults of a patch to version 1.
 fn faults(set: Value) -> Vec<String> {
     match patch(1, set).apply(&base()) {
         Err(Refusal::Faulty { faults }) => faults.iter().map(Fault::to_string).collect(),
@@ -33,10 +38,10 @@
     }
 }
 
+/// A parser that stops at the first fault would make an operator fix a patch fault by fault, with
+/// one attempt each. All faults are listed at once.
 #[test]
 fn all_faults_listed() {
-    // An operator repairs a patch fault by fault, and the next one shows only after each
-    // attempt, because the parser stops at the first. All of them have to be told at once.
     let found = faults(json!({
         "workspaces": {
             "bad name": {},
@@ -67,6 +72,8 @@
     }
 }
 
+/// A patch that removes a definition, or names one that doesn't exist, would leave a reference to
+/// nothing.
 #[test]
 fn dangling_names() {
     assert_eq!(
@@ -79,10 +86,10 @@
     );
 }
 
+/// If two workspaces had the same key, its callers would be billed to, and read the answers of,
+/// whichever workspace comes first by name.
 #[test]
-fn doubled_keys() {
-    // Two customers are given one key; whoever calls with it would be billed to, and read the
-    // answers of, whichever comes first by name.
+fn duplicate_keys() {
     let key = KeyHash::from_key("c");
     assert_eq!(
         faults(json!({ "workspaces": { "a": { "keys": [key] } } })),
@@ -92,14 +99,15 @@
     assert!(patch(1, moved).apply(&base()).is_ok());
 }
 
+/// A patch names one workspace twice. A lenient parser would silently keep only the second.
 #[test]
-fn doubled_fields() {
-    // A patch names one workspace twice; a lenient parser keeps the second half in silence.
+fn duplicate_fields() {
     let text = br#"{"id":"p","base":1,"set":{"workspaces":{"a":{"weight":1},"a":{"weight":2}}}}"#;
-    let faults = Patch::parse(text).expect_err("a doubled field");
+    let faults = Patch::parse(text).expect_err("a duplicate field is a fault");
     assert_eq!(faults[0].path, "set.workspaces.a");
 }
 
+/// A workspace with a weight or limit of 0 could never send a request.
 #[test]
 fn impossible_limits() {
     let zero = json!({ "workspaces": { "cordillera": {
@@ -107,10 +115,9 @@
     assert_eq!(faults(zero).len(), 3);
 }
 
+/// If the only operator with write access lost it, nobody could ever patch again.
 #[test]
-fn last_writer_stays() {
-    // The only operator who may write takes that role from itself, and nobody can ever patch
-    // again.
+fn last_writer_kept() {
     let demoted = json!({ "operators": { "ana": { "role": "read" } } });
     assert_eq!(
         faults(demoted),
@@ -118,10 +125,10 @@
     );
 }
 
+/// If two of a shard's three hosts were replaced at once, only the third would know its claims. It
+/// is no majority, so that a resent request would run a second time.
 #[test]
-fn keepers_move_singly() {
-    // Two of a shard's three hosts are replaced at once; the third alone knows its claims and
-    // is no majority, so a resend runs a second time.
+fn single_keeper_moves() {
     assert_eq!(
         faults(json!({ "keepers": [["a", "x", "y"], ["b", "c", "d"]] })),
         ["keepers.0: impossible: a shard moves one host at a time"]
@@ -134,6 +141,7 @@
     assert!(patch(1, one).apply(&base()).is_ok());
 }
 
+/// A patch to an older version would overwrite a change that its author has not seen.
 #[test]
 fn old_base_conflicts() {
     let refused = patch(0, json!({})).apply(&base());
@@ -141,13 +149,14 @@
     assert_eq!(refused, Err(Refusal::Conflict { current }));
 }
 
+/// A new version that copied every entry would cost as much as the whole configuration.
 #[test]
-fn untouched_is_shared() {
+fn unchanged_entries_shared() {
     let old = base();
     let set = json!({ "workspaces": { "new": { "keys": [] } } });
-    let new = patch(1, set).apply(&old).expect("no faults");
+    let new = patch(1, set).apply(&old).expect("the patch has no faults");
     assert!(new.services.is_same(&old.services));
-    let name = "cordillera".parse().expect("a name");
+    let name = "cordillera".parse().expect("the name is valid");
     let shared = old
         .workspaces
         .get_shared(&name)
@@ -155,21 +164,25 @@
     assert!(shared.is_some_and(|(a, b)| std::sync::Arc::ptr_eq(a, b)));
 }
 
+/// `null` removes a whole section as well as a single entry.
 #[test]
 fn null_removes() {
     let set = json!({ "services": null, "models": { "lector-1": null } });
-    let new = patch(1, set).apply(&base()).expect("no faults");
+    let new = patch(1, set)
+        .apply(&base())
+        .expect("the patch has no faults");
     assert!(new.services.is_empty() && new.models.is_empty());
     assert!(check(&new).is_empty());
 }
 
+/// An operator reverts a patch: the earlier content comes back under a new version.
 #[test]
-fn going_back() {
+fn patch_reverted() {
     let old = base();
     let set = json!({ "services": { "lector": { "adapter": null }, "m": { "kind": "plain" } } });
-    let new = patch(1, set).apply(&old).expect("no faults");
-    let back = Patch::between(patch(0, json!({})).id, String::new(), &new, &old);
-    let again = back.apply(&new).expect("no faults");
-    assert_eq!(again.version, Version::new(3));
-    assert_eq!(again.services, old.services);
+    let new = patch(1, set).apply(&old).expect("the patch has no faults");
+    let revert = Patch::between(patch(0, json!({})).id, String::new(), &new, &old);
+    let restored = revert.apply(&new).expect("the patch has no faults");
+    assert_eq!(restored.version, Version::new(3));
+    assert_eq!(restored.services, old.services);
 }
