--- a/crates/routes/src/check.rs
+++ b/crates/routes/src/check.rs
@@ -1,4 +1,4 @@
-//! Every fault of a document.
+//! Finds every fault of a document.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -7,12 +7,12 @@
 
 use crate::document::{Document, Route};
 
-/// Why a document can't be in force.
+/// A reason why a document can't come into force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// The text can't be read in full.
+    /// The text can't be read.
     Unreadable(String),
-    /// A route names a service that the document lacks.
+    /// A route names a service that is not in the document.
     UnknownService {
         /// The route.
         route: String,
@@ -20,23 +20,23 @@
         service: ServiceId,
     },
     /// Two routes have the same host and prefix.
-    SamePlace {
+    DuplicatePlace {
         /// The later route.
         route: String,
-        /// The earlier one.
+        /// The earlier route.
         other: String,
     },
-    /// A route's weights add up to 0.
-    NoWeight(String),
-    /// A route's timeout is 0.
-    NoTimeout(String),
-    /// A route's prefix does not begin and end with a slash.
-    Prefix(String),
+    /// The weights of a route add up to 0.
+    ZeroWeight(String),
+    /// The timeout of a route is 0.
+    ZeroTimeout(String),
+    /// The prefix of a route does not begin and end with a slash.
+    MalformedPrefix(String),
     /// Two workspaces have the same key.
     SharedKey {
         /// The later workspace.
         workspace: String,
-        /// The earlier one.
+        /// The earlier workspace.
         other: String,
     },
 }
@@ -48,12 +48,12 @@
             Self::UnknownService { route, service } => {
                 write!(f, "route {route} names the unknown service {service}")
             }
-            Self::SamePlace { route, other } => {
+            Self::DuplicatePlace { route, other } => {
                 write!(f, "route {route} has the host and prefix of route {other}")
             }
-            Self::NoWeight(route) => write!(f, "the weights of route {route} add up to 0"),
-            Self::NoTimeout(route) => write!(f, "the timeout of route {route} is 0"),
-            Self::Prefix(route) => {
+            Self::ZeroWeight(route) => write!(f, "the weights of route {route} add up to 0"),
+            Self::ZeroTimeout(route) => write!(f, "the timeout of route {route} is 0"),
+            Self::MalformedPrefix(route) => {
                 write!(
                     f,
                     "the prefix of route {route} must begin and end with a slash"
@@ -68,7 +68,7 @@
 
 impl std::error::Error for Fault {}
 
-/// Every fault of a document; none where it may be in force.
+/// Returns every fault of a document, which may come into force if there is none.
 pub fn check(document: &Document) -> Vec<Fault> {
     let mut faults = Vec::new();
     let services: HashSet<&ServiceId> = document.services.iter().map(|s| &s.name).collect();
@@ -78,13 +78,14 @@
         let place = (route.host.as_str(), route.prefix.as_str());
         if let Some(other) = places.insert(place, route) {
             let (route, other) = (route.name.clone(), other.name.clone());
-            faults.push(Fault::SamePlace { route, other });
+            faults.push(Fault::DuplicatePlace { route, other });
         }
     }
     check_keys(document, &mut faults);
     faults
 }
 
+/// Finds the faults of a single route.
 fn check_route(route: &Route, services: &HashSet<&ServiceId>, faults: &mut Vec<Fault>) {
     let name = || route.name.clone();
     for share in route
@@ -99,21 +100,22 @@
         });
     }
     if route.split.iter().all(|s| s.weight == 0) {
-        faults.push(Fault::NoWeight(name()));
+        faults.push(Fault::ZeroWeight(name()));
     }
     if route.timeout == Span::default() {
-        faults.push(Fault::NoTimeout(name()));
+        faults.push(Fault::ZeroTimeout(name()));
     }
     if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
-        faults.push(Fault::Prefix(name()));
+        faults.push(Fault::MalformedPrefix(name()));
     }
 }
 
+/// Finds keys that several workspaces have.
 fn check_keys(document: &Document, faults: &mut Vec<Fault>) {
-    let mut holders: HashMap<&str, &str> = HashMap::new();
+    let mut owners: HashMap<&str, &str> = HashMap::new();
     for workspace in &document.workspaces {
         for key in &workspace.keys {
-            match holders.insert(key, &workspace.name) {
+            match owners.insert(key, &workspace.name) {
                 Some(other) if other != workspace.name => faults.push(Fault::SharedKey {
                     workspace: workspace.name.clone(),
                     other: other.to_owned(),
--- a/crates/routes/src/document.rs
+++ b/crates/routes/src/document.rs
@@ -1,4 +1,4 @@
-//! A numbered configuration as operators send it, whole.
+//! The document that operators send: a whole configuration with a version number.
 
 use snipemast_core::data;
 use snipemast_core::prelude::*;
@@ -7,104 +7,105 @@
 
 data! {
     float
-    /// A whole configuration; the one with the highest number is in force.
+    /// A whole configuration. The one with the highest version is in force.
     pub struct Document {
-        /// Its number.
+        /// The version number.
         pub version: Version,
-        /// Where requests go.
+        /// The routes of requests.
         pub routes: Vec<Route>,
         /// The services that routes name.
         pub services: Vec<Service>,
-        /// What callers may send, and how slowly.
+        /// The limits on what callers may send, and how slowly.
         pub limits: CallerLimits,
-        /// Who may call; without any, every caller may.
+        /// The workspaces whose callers may send requests. If there is none, every caller may.
         pub workspaces: Vec<Workspace>,
     }
 
-    /// Where the requests of one host and path prefix go.
+    /// Which services get the requests of one host and path prefix.
     pub struct Route {
-        /// Its name.
+        /// The route's name.
         pub name: String,
-        /// The host that callers name.
+        /// The host that callers address.
         pub host: String,
         /// The path prefix, which begins and ends with a slash.
         pub prefix: String,
-        /// What may be repeated.
+        /// Whether and how requests may be repeated.
         pub repeat: Repeat,
-        /// How long a caller may be kept waiting.
+        /// How long a caller may have to wait for the answer.
         pub timeout: Span,
-        /// Within which time an answer, or a stream's first event, is on time.
+        /// The time within which an answer, or the first event of a stream, is on time.
         pub objective: Span,
         /// The longest pause between two events of a stream that is on time.
         pub gap: Option<Span>,
-        /// Its rank: 0 is served first.
+        /// The priority of the requests; 0 is served first.
         pub priority: u8,
-        /// The services that share its requests.
+        /// The services among which the requests are split.
         pub split: Vec<Share>,
-        /// The most servers that one attempt of a caller may be sent to.
+        /// The most servers that one attempt of a caller may be sent to in all.
         pub attempts: u32,
         /// Whether callers need no key.
         pub public: bool,
-        /// Whether it carries prompts whose parts are shared between requests.
+        /// Whether the requests carry prompts that have parts in common.
         pub prompts: bool,
     }
 
-    /// What may be repeated.
+    /// Whether and how a request may be repeated.
     #[derive(Copy)]
     pub enum Repeat {
-        /// A request may run more than once.
+        /// The request may run more than once.
         Idempotent,
-        /// A request runs at most once.
+        /// The request runs at most once.
         Once,
-        /// A stream of events that runs at most once.
+        /// The request runs at most once and is answered by a stream of events.
         Stream,
-        /// A stream that may go on at another server after the last event that arrived.
+        /// The request is answered by a stream of events that another server may resume after the
+        /// last event that arrived.
         ResumableStream,
     }
 
-    /// A service's share of a route.
+    /// The share of a route's requests that a service gets.
     pub struct Share {
         /// The service.
         pub service: ServiceId,
-        /// Its weight among the route's shares.
+        /// The weight, relative to the route's other shares.
         pub weight: u32,
     }
 
-    /// A service.
+    /// A service, which runs on backend servers.
     pub struct Service {
-        /// Its name.
+        /// The service's name.
         pub name: ServiceId,
-        /// The most connections that one of its servers takes from all callers together.
+        /// The most connections that each of its servers accepts in all.
         pub connections: u32,
-        /// What its model engine is like, if its servers are ranks of one.
+        /// The properties of its model engine, if its servers are ranks of one.
         pub engine: Option<Engine>,
     }
 
-    /// What callers may send, and how slowly.
+    /// Limits on what callers may send, and how slowly.
     pub struct CallerLimits {
-        /// The longest head of a request.
+        /// The largest head of a request.
         pub header: Size,
-        /// The longest body.
+        /// The largest body of a request.
         pub body: Size,
-        /// How long a head may take to arrive.
+        /// How long the head may take to arrive.
         pub header_time: Span,
         /// How long a connection may be idle.
         pub idle: Span,
     }
 
-    /// A workspace and the keys that speak for it.
+    /// A workspace and the keys of its callers.
     pub struct Workspace {
-        /// Its name.
+        /// The workspace's name.
         pub name: String,
-        /// The keys.
+        /// The keys that callers present.
         pub keys: Vec<String>,
-        /// Its rank, which goes before the route's.
+        /// The priority of its requests, which overrides that of the route.
         pub priority: Option<u8>,
     }
 }
 
 impl Repeat {
-    /// Whether a run whose outcome is unknown may be followed by another one.
+    /// Whether a request may run again when the outcome of a run is unknown.
     pub const fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
@@ -116,7 +117,7 @@
 }
 
 impl Default for CallerLimits {
-    /// For documents that name none: what common HTTP servers accept.
+    /// Returns the limits for a document without any, which are those of common HTTP servers.
     fn default() -> Self {
         Self {
             header: Size::from_bytes(16 << 10),
--- a/crates/routes/src/engine.rs
+++ b/crates/routes/src/engine.rs
@@ -1,47 +1,48 @@
-//! What a service's model engine is said to be like.
+//! The published properties of a service's model engine.
 
 use snipemast_core::data;
 use snipemast_core::prelude::*;
 
 data! {
     float
-    /// The published constants of an engine whose servers are ranks of groups.
+    /// The published properties of an engine whose servers are ranks of groups.
     pub struct Engine {
-        /// How many requests a rank runs at once.
+        /// The number of requests that a rank runs at once.
         pub slots: u32,
-        /// How many tokens of context a rank's memory holds.
+        /// The number of tokens of context that a rank's memory holds.
         pub memory: u64,
-        /// How many token steps one pass takes.
+        /// The number of token steps in one pass.
         pub stride: u32,
-        /// Milliseconds that a token step takes.
+        /// The duration of a token step in milliseconds.
         pub step: f64,
-        /// Milliseconds more for each request that writes.
+        /// The additional milliseconds for each request that generates tokens.
         pub sequence: f64,
-        /// Milliseconds more for each 1,000 tokens of context of a request that writes.
+        /// The additional milliseconds for each 1,000 tokens of context of a request that
+        /// generates tokens.
         pub context: f64,
-        /// Prompt tokens read in a second.
+        /// The number of prompt tokens processed per second.
         pub read: f64,
-        /// The most prompt tokens read in one step.
+        /// The most prompt tokens processed in one step.
         pub chunk: u32,
-        /// The mean number of tokens of a prompt and of an answer.
+        /// The mean numbers of tokens of a prompt and of an answer.
         pub usual: (f64, f64),
-        /// The expert layout of its groups, if it has one.
+        /// The expert layout of the groups, if the model has experts.
         pub experts: Option<Experts>,
     }
 
-    /// How experts lie on the ranks of a group.
+    /// The layout of experts on the ranks of a group.
     pub struct Experts {
-        /// Sets of layers that have a layout of their own.
+        /// The number of sets of layers, each of which has its own layout.
         pub sets: u32,
-        /// Experts in each set.
+        /// The number of experts in each set.
         pub count: u32,
-        /// The most experts of a set that a rank holds.
+        /// The most experts of a set that a rank can hold.
         pub places: u32,
-        /// The most experts of a set that one preparation may bring to a rank.
+        /// The most experts of a set that a rank can load in one preparation.
         pub spare: u32,
         /// The size of one expert in MB.
         pub megabytes: f64,
-        /// The share of a token's work that experts do.
+        /// The share of the work for a token that is done by experts.
         pub share: f64,
         /// How long a group takes to form again.
         pub form: Span,
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,9 +1,12 @@
-//! Decisions about whole configurations: which requests go where, and on whose behalf.
+//! Routing documents: which services a request may go to, and which workspace it belongs to.
 //!
-//! - [`document`]: a numbered configuration as operators send it, whole.
-//! - [`engine`]: what a service's model engine is said to be like.
-//! - [`check`](mod@check): every fault of a document.
-//! - [`table`]: finds the route and the workspace of a request, without scanning.
+//! An operator sends a whole document with a version number. The crate checks it, and indexes it
+//! for the lookup of requests.
+//!
+//! - [`document`]: the document that operators send.
+//! - [`engine`]: the published properties of a service's model engine.
+//! - [`check`](mod@check): finds every fault of a document.
+//! - [`table`]: finds the route and the workspace of a request by hash lookups.
 
 pub mod check;
 pub mod document;
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -1,4 +1,4 @@
-//! Finds the route and the workspace of a request, without scanning.
+//! Finds the route and the workspace of a request by hash lookups.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,49 +7,52 @@
 
 use crate::document::{CallerLimits, Document, Route, Service, Workspace};
 
-/// A document, indexed.
+/// An indexed document.
 ///
-/// Lookup cost: one hash look-up for each slash of a path, whatever the number of routes.
+/// The lookup of a route costs at most one hash lookup for each slash of the path, however many
+/// routes there are.
 #[derive(Debug, Clone)]
 pub struct Table {
     version: Version,
-    hosts: HashMap<String, HashMap<String, Arc<Route>>>,
+    host_routes: HashMap<String, HashMap<String, Arc<Route>>>,
     keys: HashMap<String, Arc<Workspace>>,
     services: HashMap<ServiceId, Arc<Service>>,
     limits: CallerLimits,
-    closed: bool,
+    key_required: bool,
 }
 
-/// What a request matches.
+/// The route and workspace that match a request.
 #[derive(Debug, Clone)]
 pub struct Match {
-    /// The version that says so.
+    /// The version of the document.
     pub version: Version,
     /// The route.
     pub route: Arc<Route>,
-    /// Who calls; nobody where keys are not asked for.
+    /// The workspace of the request's key, or `None` if no key is required and none is known.
     pub workspace: Option<Arc<Workspace>>,
 }
 
-/// Why a request goes nowhere.
+/// The reason why a request is denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denied {
-    /// No route has its host and a prefix of its path.
+    /// No route has the request's host and a prefix of its path.
     NoRoute,
-    /// It has no key, or one that no workspace holds.
+    /// The request has no key, or one that no workspace has.
     NoKey,
 }
 
 impl Table {
     /// Indexes a document.
     pub fn new(document: Document) -> Self {
-        let mut hosts: HashMap<String, HashMap<String, Arc<Route>>> = HashMap::new();
+        let mut host_routes: HashMap<String, HashMap<String, Arc<Route>>> = HashMap::new();
         for route in document.routes {
-            let prefixes = hosts.entry(route.host.to_ascii_lowercase()).or_default();
+            let prefixes = host_routes
+                .entry(route.host.to_ascii_lowercase())
+                .or_default();
             prefixes.insert(route.prefix.clone(), Arc::new(route));
         }
         let mut keys = HashMap::new();
-        let closed = !document.workspaces.is_empty();
+        let key_required = !document.workspaces.is_empty();
         for workspace in document.workspaces.into_iter().map(Arc::new) {
             for key in &workspace.keys {
                 keys.insert(key.clone(), Arc::clone(&workspace));
@@ -58,39 +61,39 @@
         let services = document.services.into_iter();
         Self {
             version: document.version,
-            hosts,
+            host_routes,
             keys,
             services: services.map(|s| (s.name.clone(), Arc::new(s))).collect(),
             limits: document.limits,
-            closed,
+            key_required,
         }
     }
 
-    /// The document's number.
+    /// Returns the document's version.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// What callers may send.
+    /// Returns the limits on what callers may send.
     pub fn limits(&self) -> &CallerLimits {
         &self.limits
     }
 
-    /// A service by name.
+    /// Returns a service by name.
     pub fn service(&self, name: &ServiceId) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Iterates over all services.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
-    /// What a request with this host, path and key matches.
+    /// Returns the match of a request with this host, path and key.
     pub fn find(&self, host: &str, path: &str, key: Option<&str>) -> Result<Match, Denied> {
         let route = self.route(host, path).ok_or(Denied::NoRoute)?;
         let workspace = key.and_then(|k| self.keys.get(k));
-        if self.closed && !route.public && workspace.is_none() {
+        if self.key_required && !route.public && workspace.is_none() {
             return Err(Denied::NoKey);
         }
         Ok(Match {
@@ -100,12 +103,14 @@
         })
     }
 
-    /// The route with the longest prefix of a path: tried from its last slash to its first.
+    /// Returns the route with the longest prefix of a path.
+    ///
+    /// The prefixes are tried from the last slash of the path to the first.
     fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.split(':').next().unwrap_or(host);
-        let prefixes = match self.hosts.get(host) {
+        let prefixes = match self.host_routes.get(host) {
             Some(prefixes) => prefixes,
-            None => self.hosts.get(&host.to_ascii_lowercase())?,
+            None => self.host_routes.get(&host.to_ascii_lowercase())?,
         };
         let path = path.split('?').next().unwrap_or(path);
         let mut ends = path.rmatch_indices('/').map(|(at, _)| at + 1);
