--- a/crates/settings/src/agent.rs
+++ b/crates/settings/src/agent.rs
@@ -5,28 +5,28 @@
 use snipemast_core::data;
 use snipemast_core::prelude::*;
 
-use crate::address::{doubled, peers, told};
+use crate::address::{check_peers, check_reachable, duplicate_addresses};
 use crate::check::Settings;
 use crate::entry::EntryLimits;
 use crate::fault::{Fault, FaultKind};
 
 data! {
-    /// What one agent needs to know before it starts.
+    /// The settings of one agent.
     #[serde(deny_unknown_fields)]
     pub struct AgentSettings {
         /// The host's name.
         pub host: HostId,
-        /// Its availability zone.
+        /// The host's availability zone.
         pub zone: ZoneId,
-        /// Its region.
+        /// The host's region.
         pub region: RegionId,
-        /// Where the system's own processes connect.
+        /// The address at which the system's other processes connect.
         pub own: SocketAddr,
-        /// Where the backend server listens.
+        /// The address at which the backend server listens.
         pub server: SocketAddr,
-        /// The `own` addresses of a few entry hosts of the zone.
+        /// The `own` addresses of some entry hosts of the zone.
         pub seeds: Vec<SocketAddr>,
-        /// Where metrics are sent, by statsd over UDP.
+        /// The address to which metrics are sent, by statsd over UDP.
         #[serde(default)]
         pub statsd: Option<SocketAddr>,
         /// Bounds and timeouts.
@@ -37,23 +37,23 @@
     /// Bounds and timeouts of an agent.
     #[serde(deny_unknown_fields, default)]
     pub struct AgentLimits {
-        /// How often the agent announces itself.
+        /// The interval at which the agent announces itself.
         pub announce: Span,
-        /// How often it reads the backend server's load.
+        /// The interval at which the agent reads the backend server's load.
         pub report: Span,
-        /// How often it sends a beat while the backend server is silent.
+        /// The interval at which the agent sends heartbeats while the backend server is silent.
         pub beat: Span,
         /// How long a shutdown waits for dispatches in flight.
         pub shutdown: Span,
-        /// How many dispatches the ledger remembers.
+        /// The number of dispatches that the ledger keeps.
         pub ledger: u32,
-        /// How many bytes of answers are kept for resuming.
+        /// The size of the answers that are kept so that they can be resumed.
         pub answers: Size,
-        /// How many events the ring keeps.
+        /// The number of events that are kept in memory.
         pub events: u32,
-        /// How many threads run the process's tasks; 0 for one a core.
+        /// The number of threads that run the process's tasks, or 0 for one per core.
         pub threads: u32,
-        /// How much is logged: `info`, or `debug` for the events of single requests too.
+        /// The log level: `info`, or `debug` to log the events of single requests too.
         pub log: LogLevel,
     }
 }
@@ -85,10 +85,11 @@
 "#;
 
     fn conflicts(&self) -> Vec<Fault> {
-        let mut faults = doubled([("own", Some(self.own)), ("server", Some(self.server))]);
-        faults.extend(told("own", self.own));
-        faults.extend(told("server", self.server));
-        faults.extend(peers("seeds", &self.seeds));
+        let mut faults =
+            duplicate_addresses([("own", Some(self.own)), ("server", Some(self.server))]);
+        faults.extend(check_reachable("own", self.own));
+        faults.extend(check_reachable("server", self.server));
+        faults.extend(check_peers("seeds", &self.seeds));
         if self.seeds.is_empty() {
             let kind = FaultKind::TooSmall("1".into(), "the agent would announce itself to nobody");
             faults.push(Fault::new("seeds", kind));
@@ -109,17 +110,21 @@
         ] {
             if span == Span::default() {
                 let least = Span::from_millis(1);
-                faults.push(Fault::below(key, least, "it would never rest"));
+                faults.push(Fault::below(
+                    key,
+                    least,
+                    "the agent would repeat it without a pause",
+                ));
             }
         }
         let most = Span::from_micros(entry.lease.as_micros() / 2);
         if self.announce > most {
-            let why = "the lease of entry hosts runs out where one word is lost";
+            let why = "the lease at entry hosts would expire if one announcement were lost";
             faults.push(Fault::above("limits.announce", most, why));
         }
         let most = Span::from_micros(entry.silence.as_micros() / 2);
         if self.beat > most {
-            let why = "entry hosts count a connection without beats as dead";
+            let why = "entry hosts count a connection without heartbeats as dead";
             faults.push(Fault::above("limits.beat", most, why));
         }
         for (key, count) in [
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,34 +1,40 @@
 //! Finds every fault of a settings text.
+//!
+//! A derived `Deserialize` stops at the first fault. The search therefore reads each value on its
+//! own first. It then removes the faulty values, fills in what is missing from a sample, and checks
+//! the remaining values against each other.
 
 use serde::de::DeserializeOwned;
 use toml::de::DeTable;
 
 use crate::fault::{Fault, FaultKind};
-use crate::node::{dotted, line_of, Node, Path, Step};
+use crate::node::{format_path, line_at, Node, Path, Step};
 use crate::probe::{read, Hindered};
 
 /// Settings that can be checked.
 pub trait Settings: DeserializeOwned {
-    /// A text without faults that has every key which must be there.
+    /// A text without faults that has all required keys.
     ///
     /// What a faulty text lacks is filled in from it, so that the search can go on.
     const SAMPLE: &'static str;
 
-    /// Faults between values that are fine by themselves; their lines are not known yet.
+    /// Returns the faults between values that are valid by themselves. Their lines are not known
+    /// yet.
     fn conflicts(&self) -> Vec<Fault>;
 }
 
-/// Reads settings, or finds every fault of the text.
+/// Reads settings, or returns every fault of the text.
 pub fn check<T: Settings>(text: &str) -> Result<T, Vec<Fault>> {
     let (table, errors) = DeTable::parse_recoverable(text);
     if !errors.is_empty() {
-        return Err(errors.iter().map(|e| syntax(text, e)).collect());
+        return Err(errors.iter().map(|e| syntax_fault(text, e)).collect());
     }
     Search::<T>::new(Node::root(text, table.get_ref())).run()
 }
 
-fn syntax(text: &str, error: &toml::de::Error) -> Fault {
-    let line = line_of(text, error.span().map_or(0, |span| span.start));
+/// Returns the fault of a syntax error.
+fn syntax_fault(text: &str, error: &toml::de::Error) -> Fault {
+    let line = line_at(text, error.span().map_or(0, |span| span.start));
     let kind = FaultKind::Syntax(error.message().into());
     Fault {
         line,
@@ -36,14 +42,15 @@
     }
 }
 
-/// A search under way: the tree loses its faulty values and gains what it lacks.
+/// A search for faults. It works on a copy of the text's tree, which loses its faulty values and
+/// gets the missing ones.
 struct Search<T> {
     text: Node,
     tree: Node,
     faults: Vec<Fault>,
     replaced: Vec<String>,
     sample: Node,
-    kind: std::marker::PhantomData<T>,
+    marker: std::marker::PhantomData<T>,
 }
 
 impl<T: Settings> Search<T> {
@@ -55,27 +62,27 @@
             faults: Vec::new(),
             replaced: Vec::new(),
             sample: Node::root(T::SAMPLE, sample.get_ref()),
-            kind: std::marker::PhantomData,
+            marker: std::marker::PhantomData,
         }
     }
 
     fn run(mut self) -> Result<T, Vec<Fault>> {
-        let mut wrong: Vec<Path> = Vec::new();
+        let mut invalid: Vec<Path> = Vec::new();
         for leaf in self.text.leaves() {
-            if let Some(path) = self.probe(&leaf) {
-                if !wrong.contains(&path) {
-                    wrong.push(path);
+            if let Some(path) = self.check_leaf(&leaf) {
+                if !invalid.contains(&path) {
+                    invalid.push(path);
                 }
             }
         }
-        // Later places first, so that the earlier ones keep their numbers.
-        for path in wrong.iter().rev() {
-            self.replaced.push(dotted(path));
+        // Later items are removed first, so that the earlier ones keep their indexes.
+        for path in invalid.iter().rev() {
+            self.replaced.push(format_path(path));
             self.tree.remove(path);
         }
-        let settings = self.fill();
+        let settings = self.fill_missing();
         if let Some(settings) = &settings {
-            self.cross(settings);
+            self.check_conflicts(settings);
         }
         match settings {
             Some(settings) if self.faults.is_empty() => Ok(settings),
@@ -86,18 +93,18 @@
         }
     }
 
-    /// Reads one value alone; the path of what is wrong on the way to it.
-    fn probe(&mut self, leaf: &Path) -> Option<Path> {
-        let hindrance = read::<T>(&self.text.only(leaf)).err()?;
-        let mut path = restored(hindrance.path(), leaf);
-        let kind = match hindrance.kind {
-            // The others were left out on purpose.
+    /// Reads a single value, and returns the path of the faulty key or value if there is one.
+    fn check_leaf(&mut self, leaf: &Path) -> Option<Path> {
+        let error = read::<T>(&self.text.restricted_to(leaf)).err()?;
+        let mut path = full_path(error.path(), leaf);
+        let kind = match error.kind {
+            // Other keys are missing because only this one was kept.
             Hindered::Missing(_) => return None,
             Hindered::Unknown { key, expected } => {
                 path.push(Step::Key(key));
                 FaultKind::Unknown(expected)
             }
-            Hindered::Wrong(why) => FaultKind::Wrong(explained(why)),
+            Hindered::Wrong(why) => FaultKind::Invalid(explain(why)),
         };
         let fault = self.fault(&path, kind);
         if !self.faults.contains(&fault) {
@@ -106,66 +113,69 @@
         Some(path)
     }
 
-    /// Names what is missing, and fills it in, until the settings can be read.
-    fn fill(&mut self) -> Option<T> {
+    /// Reads the settings. Each missing key becomes a fault and is filled in from the sample.
+    fn fill_missing(&mut self) -> Option<T> {
         loop {
-            let hindrance = match read::<T>(&self.tree) {
+            let error = match read::<T>(&self.tree) {
                 Ok(settings) => return Some(settings),
-                Err(hindrance) => hindrance,
+                Err(error) => error,
             };
-            let Hindered::Missing(key) = hindrance.kind else {
+            let Hindered::Missing(key) = error.kind else {
                 return None;
             };
-            let above = hindrance.path();
+            let above = error.path();
             let mut path = above.clone();
             path.push(Step::Key(key.into()));
-            if self.text.at(&path).is_none() {
+            if self.text.lookup(&path).is_none() {
                 let fault = self.fault(&path, FaultKind::Missing);
                 self.faults.push(fault);
             }
-            self.replaced.push(dotted(&path));
-            let filled = self.sample.at(&path)?.clone();
+            self.replaced.push(format_path(&path));
+            let filled = self.sample.lookup(&path)?.clone();
             self.tree.insert(&above, key, filled);
         }
     }
 
-    /// Conflicts between values, but for those that were filled in.
-    fn cross(&mut self, settings: &T) {
+    /// Adds the conflicts between values, except those with values that were filled in or removed.
+    fn check_conflicts(&mut self, settings: &T) {
         for fault in settings.conflicts() {
-            let path = parsed(&fault.key);
+            let path = parse_path(&fault.key);
             let replaced = self
                 .replaced
                 .iter()
                 .any(|r| fault.key.starts_with(r.as_str()));
-            let about = |other: &String| self.replaced.contains(other);
-            let doubled = matches!(&fault.kind, FaultKind::Doubled(other) if about(other));
-            if !replaced && !doubled {
+            let in_replaced = |other: &String| self.replaced.contains(other);
+            let duplicate =
+                matches!(&fault.kind, FaultKind::Duplicate(other) if in_replaced(other));
+            if !replaced && !duplicate {
                 let fault = self.fault(&path, fault.kind);
                 self.faults.push(fault);
             }
         }
     }
 
-    /// A fault with the line of its value, or of the nearest table around it.
+    /// Creates a fault with the line of its value, or of the innermost table around it.
     fn fault(&self, path: &[Step], kind: FaultKind) -> Fault {
         let nearest = (0..=path.len())
             .rev()
-            .find_map(|n| self.text.at(&path[..n]));
+            .find_map(|n| self.text.lookup(&path[..n]));
         Fault {
-            key: dotted(path),
+            key: format_path(path),
             line: nearest.map_or(1, |node| node.line),
             kind,
         }
     }
 }
 
-/// The path in the whole text: a list that was cut to one value counts from 0.
-fn restored(path: Path, leaf: &Path) -> Path {
+/// Returns the path in the whole text.
+///
+/// The path in a tree with a single value differs, because the value's index in a list is 0.
+fn full_path(path: Path, leaf: &Path) -> Path {
     leaf.iter().take(path.len()).cloned().collect()
 }
 
-/// The words of the standard library, with what would have been accepted.
-fn explained(why: String) -> String {
+/// Returns a reason with what is expected, if the reason alone doesn't say it.
+fn explain(why: String) -> String {
     if why.contains("invalid socket address") {
         format!("{why}; expected an IP number and a port, like \"10.0.0.1:7001\"")
     } else {
@@ -173,14 +183,14 @@
     }
 }
 
-/// The path of a key that is written with dots and places.
-fn parsed(key: &str) -> Path {
+/// Parses a path that is written with dots and indexes.
+fn parse_path(key: &str) -> Path {
     let mut path = Vec::new();
     for part in key.split('.') {
-        let (name, places) = part.split_once('[').unwrap_or((part, ""));
+        let (name, suffix) = part.split_once('[').unwrap_or((part, ""));
         path.push(Step::Key(name.into()));
-        if let Ok(place) = places.trim_end_matches(']').parse() {
-            path.push(Step::Place(place));
+        if let Ok(index) = suffix.trim_end_matches(']').parse() {
+            path.push(Step::Index(index));
         }
     }
     path
--- a/crates/settings/src/decisions.rs
+++ b/crates/settings/src/decisions.rs
@@ -1,4 +1,4 @@
-//! Which way a gateway takes each decision that has several.
+//! The policies by which a gateway decides.
 
 use snipemast_core::data;
 use snipemast_placement::pick::PickPolicy;
@@ -8,21 +8,24 @@
 use crate::fault::{Fault, FaultKind};
 
 data! {
-    /// The ways of a gateway's decisions; each default is the way that is best over many kinds of deployments.
+    /// The policies by which a gateway decides. Each default is the best over many kinds of
+    /// deployments.
     #[serde(deny_unknown_fields, default)]
     pub struct Decisions {
-        /// How a server is picked.
+        /// The policy by which a server is picked.
         pub placing: PickPolicy,
-        /// How many polls for what others have in flight the leading controller answers in a second; shared by
-        /// the gateways.
+        /// The number of polls per second for the requests in flight at others that the leading
+        /// controller answers. All gateways share it.
         pub polls: u32,
-        /// Which requests begin first at a server that has more than it runs.
+        /// The order in which requests start at a server that has more than it can run at once.
         pub order: QueueOrder,
-        /// Whether prompts wait while an engine's passes are long for a moment.
+        /// Whether prompts wait while the passes of an engine are temporarily long.
         pub holding: bool,
-        /// How many requests a server may have in flight before it counts as full, in hundredths of its slots.
+        /// The number of requests in flight from which on a server counts as full, in percent of
+        /// its slots.
         pub full: u32,
-        /// The same for requests that are late already, where those that can be on time go first.
+        /// The same bound for requests that are already late, if requests that can still be on time
+        /// go first.
         pub late: u32,
     }
 }
--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -7,38 +7,38 @@
 use snipemast_core::data;
 use snipemast_core::prelude::*;
 
-use crate::address::{doubled, peers, told};
+use crate::address::{check_peers, check_reachable, duplicate_addresses};
 use crate::agent::AgentLimits;
 use crate::check::Settings;
 use crate::fault::{Fault, FaultKind};
 
 data! {
-    /// What one entry host needs to know before it starts.
+    /// The settings of one entry host.
     #[serde(deny_unknown_fields)]
     pub struct EntrySettings {
         /// The host's name.
         pub host: HostId,
-        /// Its availability zone.
+        /// The host's availability zone.
         pub zone: ZoneId,
-        /// Its region.
+        /// The host's region.
         pub region: RegionId,
-        /// Where callers connect.
+        /// The address at which callers connect.
         pub callers: SocketAddr,
-        /// Where the system's own processes connect.
+        /// The address at which the system's other processes connect.
         pub own: SocketAddr,
-        /// Where operators connect; control hosts only need it.
+        /// The address at which operators connect. Only control hosts need it.
         #[serde(default)]
         pub operators: Option<SocketAddr>,
-        /// The `own` addresses of a few other entry hosts.
+        /// The `own` addresses of some other entry hosts.
         #[serde(default)]
         pub seeds: Vec<SocketAddr>,
-        /// The control role, on the few hosts that have it.
+        /// The settings of the control role, on the few hosts that have it.
         #[serde(default)]
         pub control: Option<ControlSettings>,
-        /// Where the local copy of the configuration is kept, on hosts with a disk.
+        /// The folder of the local copy of the configuration, on hosts with a disk.
         #[serde(default)]
         pub data: Option<PathBuf>,
-        /// Where metrics are sent, by statsd over UDP.
+        /// The address to which metrics are sent, by statsd over UDP.
         #[serde(default)]
         pub statsd: Option<SocketAddr>,
         /// Bounds and timeouts.
@@ -46,20 +46,20 @@
         pub limits: EntryLimits,
     }
 
-    /// The control role of a host.
+    /// The settings of a host's control role.
     #[serde(deny_unknown_fields)]
     pub struct ControlSettings {
         /// The folder of the replicated log.
         #[serde(default)]
         pub data: Option<PathBuf>,
-        /// Keeps the log of a single voter in memory instead: it forgets every patch at its
-        /// end, which only a demonstration may.
+        /// Whether the log of a single voter is kept in memory instead. All patches are lost when
+        /// the process ends, so that this is only for demonstrations.
         #[serde(default)]
         pub forgetful: bool,
-        /// The `own` addresses of every voter at the first start.
+        /// The `own` addresses of all voters at the first start.
         pub voters: Vec<SocketAddr>,
-        /// The hash of the key that may write until the configuration names operators; without
-        /// it nobody may.
+        /// The hash of the key with write access until the configuration names operators. Without
+        /// it, nobody has write access until then.
         #[serde(default)]
         pub operator: Option<KeyHash>,
     }
@@ -69,23 +69,24 @@
     pub struct EntryLimits {
         /// The largest request body.
         pub body: Size,
-        /// The time a request gets where the caller names none.
+        /// The deadline of a request whose caller names none.
         pub deadline: Span,
-        /// How long an agent's lease runs.
+        /// The duration of an agent's lease.
         pub lease: Span,
-        /// How long a key's claim and a request's suspicion are remembered.
+        /// How long the claims of request keys and the suspicions of requests are kept.
         pub hold: Span,
-        /// How long a leaving host still takes requests, so that the balancer hears of it first.
+        /// How long a host that is leaving still accepts requests, so that the load balancer in
+        /// front of it learns of that first.
         pub notice: Span,
         /// How long a shutdown waits for requests in flight.
         pub shutdown: Span,
         /// How long a connection may be silent before it counts as dead.
         pub silence: Span,
-        /// How many events the ring keeps.
+        /// The number of events that are kept in memory.
         pub events: u32,
-        /// How many threads run the process's tasks; 0 for one a core.
+        /// The number of threads that run the process's tasks, or 0 for one per core.
         pub threads: u32,
-        /// How much is logged: `info`, or `debug` for the events of single requests too.
+        /// The log level: `info`, or `debug` to log the events of single requests too.
         pub log: LogLevel,
     }
 }
@@ -121,17 +122,17 @@
 "#;
 
     fn conflicts(&self) -> Vec<Fault> {
-        let own = [
+        let addresses = [
             ("callers", Some(self.callers)),
             ("own", Some(self.own)),
             ("operators", self.operators),
         ];
-        let mut faults = doubled(own);
-        faults.extend(told("own", self.own));
-        faults.extend(peers("seeds", &self.seeds));
-        if let Some(place) = self.seeds.iter().position(|seed| *seed == self.own) {
-            let kind = FaultKind::Doubled("own".into());
-            faults.push(Fault::new(format!("seeds[{place}]"), kind));
+        let mut faults = duplicate_addresses(addresses);
+        faults.extend(check_reachable("own", self.own));
+        faults.extend(check_peers("seeds", &self.seeds));
+        if let Some(index) = self.seeds.iter().position(|seed| *seed == self.own) {
+            let kind = FaultKind::Duplicate("own".into());
+            faults.push(Fault::new(format!("seeds[{index}]"), kind));
         }
         if let Some(control) = &self.control {
             faults.extend(control.conflicts(self.own));
@@ -145,17 +146,17 @@
 
 impl ControlSettings {
     fn conflicts(&self, own: SocketAddr) -> Vec<Fault> {
-        let mut faults = peers("control.voters", &self.voters);
+        let mut faults = check_peers("control.voters", &self.voters);
         if self.data.is_none() && !self.forgetful {
             faults.push(Fault::new("control.data", FaultKind::Missing));
         }
         if self.forgetful && self.voters.len() > 1 {
-            let why = "voters that forget could elect two leaders";
+            let why = "voters that forget their log could elect two leaders";
             let kind = FaultKind::TooLarge("1".into(), why);
             faults.push(Fault::new("control.voters", kind));
         }
         if self.voters.len().is_multiple_of(2) {
-            let kind = FaultKind::Even(self.voters.len());
+            let kind = FaultKind::EvenVoters(self.voters.len());
             faults.push(Fault::new("control.voters", kind));
         }
         if !self.voters.is_empty() && !self.voters.contains(&own) {
@@ -171,12 +172,12 @@
         let mut faults = Vec::new();
         let least = agent.announce.times(2);
         if self.lease < least {
-            let why = "agents announce themselves each second, and one word may be lost";
+            let why = "agents announce themselves each second, and one announcement may be lost";
             faults.push(Fault::below("limits.lease", least, why));
         }
         let least = agent.beat.times(2);
         if self.silence < least {
-            let why = "agents send a beat each half second while a server thinks";
+            let why = "agents send a heartbeat each half second while a server is silent";
             faults.push(Fault::below("limits.silence", least, why));
         }
         if self.deadline < self.silence {
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a settings file, each with its key and line.
+//! The faults of a settings file, each with its key and line.
 
 use std::fmt;
 
@@ -7,9 +7,9 @@
 /// One fault of a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// The key, dotted from the file's root; empty where the text is not TOML.
+    /// The dotted path of the key, or an empty text if the file is not TOML.
     pub key: String,
-    /// The line, from 1.
+    /// The line, counted from 1.
     pub line: usize,
     /// What is wrong.
     pub kind: FaultKind,
@@ -20,28 +20,28 @@
 pub enum FaultKind {
     /// The text is not TOML.
     Syntax(String),
-    /// Nothing asks for this key; these keys could stand here.
+    /// There is no such key. The keys that are allowed here are listed.
     Unknown(Vec<String>),
-    /// The key must be there.
+    /// A required key is missing.
     Missing,
-    /// The value does not fit the key.
-    Wrong(String),
-    /// The same value stands at another key, and must not.
-    Doubled(String),
+    /// The value is not valid for the key.
+    Invalid(String),
+    /// The value must differ from that of another key, which is named.
+    Duplicate(String),
     /// Other processes can't connect to this address.
     Unreachable,
-    /// The value is below this bound.
+    /// The value is below a bound, for a reason.
     TooSmall(String, &'static str),
-    /// The value is above this bound.
+    /// The value is above a bound, for a reason.
     TooLarge(String, &'static str),
-    /// A number of voters that is not odd, so that one more costs safety nothing.
-    Even(usize),
+    /// The number of voters is even. The last voter adds no fault tolerance then.
+    EvenVoters(usize),
     /// The host's own address is not among the voters.
     NotVoter,
 }
 
 impl Fault {
-    /// A fault whose line is not known yet.
+    /// Creates a fault whose line is not known yet.
     pub fn new(key: impl Into<String>, kind: FaultKind) -> Self {
         Self {
             key: key.into(),
@@ -50,14 +50,14 @@
         }
     }
 
-    /// A fault of a span that is below its bound.
-    pub fn below(key: &str, least: Span, why: &'static str) -> Self {
-        Self::new(key, FaultKind::TooSmall(least.to_string(), why))
+    /// Creates a fault of a span that is below its bound.
+    pub fn below(key: &str, min_value: Span, why: &'static str) -> Self {
+        Self::new(key, FaultKind::TooSmall(min_value.to_string(), why))
     }
 
-    /// A fault of a span that is above its bound.
-    pub fn above(key: &str, most: Span, why: &'static str) -> Self {
-        Self::new(key, FaultKind::TooLarge(most.to_string(), why))
+    /// Creates a fault of a span that is above its bound.
+    pub fn above(key: &str, max_value: Span, why: &'static str) -> Self {
+        Self::new(key, FaultKind::TooLarge(max_value.to_string(), why))
     }
 }
 
@@ -79,12 +79,12 @@
                 write!(f, "unknown key; known here: {}", expected.join(", "))
             }
             Self::Missing => f.write_str("missing"),
-            Self::Wrong(why) => f.write_str(why),
-            Self::Doubled(other) => write!(f, "the same as {other}"),
+            Self::Invalid(why) => f.write_str(why),
+            Self::Duplicate(other) => write!(f, "the same as {other}"),
             Self::Unreachable => f.write_str("no other process can connect to this address"),
-            Self::TooSmall(least, why) => write!(f, "below {least}: {why}"),
-            Self::TooLarge(most, why) => write!(f, "above {most}: {why}"),
-            Self::Even(count) => write!(f, "{count} voters; an odd number is needed"),
+            Self::TooSmall(min_value, why) => write!(f, "below {min_value}: {why}"),
+            Self::TooLarge(max_value, why) => write!(f, "above {max_value}: {why}"),
+            Self::EvenVoters(count) => write!(f, "{count} voters; an odd number is needed"),
             Self::NotVoter => f.write_str("the host's own address is not among the voters"),
         }
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,9 @@
-//! Settings files of both binaries, in TOML, checked before anything starts.
+//! The settings files of both binaries, which are written in TOML and checked before anything
+//! starts.
 //!
 //! - [`entry`]: the settings of `snipemast serve`.
 //! - [`agent`]: the settings of `snipemast-agent`.
-//! - [`decisions`]: which way a gateway takes each decision that has several.
+//! - [`decisions`]: the policies by which a gateway decides.
 //! - [`check`]: finds every fault of a settings text.
 //! - [`fault`]: the faults, each with its key and line.
 
@@ -29,12 +30,12 @@
 /// The result of reading settings.
 pub type Result<T> = std::result::Result<T, Report<SettingsError>>;
 
-/// A settings file that can't be used.
+/// A reason why a settings file can't be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SettingsError {
     /// The file can't be read.
     Unreadable(PathBuf),
-    /// The text has these faults.
+    /// The text has faults.
     Faulty(Vec<Fault>),
 }
 
--- a/crates/settings/src/probe.rs
+++ b/crates/settings/src/probe.rs
@@ -1,6 +1,6 @@
-//! Reads a tree into a type and says, typed and with the path, what stood in the way.
+//! Reads a tree into a type, and reports the kind and path of an error.
 //!
-//! The types' own `Deserialize` is what is asked, so that a new field needs no second description.
+//! This uses the type's own `Deserialize`, so that a new field needs no second description.
 
 use std::fmt;
 
@@ -12,32 +12,32 @@
 
 use crate::node::{Node, Path, Step, Value};
 
-/// Reads the tree, or says what stood in the way first.
-pub(crate) fn read<T: DeserializeOwned>(node: &Node) -> Result<T, Hindrance> {
-    T::deserialize(Probe { node })
+/// Reads a tree, or returns the first error.
+pub(crate) fn read<T: DeserializeOwned>(node: &Node) -> Result<T, ReadError> {
+    T::deserialize(NodeDeserializer { node })
 }
 
-/// What stood in the way, and where.
+/// An error and its path.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Hindrance {
-    /// The steps to the value, innermost first while it travels outwards.
+pub(crate) struct ReadError {
+    /// The steps to the value, the innermost first, as each level adds its own to the end.
     steps: Path,
     pub(crate) kind: Hindered,
 }
 
-/// What stood in the way.
+/// The kind of an error.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Hindered {
-    /// A key that nothing asks for.
+    /// There is no such key.
     Unknown { key: String, expected: Vec<String> },
-    /// A key that must be there.
+    /// A required key is missing.
     Missing(&'static str),
-    /// A value that does not fit its key.
+    /// The value is not valid for its key.
     Wrong(String),
 }
 
-impl Hindrance {
-    /// The path from the root to the value or table that it is about.
+impl ReadError {
+    /// Returns the path from the root to the value or table with the error.
     pub(crate) fn path(&self) -> Path {
         self.steps.iter().rev().cloned().collect()
     }
@@ -49,21 +49,22 @@
         }
     }
 
+    /// Adds a step outside of the current path.
     fn within(mut self, step: Step) -> Self {
         self.steps.push(step);
         self
     }
 }
 
-impl fmt::Display for Hindrance {
+impl fmt::Display for ReadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:?}", self.kind)
     }
 }
 
-impl std::error::Error for Hindrance {}
+impl std::error::Error for ReadError {}
 
-impl serde::de::Error for Hindrance {
+impl serde::de::Error for ReadError {
     fn custom<T: fmt::Display>(why: T) -> Self {
         Self::new(Hindered::Wrong(why.to_string()))
     }
@@ -81,28 +82,29 @@
     }
 }
 
-struct Probe<'a> {
+/// A deserializer of a node.
+struct NodeDeserializer<'a> {
     node: &'a Node,
 }
 
-impl<'a, 'de> Deserializer<'de> for Probe<'a> {
-    type Error = Hindrance;
+impl<'a, 'de> Deserializer<'de> for NodeDeserializer<'a> {
+    type Error = ReadError;
 
-    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Hindrance> {
+    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ReadError> {
         match &self.node.value {
             Value::Text(text) => visitor.visit_str(text),
-            Value::Whole(n) => visitor.visit_i64(*n),
-            Value::Real(n) => visitor.visit_f64(*n),
-            Value::Truth(b) => visitor.visit_bool(*b),
-            Value::Other(text) => Err(Hindrance::new(Hindered::Wrong(format!(
-                "no setting takes {text}"
+            Value::Integer(n) => visitor.visit_i64(*n),
+            Value::Float(n) => visitor.visit_f64(*n),
+            Value::Boolean(b) => visitor.visit_bool(*b),
+            Value::Unsupported(text) => Err(ReadError::new(Hindered::Wrong(format!(
+                "{text} is valid for no setting"
             )))),
-            Value::List(items) => visitor.visit_seq(Items { items, next: 0 }),
-            Value::Table(entries) => visitor.visit_map(Entries { entries, next: 0 }),
+            Value::List(items) => visitor.visit_seq(ListAccess { items, next: 0 }),
+            Value::Table(entries) => visitor.visit_map(TableAccess { entries, next: 0 }),
         }
     }
 
-    fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Hindrance> {
+    fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ReadError> {
         visitor.visit_some(self)
     }
 
@@ -110,7 +112,7 @@
         self,
         _name: &'static str,
         visitor: V,
-    ) -> Result<V::Value, Hindrance> {
+    ) -> Result<V::Value, ReadError> {
         visitor.visit_newtype_struct(self)
     }
 
@@ -119,10 +121,10 @@
         name: &'static str,
         variants: &'static [&'static str],
         visitor: V,
-    ) -> Result<V::Value, Hindrance> {
+    ) -> Result<V::Value, ReadError> {
         match &self.node.value {
             Value::Text(text) => {
-                let text: StrDeserializer<'_, Hindrance> = text.as_str().into_deserializer();
+                let text: StrDeserializer<'_, ReadError> = text.as_str().into_deserializer();
                 text.deserialize_enum(name, variants, visitor)
             }
             _ => self.deserialize_any(visitor),
@@ -135,52 +137,54 @@
     }
 }
 
-struct Items<'a> {
+/// The remaining items of a list.
+struct ListAccess<'a> {
     items: &'a [Node],
     next: usize,
 }
 
-impl<'a, 'de> SeqAccess<'de> for Items<'a> {
-    type Error = Hindrance;
+impl<'a, 'de> SeqAccess<'de> for ListAccess<'a> {
+    type Error = ReadError;
 
     fn next_element_seed<T: DeserializeSeed<'de>>(
         &mut self,
         seed: T,
-    ) -> Result<Option<T::Value>, Hindrance> {
+    ) -> Result<Option<T::Value>, ReadError> {
         let Some(node) = self.items.get(self.next) else {
             return Ok(None);
         };
-        let step = Step::Place(self.next);
+        let step = Step::Index(self.next);
         self.next += 1;
-        seed.deserialize(Probe { node })
+        seed.deserialize(NodeDeserializer { node })
             .map(Some)
             .map_err(|e| e.within(step))
     }
 }
 
-struct Entries<'a> {
+/// The remaining entries of a table.
+struct TableAccess<'a> {
     entries: &'a [(String, Node)],
     next: usize,
 }
 
-impl<'a, 'de> MapAccess<'de> for Entries<'a> {
-    type Error = Hindrance;
+impl<'a, 'de> MapAccess<'de> for TableAccess<'a> {
+    type Error = ReadError;
 
     fn next_key_seed<K: DeserializeSeed<'de>>(
         &mut self,
         seed: K,
-    ) -> Result<Option<K::Value>, Hindrance> {
+    ) -> Result<Option<K::Value>, ReadError> {
         let Some((key, _)) = self.entries.get(self.next) else {
             return Ok(None);
         };
-        let key: StrDeserializer<'_, Hindrance> = key.as_str().into_deserializer();
+        let key: StrDeserializer<'_, ReadError> = key.as_str().into_deserializer();
         seed.deserialize(key).map(Some)
     }
 
-    fn next_value_seed<V: DeserializeSeed<'de>>(&mut self, seed: V) -> Result<V::Value, Hindrance> {
+    fn next_value_seed<V: DeserializeSeed<'de>>(&mut self, seed: V) -> Result<V::Value, ReadError> {
         let (key, node) = &self.entries[self.next];
         self.next += 1;
-        seed.deserialize(Probe { node })
+        seed.deserialize(NodeDeserializer { node })
             .map_err(|e| e.within(Step::Key(key.clone())))
     }
 }
