--- a/crates/settings/tests/decisions.rs
+++ b/crates/settings/tests/decisions.rs
@@ -1,9 +1,9 @@
-//! The file that says which way decisions are taken.
+//! The settings file for the decisions of a gateway.
 
 use snipemast_placement::pick::PickPolicy;
 use snipemast_settings::{parse, Decisions};
 
-/// An operator leaves a file empty, or names one decision: the others go the usual way.
+/// A file that names only some policies, or none, must leave the others at their defaults.
 #[test]
 fn defaults_kept() {
     assert_eq!(parse::<Decisions>("").unwrap(), Decisions::default());
@@ -12,13 +12,13 @@
     assert_eq!(named.polls, Decisions::default().polls);
 }
 
-/// An operator mistypes a way, a key and a number, and is told of each with its line.
+/// An operator who mistypes a policy, a key and numbers must learn of every fault at once.
 #[test]
 fn faults_named() {
     let faulty = "placing = \"leest\"\nholdin = true\npolls = 0\nfull = 50\n";
     let report = parse::<Decisions>(faulty).unwrap_err();
-    let said = report.current_context().to_string();
-    for place in ["placing", "holdin", "polls", "full"] {
-        assert!(said.contains(place), "{said}");
+    let message = report.current_context().to_string();
+    for key in ["placing", "holdin", "polls", "full"] {
+        assert!(message.contains(key), "{message}");
     }
 }
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Every fault of a settings file is named, each with its key and line.
+//! Every fault of a settings file is reported with its key and line.
 
 use quickcheck::{Gen, QuickCheck};
 
@@ -6,31 +6,34 @@
 use snipemast_settings::check::check;
 use snipemast_settings::{AgentSettings, EntrySettings, Settings};
 
-/// The faults of an entry's settings, as `check` prints them.
+/// Returns the faults of an entry host's settings, as `check` prints them.
 fn entry_faults(text: &str) -> Vec<String> {
     let faults = check::<EntrySettings>(text).expect_err("the text is faulty");
     faults.iter().map(ToString::to_string).collect()
 }
 
+/// Returns the faults of an agent's settings, as `check` prints them.
 fn agent_faults(text: &str) -> Vec<String> {
     let faults = check::<AgentSettings>(text).expect_err("the text is faulty");
     faults.iter().map(ToString::to_string).collect()
 }
 
-/// Whether a fault stands at this line and key.
-fn names(faults: &[String], line: usize, key: &str) -> bool {
+/// Whether there is a fault at a line and key.
+fn has_fault(faults: &[String], line: usize, key: &str) -> bool {
     let start = format!("line {line}: {key}: ");
     faults.iter().any(|f| f.starts_with(&start))
 }
 
+/// The search for faults fills in missing values from the samples, which must have no faults
+/// themselves.
 #[test]
 fn samples_pass() {
     assert!(check::<EntrySettings>(EntrySettings::SAMPLE).is_ok());
     assert!(check::<AgentSettings>(AgentSettings::SAMPLE).is_ok());
 }
 
-// An operator mends one fault a start, six starts long. A reader that stops at the first fault
-// shows the others only after it was mended.
+/// A reader that stops at the first fault would make an operator fix the file fault by fault, with
+/// one start of the process each.
 #[test]
 fn every_fault() {
     let faults = entry_faults(
@@ -59,11 +62,12 @@
         (11, "limits.events"),
     ];
     for (line, key) in expected {
-        assert!(names(&faults, line, key), "{key} in {faults:#?}");
+        assert!(has_fault(&faults, line, key), "{key} in {faults:#?}");
     }
     assert_eq!(faults.len(), expected.len(), "{faults:#?}");
 }
 
+/// An unknown table must be one fault, and not one for each of its keys.
 #[test]
 fn unknown_table() {
     let text = format!("{}\n[colours]\nred = 1\nblue = 2\n", AgentSettings::SAMPLE);
@@ -72,21 +76,23 @@
     assert!(faults[0].contains("colours: unknown key; known here: host, zone"));
 }
 
+/// A missing key of a table must be reported at the line of the table.
 #[test]
 fn missing_inside() {
     let text = EntrySettings::SAMPLE.replace("data = \"/var/lib/snipemast/control\"", "");
     let faults = entry_faults(&text);
-    assert!(names(&faults, 8, "control.data"), "{faults:#?}");
+    assert!(has_fault(&faults, 8, "control.data"), "{faults:#?}");
 }
 
+/// A text that is not TOML must be reported with the line of the syntax error.
 #[test]
 fn broken_text() {
     let faults = entry_faults("host = \"a\"\nzone = \n");
     assert!(faults[0].starts_with("line 2: not TOML: "), "{faults:#?}");
 }
 
-// A process starts, and nobody ever reaches it: its own address is one that only it can use, or
-// one that two of its listeners share.
+/// A process could start and never be reached, because its address is one that others can't
+/// connect to, or one that two of its listeners share.
 #[test]
 fn conflicting_addresses() {
     let faults = entry_faults(
@@ -120,46 +126,47 @@
     assert_eq!(faults.len(), starts.len(), "{faults:#?}");
 }
 
-// Servers come and go by themselves. An announcement is lost now and then, and a lease that ends
-// before the next one comes takes a healthy server out.
+/// An announcement can get lost. If the lease ended before the next one arrived, a healthy server
+/// would be removed.
 #[test]
 fn short_lease() {
     let text = format!("{}\n[limits]\nlease = \"1s\"\n", EntrySettings::SAMPLE);
-    assert!(names(&entry_faults(&text), 13, "limits.lease"));
+    assert!(has_fault(&entry_faults(&text), 13, "limits.lease"));
     let text = format!("{}\n[limits]\nhold = \"1s\"\n", EntrySettings::SAMPLE);
-    assert!(names(&entry_faults(&text), 13, "limits.hold"));
+    assert!(has_fault(&entry_faults(&text), 13, "limits.hold"));
     let text = format!(
         "{}\n[limits]\nannounce = \"2s\"\nbeat = \"5s\"\n",
         AgentSettings::SAMPLE
     );
     let faults = agent_faults(&text);
-    assert!(names(&faults, 10, "limits.announce"), "{faults:#?}");
-    assert!(names(&faults, 11, "limits.beat"), "{faults:#?}");
+    assert!(has_fault(&faults, 10, "limits.announce"), "{faults:#?}");
+    assert!(has_fault(&faults, 11, "limits.beat"), "{faults:#?}");
 }
 
-// An operator looks for a doubled address that stands nowhere: the sample's own value, filled in
-// for the faulty one, meets what the file says elsewhere.
+/// The sample's value, which is filled in for a faulty one, can conflict with a value of the file.
+/// An operator would look for a duplicate address that the file doesn't have.
 #[test]
 fn no_false_conflict() {
     let text = EntrySettings::SAMPLE.replace("own = \"10.0.0.1:7001\"", "own = 7");
     let text = text.replace("callers = \"10.0.0.1:8080\"", "callers = \"10.0.0.1:7001\"");
     let faults = entry_faults(&text);
     assert_eq!(faults.len(), 1, "{faults:#?}");
-    assert!(names(&faults, 6, "own"), "{faults:#?}");
+    assert!(has_fault(&faults, 6, "own"), "{faults:#?}");
 }
 
-/// A span, size and count out of a generator.
+/// Returns a random span, size and count.
 fn limits(gen: &mut Gen) -> (Span, Size, u32) {
-    let any = |gen: &mut Gen| u64::from(*gen.choose(&[2u32, 3, 7, 60, 999]).expect("not empty"));
+    let pick = |gen: &mut Gen| u64::from(*gen.choose(&[2u32, 3, 7, 60, 999]).expect("not empty"));
     (
-        Span::from_secs(any(gen)),
-        Size::from_mib(any(gen)),
-        any(gen) as u32,
+        Span::from_secs(pick(gen)),
+        Size::from_mib(pick(gen)),
+        pick(gen) as u32,
     )
 }
 
+/// A value that is printed with its unit must be read back as the same value.
 #[test]
-fn units_return() {
+fn units_preserved() {
     let mut gen = Gen::from_size_and_seed(20, 7);
     for _ in 0..50 {
         let (lease, body, events) = limits(&mut gen);
@@ -172,7 +179,7 @@
     }
 }
 
-// `check` is the first thing that a new user runs, on whatever file lies there.
+/// `check` is run on any file, and must not panic on one that is no settings file.
 #[test]
 fn any_text() {
     fn never_panics(text: String) -> bool {
