--- a/crates/config/src/census.rs
+++ b/crates/config/src/census.rs
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 struct Report {
     received: Moment,
-    standing: ProcessVersion,
+    sender: ProcessVersion,
     below: Census,
 }
 
@@ -64,8 +64,8 @@
     }
 
     /// Records the version of a process that polled, and the census of the processes below it.
-    pub fn record(&mut self, now: Moment, standing: ProcessVersion, below: Census) {
-        let process = standing.process.clone();
+    pub fn record(&mut self, now: Moment, sender: ProcessVersion, below: Census) {
+        let process = sender.process.clone();
         self.expire(now);
         if self.reports.len() >= MAX_PROCESSES && !self.reports.contains_key(&process) {
             return;
@@ -74,7 +74,7 @@
         self.reports.retain(|p, _| p.host != process.host);
         let report = Report {
             received: now,
-            standing,
+            sender,
             below,
         };
         self.reports.insert(process, report);
@@ -92,11 +92,11 @@
         self.expire(now);
         let mut census = Census::default();
         for report in self.reports.values() {
-            census.count(report.standing.version, 1);
+            census.count(report.sender.version, 1);
             for (version, count) in &report.below.versions {
                 census.count(*version, *count);
             }
-            census.lagging.push(report.standing.clone());
+            census.lagging.push(report.sender.clone());
             census.lagging.extend(report.below.lagging.iter().cloned());
         }
         census.lagging.retain(|s| s.version < newest);
