--- a/crates/agent/src/gate/handler.rs
+++ b/crates/agent/src/gate/handler.rs
@@ -9,7 +9,7 @@
 use snipemast_requests::{Arrival, ArrivalOutcome};
 use snipemast_wire::frame::{Frame, Part, RefusalReason, Tag};
 use snipemast_wire::message::path;
-use snipemast_wire::serve::{malformed, message, reply, stream};
+use snipemast_wire::serve::{read_message, reply, reply_malformed, reply_stream};
 use snipemast_wire::{
     gossip, pipe, spawn, AttemptStatus, Cancel, Dispatch, FrameWriter, Packed, ResumeFrom, Settle,
     Settlement,
@@ -35,8 +35,8 @@
     }
 
     async fn dispatch(&self, mut conn: Conn) -> Conn {
-        let Some(dispatch) = message::<Dispatch>(&mut conn).await else {
-            return malformed(conn);
+        let Some(dispatch) = read_message::<Dispatch>(&mut conn).await else {
+            return reply_malformed(conn);
         };
         match self.take(dispatch) {
             Ok(id) => self.relay(conn, id, 0),
@@ -91,8 +91,8 @@
     }
 
     async fn resume(&self, mut conn: Conn) -> Conn {
-        let Some(ResumeFrom { id, agent, offset }) = message(&mut conn).await else {
-            return malformed(conn);
+        let Some(ResumeFrom { id, agent, offset }) = read_message(&mut conn).await else {
+            return reply_malformed(conn);
         };
         if agent != self.gate.process {
             return refuse(conn, &id, RefusalReason::Incarnation);
@@ -112,12 +112,12 @@
             drop(guard);
         })
         .detach();
-        stream(conn, reader)
+        reply_stream(conn, reader)
     }
 
     async fn settle(&self, mut conn: Conn) -> Conn {
-        let Some(Settle { id, agent, keep }) = message(&mut conn).await else {
-            return malformed(conn);
+        let Some(Settle { id, agent, keep }) = read_message(&mut conn).await else {
+            return reply_malformed(conn);
         };
         let settled = self.gate.shards.settle(&id, &agent, keep);
         if settled == AttemptStatus::Barred {
@@ -127,27 +127,27 @@
     }
 
     async fn cancel(&self, mut conn: Conn) -> Conn {
-        let Some(Cancel { id, agent, keep }) = message(&mut conn).await else {
-            return malformed(conn);
+        let Some(Cancel { id, agent, keep }) = read_message(&mut conn).await else {
+            return reply_malformed(conn);
         };
         let settled = self.gate.shards.cancel(&id, &agent, keep);
         reply(conn, &Settlement { id, settled })
     }
 
     async fn page(&self, mut conn: Conn) -> Conn {
-        let Some(packed) = message::<Packed>(&mut conn).await else {
-            return malformed(conn);
+        let Some(packed) = read_message::<Packed>(&mut conn).await else {
+            return reply_malformed(conn);
         };
         let Ok(ask) = packed.unpack::<PageRequest>() else {
-            return malformed(conn);
+            return reply_malformed(conn);
         };
         let page = Page::answer(self.gate.journal.ring(), &ask);
         reply(conn, &Packed::new(&page))
     }
 
     async fn events(&self, mut conn: Conn) -> Conn {
-        let Some(since) = message::<Stamp>(&mut conn).await else {
-            return malformed(conn);
+        let Some(since) = read_message::<Stamp>(&mut conn).await else {
+            return reply_malformed(conn);
         };
         reply(conn, &self.gate.journal.ring().since(since))
     }
--- a/crates/agent/src/orders/service.rs
+++ b/crates/agent/src/orders/service.rs
@@ -12,8 +12,8 @@
 use snipemast_servers::orders::{EngineOrder, OrderClient, OrderOutcome};
 use snipemast_settings::AgentSettings;
 use snipemast_wire::order::{path, FenceAsk, FenceReport, Order, OrderAnswer};
-use snipemast_wire::serve::{malformed, message, reply};
-use snipemast_wire::{Peer, Sink};
+use snipemast_wire::serve::{read_message, reply, reply_malformed};
+use snipemast_wire::{ConfigSink, Peer};
 
 use super::{Decision, Interval, OrderGate};
 
@@ -125,12 +125,12 @@
     }
 }
 
-impl Sink for OrderService {
+impl ConfigSink for OrderService {
     fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    fn standing(&self) -> (ProcessVersion, Census) {
+    fn versions(&self) -> (ProcessVersion, Census) {
         let now = self.clock.now();
         let age = self.age.lock().map(|(then, age)| {
             let later = now.since(then).as_micros();
@@ -145,13 +145,13 @@
         (standing, Census::default())
     }
 
-    fn bring(&self, config: Arc<Config>, _: Option<Delta>) {
+    fn apply(&self, config: Arc<Config>, _: Option<Delta>) {
         let version = config.version;
         self.config.store(config);
         self.journal.record(Event::VersionApplied, version, "");
     }
 
-    fn note(&self, _: bool, age: Option<Span>, fence: Fence) {
+    fn update_link(&self, _: bool, age: Option<Span>, fence: Fence) {
         let now = self.clock.now();
         *self.age.lock() = age.map(|age| (now, age));
         self.gate.lock().hear(fence);
@@ -177,8 +177,8 @@
         if conn.path() != path::ORDER {
             return conn;
         }
-        let Some(order) = message::<Order>(&mut conn).await else {
-            return malformed(conn);
+        let Some(order) = read_message::<Order>(&mut conn).await else {
+            return reply_malformed(conn);
         };
         reply(conn, &self.desk.handle_order(order).await)
     }
--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -11,7 +11,7 @@
 use snipemast_core::prelude::*;
 use snipemast_servers::Engine;
 use snipemast_settings::AgentSettings;
-use snipemast_wire::{listen, spawn, Listening, Stamped};
+use snipemast_wire::{listen, spawn, ServerHandle, Stamped};
 
 use crate::announce::Announcing;
 use crate::gate::{Gate, GateHandler};
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Agent {
     gate: Arc<Gate>,
-    listening: Listening,
+    listening: ServerHandle,
     announcing: Announcing,
     orders: Arc<OrderService>,
     learning: Vec<Task<()>>,
--- a/crates/agent/src/rank.rs
+++ b/crates/agent/src/rank.rs
@@ -19,8 +19,8 @@
     ActiveMap, EngineStatus, Lead, LeadInput, LeadOutput, LeadTerm, Margin, Permit, RankAgent,
     RankInput, RankOutput, Timer,
 };
-use snipemast_wire::group::{path, GroupBody, GroupMessage, Taken};
-use snipemast_wire::serve::{malformed, message, reply};
+use snipemast_wire::group::{path, Ack, GroupBody, GroupMessage};
+use snipemast_wire::serve::{read_message, reply, reply_malformed};
 use snipemast_wire::{spawn, Peer};
 
 /// How many messages wait for a slow peer before further ones are dropped.
@@ -179,7 +179,7 @@
             while let Ok(body) = receiver.recv().await {
                 let group = group.clone();
                 let message = GroupMessage { group, from, body };
-                let sent = peer.call::<_, Taken>(path::GROUP, &message, SEND).await;
+                let sent = peer.call::<_, Ack>(path::GROUP, &message, SEND).await;
                 // A connection that went silent is not used again; the machines resend.
                 if sent.is_err() {
                     peer.retire();
@@ -406,12 +406,12 @@
         if conn.path() != path::GROUP {
             return conn;
         }
-        match message::<GroupMessage>(&mut conn).await {
+        match read_message::<GroupMessage>(&mut conn).await {
             Some(message) => {
                 self.shell.take(message);
-                reply(conn, &Taken)
+                reply(conn, &Ack)
             }
-            None => malformed(conn),
+            None => reply_malformed(conn),
         }
     }
 }
--- a/crates/agent/tests/orders.rs
+++ b/crates/agent/tests/orders.rs
@@ -8,7 +8,7 @@
 use snipemast_config::wishes::Action;
 use snipemast_config::ServerRole;
 use snipemast_core::prelude::*;
-use snipemast_wire::order::{FenceReport, Order, OrderRefusal, Told};
+use snipemast_wire::order::{FenceReport, Order, OrderRefusal, VoterFence};
 
 const HOLD: Span = Span::from_secs(5);
 
@@ -51,7 +51,7 @@
 }
 
 fn report(voters: u32, told: &[(u64, u64)]) -> FenceReport {
-    let told = told.iter().map(|(host, fence)| Told {
+    let told = told.iter().map(|(host, fence)| VoterFence {
         host: format!("control-{host}").parse().expect("a name"),
         fence: Fence::new(*fence),
     });
--- a/crates/benches/benches/membership/calls.rs
+++ b/crates/benches/benches/membership/calls.rs
@@ -8,7 +8,7 @@
 use trillium::{async_trait, Conn, Handler};
 
 use snipemast_core::prelude::*;
-use snipemast_wire::serve::{message, reply};
+use snipemast_wire::serve::{read_message, reply};
 use snipemast_wire::{listen, Packed, Peer};
 
 /// The text of a message of ordinary size.
@@ -28,7 +28,7 @@
 #[async_trait]
 impl Handler for Echo {
     async fn run(&self, mut conn: Conn) -> Conn {
-        let asked = message::<Packed>(&mut conn).await;
+        let asked = read_message::<Packed>(&mut conn).await;
         reply(conn, &asked)
     }
 }
--- a/crates/benches/benches/membership/flat.rs
+++ b/crates/benches/benches/membership/flat.rs
@@ -10,7 +10,7 @@
 use snipemast_benches::members::{Members, Shape};
 use snipemast_benches::report::Figures;
 use snipemast_core::prelude::*;
-use snipemast_fakes::fleet::Index;
+use snipemast_fakes::fleet::ProcessIndex;
 use snipemast_membership::Input;
 
 use crate::scenes::dead_entries;
@@ -34,7 +34,7 @@
     members.clear();
     members.fleet.links.loss = loss;
     let mut stamps = Stamps::default();
-    let mut absent: HashSet<(Index, HostId)> = HashSet::new();
+    let mut absent: HashSet<(ProcessIndex, HostId)> = HashSet::new();
     let mut drops = 0;
     for second in 0..secs {
         if second % REPLACED == REPLACED / 2 {
@@ -57,16 +57,20 @@
 fn replace(members: &mut Members, second: u64) {
     let number = second / REPLACED;
     let index = members.entries[number as usize % members.entries.len()];
-    members.fleet.tell(index, Input::Drain);
+    members.fleet.send_input(index, Input::Drain);
     members.run(2);
-    members.fleet.tell(index, Input::Leave);
+    members.fleet.send_input(index, Input::Leave);
     members.run(1);
     members.fleet.crash(index);
     members.restart(index, number + 2);
 }
 
 /// Takes the changes of a step, and counts agents that the flat map now holds for absent.
-fn take(members: &mut Members, stamps: &mut Stamps, absent: &mut HashSet<(Index, HostId)>) -> u32 {
+fn take(
+    members: &mut Members,
+    stamps: &mut Stamps,
+    absent: &mut HashSet<(ProcessIndex, HostId)>,
+) -> u32 {
     let changed = std::mem::take(&mut members.fleet.changed);
     for (at, index, _) in &changed {
         stamps.note(members, *at, *index);
@@ -89,7 +93,7 @@
 
 impl Stamps {
     /// Notes the version that an owner has reached.
-    fn note(&mut self, members: &Members, at: Moment, index: Index) {
+    fn note(&mut self, members: &Members, at: Moment, index: ProcessIndex) {
         let Some(node) = members.fleet.node(index) else {
             return;
         };
@@ -105,7 +109,7 @@
     }
 
     /// What the flat map says of an agent at an entry: the latest write of all owners.
-    fn is_present(&self, members: &Members, index: Index, host: &HostId) -> Option<bool> {
+    fn is_present(&self, members: &Members, index: ProcessIndex, host: &HostId) -> Option<bool> {
         let node = members.fleet.node(index)?;
         let mut latest = None;
         for row in node.table().rows().values() {
--- a/crates/benches/benches/membership/scenes.rs
+++ b/crates/benches/benches/membership/scenes.rs
@@ -3,7 +3,7 @@
 use snipemast_benches::members::{Members, Shape};
 use snipemast_benches::report::Figures;
 use snipemast_core::prelude::*;
-use snipemast_fakes::fleet::Index;
+use snipemast_fakes::fleet::ProcessIndex;
 use snipemast_fakes::{Fleet, Side};
 use snipemast_membership::{AnnounceInput, Input, Topic};
 
@@ -35,10 +35,10 @@
     used.bytes
 }
 
-fn publish(members: &mut Members, entry: Index, topic: Topic, size: usize, secs: u64) {
+fn publish(members: &mut Members, entry: ProcessIndex, topic: Topic, size: usize, secs: u64) {
     let value = vec![7; size];
     let input = Input::Publish(topic, value, Span::from_secs(secs));
-    members.fleet.tell(entry, input);
+    members.fleet.send_input(entry, input);
 }
 
 /// Restarts of agents and entries; returns the bytes that one costs each entry.
@@ -70,18 +70,18 @@
 }
 
 /// A process drains, ends and starts again, in four seconds.
-fn replace(members: &mut Members, index: Index, start: u64) {
+fn replace(members: &mut Members, index: ProcessIndex, start: u64) {
     let entry = members.fleet.node(index).is_some();
     if entry {
-        members.fleet.tell(index, Input::Drain);
+        members.fleet.send_input(index, Input::Drain);
     } else {
-        members.fleet.tell_agent(index, AnnounceInput::Drain);
+        members.fleet.send_agent_input(index, AnnounceInput::Drain);
     }
     members.run(2);
     if entry {
-        members.fleet.tell(index, Input::Leave);
+        members.fleet.send_input(index, Input::Leave);
     } else {
-        members.fleet.tell_agent(index, AnnounceInput::Leave);
+        members.fleet.send_agent_input(index, AnnounceInput::Leave);
     }
     members.run(1);
     members.fleet.crash(index);
@@ -94,7 +94,7 @@
     let (mut drains, mut crashes, mut entries, mut joins) = Default::default();
     for trial in 0..trials {
         let agent = members.agents[100 + trial];
-        members.fleet.tell_agent(agent, AnnounceInput::Drain);
+        members.fleet.send_agent_input(agent, AnnounceInput::Drain);
         wait(members, &mut drains, agent, unroutable);
         members.fleet.crash(agent);
         members.run(5);
@@ -122,7 +122,7 @@
         .place
         .zone
         .clone();
-    let of_zone = |i: &&Index| members.fleet.processes[**i].place.zone == zone;
+    let of_zone = |i: &&ProcessIndex| members.fleet.processes[**i].place.zone == zone;
     let lost: Vec<_> = members.entries[150..]
         .iter()
         .filter(of_zone)
@@ -187,7 +187,7 @@
 
 /// How often an entry that runs was taken out of another's table.
 pub(crate) fn dead_entries(fleet: &Fleet) -> usize {
-    let told = |n: &&snipemast_fakes::fleet::Noted| {
+    let told = |n: &&snipemast_fakes::fleet::RecordedEvent| {
         let dead = n.event == Event::MemberRemoved && n.subject.starts_with("entry");
         let running = fleet.entries().any(|(_, node)| {
             let process = &node.card().process;
@@ -195,7 +195,7 @@
         });
         dead && running
     };
-    fleet.noted.iter().filter(told).count()
+    fleet.recorded.iter().filter(told).count()
 }
 
 fn cut_off(fleet: &Fleet, zone: &ZoneId) -> bool {
@@ -210,7 +210,7 @@
 fn wait(
     members: &mut Members,
     into: &mut Vec<f64>,
-    index: Index,
+    index: ProcessIndex,
     holds: impl Fn(&Fleet, &HostId) -> bool,
 ) {
     let host = members.host(index);
--- a/crates/benches/src/faults.rs
+++ b/crates/benches/src/faults.rs
@@ -14,10 +14,10 @@
 use trillium_smol::ClientConfig;
 
 use snipemast_core::prelude::*;
-use snipemast_fakes::{FakeEngine, FakeService, FakeWire, WireMode};
+use snipemast_fakes::{FakeEngine, FakeProxy, FakeService, ProxyMode};
 use snipemast_tests::wired::Wired;
 use snipemast_tests::{id, info, loopback};
-use snipemast_wire::{listen, spawn, Listening};
+use snipemast_wire::{listen, spawn, ServerHandle};
 
 /// The tokens of one stream.
 const TOKENS: u32 = 12;
@@ -94,10 +94,10 @@
 /// Engines and services behind wires, without the system.
 #[derive(Debug)]
 pub struct Plain {
-    engines: Vec<FakeWire>,
-    services: Vec<FakeWire>,
+    engines: Vec<FakeProxy>,
+    services: Vec<FakeProxy>,
     service: FakeService,
-    _fakes: Vec<Listening>,
+    _fakes: Vec<ServerHandle>,
 }
 
 impl Side {
@@ -165,7 +165,7 @@
             self.disturb(disturbance);
             smol::Timer::after(PERIOD).await;
         }
-        self.wires().for_each(|w| w.set_mode(WireMode::Passes));
+        self.wires().for_each(|w| w.set_mode(ProxyMode::Forward));
         let mut total = Tally::default();
         for caller in callers {
             total.add(caller.await);
@@ -173,7 +173,7 @@
         total
     }
 
-    fn wires(&self) -> Box<dyn Iterator<Item = &FakeWire> + '_> {
+    fn wires(&self) -> Box<dyn Iterator<Item = &FakeProxy> + '_> {
         match self {
             Self::Ours(wired) => Box::new(wired.agents.iter().map(|a| &a.wire)),
             Self::Plain(plain) => Box::new(plain.engines.iter().chain(&plain.services)),
@@ -185,8 +185,8 @@
             match disturbance {
                 Disturbance::Silence => wire.silence(),
                 Disturbance::Reset => wire.reset(),
-                Disturbance::Double => wire.set_mode(WireMode::Doubles),
-                Disturbance::Delay => wire.set_mode(WireMode::Delays(Span::from_millis(40))),
+                Disturbance::Double => wire.set_mode(ProxyMode::Duplicate),
+                Disturbance::Delay => wire.set_mode(ProxyMode::Delay(Span::from_millis(40))),
             }
         }
     }
@@ -265,9 +265,9 @@
     read.unwrap_or(0)
 }
 
-async fn wire_to(address: SocketAddr) -> FakeWire {
-    let wire = FakeWire::start().await.expect("port 0");
-    wire.aim(address);
+async fn wire_to(address: SocketAddr) -> FakeProxy {
+    let wire = FakeProxy::start().await.expect("port 0");
+    wire.set_target(address);
     wire
 }
 
@@ -297,7 +297,7 @@
 }
 
 /// Sends a request to one server after the other until one answers.
-async fn blind(wires: &[FakeWire], path: &str, body: &str) -> bool {
+async fn blind(wires: &[FakeProxy], path: &str, body: &str) -> bool {
     for n in 0..TRIES {
         let address = wires[n % wires.len()].address();
         let url = format!("http://{address}{path}");
@@ -316,7 +316,7 @@
 }
 
 /// Streams from one server after the other until one begins; what is cut then stays cut.
-async fn stream(wires: &[FakeWire], body: &str) -> bool {
+async fn stream(wires: &[FakeProxy], body: &str) -> bool {
     for n in 0..TRIES {
         let address = wires[n % wires.len()].address();
         let url = format!("http://{address}/v1/completions");
--- a/crates/benches/src/members.rs
+++ b/crates/benches/src/members.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use snipemast_core::prelude::*;
-use snipemast_fakes::fleet::{Index, Meter};
+use snipemast_fakes::fleet::{Meter, ProcessIndex};
 use snipemast_fakes::{Fleet, Place};
 
 /// How many hosts there are, and where.
@@ -61,9 +61,9 @@
     /// The processes and the wire.
     pub fleet: Fleet,
     /// The entries.
-    pub entries: Vec<Index>,
+    pub entries: Vec<ProcessIndex>,
     /// The agents.
-    pub agents: Vec<Index>,
+    pub agents: Vec<ProcessIndex>,
 }
 
 /// What all processes of one role have used since the meters were cleared.
@@ -121,7 +121,7 @@
     }
 
     /// Adds an agent.
-    pub fn add_agent(&mut self, number: usize) -> Index {
+    pub fn add_agent(&mut self, number: usize) -> ProcessIndex {
         let place = place("agent", number, self.shape);
         let seeds = self.zone_seeds(&place.zone);
         let info = info(number, self.shape.models);
@@ -131,7 +131,7 @@
     }
 
     /// Starts an agent or entry anew under its name.
-    pub fn restart(&mut self, index: Index, start: u64) {
+    pub fn restart(&mut self, index: ProcessIndex, start: u64) {
         let start = Incarnation::new(start);
         if self.entries.contains(&index) {
             let seeds = self.seeds();
@@ -174,7 +174,7 @@
     }
 
     /// The host of a process.
-    pub fn host(&self, index: Index) -> HostId {
+    pub fn host(&self, index: ProcessIndex) -> HostId {
         self.fleet.processes[index].place.host.clone()
     }
 
@@ -184,12 +184,12 @@
             process.meter = Meter::default();
         }
         self.fleet.drops.clear();
-        self.fleet.noted.clear();
+        self.fleet.recorded.clear();
         self.fleet.changed.clear();
     }
 
     /// What the processes used over a span, where a call's heads take this many bytes.
-    pub fn used(&self, processes: &[Index], span: Span, heads: f64) -> Used {
+    pub fn used(&self, processes: &[ProcessIndex], span: Span, heads: f64) -> Used {
         let secs = span.as_secs_f64();
         let mut used = Used::default();
         for index in processes {
@@ -200,7 +200,7 @@
             used.most = used.most.max(bytes / secs);
             used.calls += calls / secs;
             used.messages += 2.0 * calls / secs;
-            used.work += meter.work as f64 / 1e9 / secs;
+            used.work += meter.work_nanos as f64 / 1e9 / secs;
         }
         let count = processes.len().max(1) as f64;
         used.bytes /= count;
--- a/crates/benches/src/placing.rs
+++ b/crates/benches/src/placing.rs
@@ -7,7 +7,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-use snipemast_core::hash::{below, fraction, mix};
+use snipemast_core::hash::{fraction, index_below, mix};
 use snipemast_core::prelude::*;
 use snipemast_placement::choice::{AnnouncedServer, Constraints};
 use snipemast_placement::outage::AllowedPools;
@@ -261,7 +261,7 @@
     fn arrive(&mut self) {
         let pause = -(1.0 - fraction(self.chance())).ln() / self.setup.rate;
         self.plan(Span::from_micros((pause * 1e6) as u64), Happening::Arrival);
-        let gateway = below(self.chance(), self.setup.gateways);
+        let gateway = index_below(self.chance(), self.setup.gateways);
         self.seen.requests += 1;
         let mut excluded = Vec::new();
         for _ in 0..SENDS {
--- a/crates/benches/src/policies.rs
+++ b/crates/benches/src/policies.rs
@@ -4,7 +4,7 @@
 
 use snipemast_core::prelude::*;
 use snipemast_requests::RetryBudget;
-use snipemast_routing::hash::{below, mix};
+use snipemast_routing::hash::{index_below, mix};
 use snipemast_routing::{
     Arrival, Decision, Demands, Departure, Dequeued, Lane, LanePolicy, Location, PoolCapacity,
     Prefix, Priority, Query, RequestEnd, Router, RoutingPolicy, ServerFacts, ServerIndex, Subset,
@@ -39,7 +39,7 @@
 impl Baseline {
     /// A baseline before this many servers.
     pub fn new(rule: Rule, servers: usize, seed: u64) -> Self {
-        let next = below(mix(seed), servers);
+        let next = index_below(mix(seed), servers);
         Self {
             rule,
             up: vec![true; servers],
@@ -52,7 +52,7 @@
     fn draw(&mut self) -> usize {
         loop {
             self.draws = mix(self.draws);
-            let at = below(self.draws, self.up.len());
+            let at = index_below(self.draws, self.up.len());
             if self.up[at] {
                 return at;
             }
--- a/crates/benches/src/queue.rs
+++ b/crates/benches/src/queue.rs
@@ -7,7 +7,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 
 use snipemast_core::prelude::*;
-use snipemast_routing::hash::{below, mix};
+use snipemast_routing::hash::{index_below, mix};
 use snipemast_routing::Summary;
 
 /// Microseconds of virtual time.
@@ -370,7 +370,7 @@
         let prefix = (skewed * setup.prefixes as f64) as u64;
         Job {
             id: 0,
-            entry: below(self.draw(), setup.entries),
+            entry: index_below(self.draw(), setup.entries),
             workspace,
             prefix: mix(prefix),
             tokens: (tokens as u32).clamp(1, 4_000),
--- a/crates/benches/src/voters.rs
+++ b/crates/benches/src/voters.rs
@@ -19,7 +19,7 @@
 use snipemast_control::{ConfigMachine, Location, Timing};
 use snipemast_core::prelude::*;
 use snipemast_entry::voter::{LogStorage, SubmitError, Voter, VoterOptions};
-use snipemast_wire::{listen, spawn, Listening};
+use snipemast_wire::{listen, spawn, ServerHandle};
 
 /// How long a submission may take.
 const PATIENCE: Span = Span::from_secs(10);
@@ -45,7 +45,7 @@
     options: VoterOptions,
     version: Arc<AtomicU64>,
     bytes: Arc<AtomicU64>,
-    _listening: Listening,
+    _listening: ServerHandle,
 }
 
 impl VoterHost {
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -21,7 +21,7 @@
 use snipemast_settings::agent::AgentLimits;
 use snipemast_settings::entry::EntryLimits;
 use snipemast_settings::{AgentSettings, ControlSettings, EntrySettings};
-use snipemast_wire::{listen, spawn, Listening};
+use snipemast_wire::{listen, spawn, ServerHandle};
 
 use crate::args::DemoArgs;
 use crate::exit;
@@ -116,7 +116,7 @@
 struct Fleet {
     entry: Entry,
     agents: Vec<Agent>,
-    fakes: Vec<Listening>,
+    fakes: Vec<ServerHandle>,
     patches: u64,
 }
 
@@ -160,7 +160,7 @@
         Ok(fleet)
     }
 
-    async fn add(&mut self, fake: Listening, number: usize) -> Result<()> {
+    async fn add(&mut self, fake: ServerHandle, number: usize) -> Result<()> {
         let settings = agent_settings(number, fake.address(), self.entry.own());
         let journal = journal(&settings.host);
         let agent = Agent::start(settings, start_incarnation(), journal).await;
--- a/crates/cli/src/servers.rs
+++ b/crates/cli/src/servers.rs
@@ -8,7 +8,7 @@
 
 use snipemast_core::prelude::*;
 use snipemast_fakes::{FakeEngine, FakeService};
-use snipemast_wire::{listen, Listening};
+use snipemast_wire::{listen, ServerHandle};
 
 use crate::demo::{id, server_info};
 use crate::exit;
@@ -38,7 +38,7 @@
     }
 }
 
-async fn start() -> std::io::Result<[Listening; 2]> {
+async fn start() -> std::io::Result<[ServerHandle; 2]> {
     let model = Offer::Model {
         model: id("lector-1"),
         version: "1".into(),
--- a/crates/core/src/events.rs
+++ b/crates/core/src/events.rs
@@ -260,7 +260,7 @@
 
 impl Record {
     /// Whether the record is about this request, patch, group or process, or names it.
-    pub fn names(&self, about: &str) -> bool {
+    pub fn mentions(&self, about: &str) -> bool {
         let words = |text: &str| {
             text.split([' ', ',', ';', '(', ')'])
                 .any(|word| word == about)
@@ -368,7 +368,7 @@
         let start = records.partition_point(|r| r.stamp <= after);
         let mut wanted = records
             .range(start..)
-            .filter(|r| about.is_none_or(|about| r.names(about)));
+            .filter(|r| about.is_none_or(|about| r.mentions(about)));
         let page: Vec<_> = wanted.by_ref().take(limit).cloned().collect();
         let more = wanted.next().is_some();
         (page, more)
--- a/crates/core/src/hash.rs
+++ b/crates/core/src/hash.rs
@@ -9,7 +9,7 @@
 }
 
 /// The position below `bound` that a mixed number falls on.
-pub const fn below(mixed: u64, bound: usize) -> usize {
+pub const fn index_below(mixed: u64, bound: usize) -> usize {
     ((mixed as u128 * bound as u128) >> 64) as usize
 }
 
--- a/crates/core/src/logs.rs
+++ b/crates/core/src/logs.rs
@@ -136,7 +136,12 @@
     }
 
     /// Logs an event that was recorded and left out of the log, because what it led to is a trouble.
-    pub fn log_after(&self, event: Event, subject: impl fmt::Display, detail: impl fmt::Display) {
+    pub fn log_deferred(
+        &self,
+        event: Event,
+        subject: impl fmt::Display,
+        detail: impl fmt::Display,
+    ) {
         self.log(event, &subject, &detail, true);
     }
 
--- a/crates/core/src/starts.rs
+++ b/crates/core/src/starts.rs
@@ -6,12 +6,12 @@
 
 /// A value for each start of a server.
 #[derive(Debug, Clone)]
-pub struct Starts<T> {
+pub struct StartMap<T> {
     /// Few starts of one server are known at once.
     servers: HashMap<ServerId, Vec<(Incarnation, T)>>,
 }
 
-impl<T> Default for Starts<T> {
+impl<T> Default for StartMap<T> {
     fn default() -> Self {
         Self {
             servers: HashMap::new(),
@@ -19,7 +19,7 @@
     }
 }
 
-impl<T> Starts<T> {
+impl<T> StartMap<T> {
     /// Nothing is known.
     pub fn new() -> Self {
         Self::default()
@@ -76,7 +76,7 @@
     }
 
     /// Forgets the starts whose values are the least, until no more than so many are known.
-    pub fn shrink<K: Ord>(&mut self, most: usize, key: impl Fn(&T) -> K) {
+    pub fn evict_lowest<K: Ord>(&mut self, most: usize, key: impl Fn(&T) -> K) {
         while self.count() > most {
             let least = self.iter().min_by_key(|(_, _, value)| key(value));
             let Some((server, start)) = least.map(|(server, start, _)| (server.clone(), start))
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -77,7 +77,7 @@
 
     /// A mean that follows what is seen: one of so many parts of it is replaced.
     #[must_use]
-    pub const fn following(self, seen: Self, parts: u64) -> Self {
+    pub const fn smoothed(self, seen: Self, parts: u64) -> Self {
         Self((self.0 * (parts - 1) + seen.0) / parts)
     }
 }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -123,7 +123,7 @@
     pub fn next_ready(&mut self) -> Option<Vec<u8>> {
         if self.outputs.is_empty() {
             let (link, reader) = self.reader.as_mut()?;
-            let frame = reader.ready().ok()??;
+            let frame = reader.try_next().ok()??;
             let input = Input::Frame(*link, frame);
             self.feed(input);
         }
--- a/crates/entry/src/desk.rs
+++ b/crates/entry/src/desk.rs
@@ -16,7 +16,7 @@
     VerdictAnswer,
 };
 use snipemast_requests::Fingerprint;
-use snipemast_wire::Sink;
+use snipemast_wire::ConfigSink;
 
 use crate::control::{self, ControlError};
 use crate::shared::Shared;
@@ -178,7 +178,7 @@
 
     fn status(&self) -> StatusReport {
         let shared = &self.shared;
-        let (standing, _) = shared.standing();
+        let (standing, _) = shared.versions();
         let link = shared.distributor.link();
         let members = shared.registry.members();
         let member = |m: &Arc<crate::registry::Member>| MemberLine {
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -4,7 +4,7 @@
 
 use snipemast_config::{Census, Config, Delta, Follower, ProcessVersion};
 use snipemast_core::prelude::*;
-use snipemast_wire::Sink;
+use snipemast_wire::ConfigSink;
 
 use crate::shared::Shared;
 
@@ -19,12 +19,12 @@
     snipemast_wire::follow_forever(shared.as_ref(), &shared.settings.seeds, follower).await;
 }
 
-impl Sink for Shared {
+impl ConfigSink for Shared {
     fn clock(&self) -> &Clock {
         self.distributor.clock()
     }
 
-    fn standing(&self) -> (ProcessVersion, Census) {
+    fn versions(&self) -> (ProcessVersion, Census) {
         let standing = ProcessVersion {
             process: self.process.clone(),
             zone: self.settings.zone.clone(),
@@ -35,11 +35,11 @@
         (standing, below)
     }
 
-    fn bring(&self, config: Arc<Config>, delta: Option<Delta>) {
+    fn apply(&self, config: Arc<Config>, delta: Option<Delta>) {
         self.advance(config, delta);
     }
 
-    fn note(&self, linked: bool, age: Option<Span>, fence: Fence) {
+    fn update_link(&self, linked: bool, age: Option<Span>, fence: Fence) {
         self.distributor.set_link(linked, age, fence);
     }
 }
--- a/crates/entry/src/orders.rs
+++ b/crates/entry/src/orders.rs
@@ -7,7 +7,7 @@
 use snipemast_config::wishes::{pending_actions, Action};
 use snipemast_config::KeyHash;
 use snipemast_core::prelude::*;
-use snipemast_wire::order::{path, FenceAsk, FenceReport, Order, OrderAnswer, OrderId, Told};
+use snipemast_wire::order::{path, FenceAsk, FenceReport, Order, OrderAnswer, OrderId, VoterFence};
 use snipemast_wire::{spawn, Peer};
 
 use crate::registry::Member;
@@ -134,7 +134,7 @@
     if status.ended || !status.voters.is_voter(status.voter) {
         return FenceReport::default();
     }
-    let told = Told {
+    let told = VoterFence {
         host: shared.settings.host.clone(),
         fence: status.fence.max(Fence(status.term.get())),
     };
--- a/crates/entry/src/own.rs
+++ b/crates/entry/src/own.rs
@@ -11,7 +11,7 @@
 use snipemast_wire::config::PatchAsk;
 use snipemast_wire::message::path;
 use snipemast_wire::order::{self, FenceAsk};
-use snipemast_wire::serve::{malformed, message, reply};
+use snipemast_wire::serve::{read_message, reply, reply_malformed};
 use snipemast_wire::{gossip, ConfigPoll, Packed, Suspected};
 
 use crate::shared::Shared;
@@ -35,7 +35,7 @@
     /// Answers an agent's message about its lease.
     async fn lease(&self, mut conn: Conn) -> Conn {
         let Some(asked) = read_packed::<AgentMessage>(&mut conn).await else {
-            return malformed(conn);
+            return reply_malformed(conn);
         };
         match self.shared.gossip.answer_agent(&self.shared, asked) {
             Some(answer) => reply(conn, &Packed::new(&answer)),
@@ -46,7 +46,7 @@
     /// Answers another entry's exchange.
     async fn exchange(&self, mut conn: Conn) -> Conn {
         let Some(asked) = read_packed::<Packet>(&mut conn).await else {
-            return malformed(conn);
+            return reply_malformed(conn);
         };
         match self.shared.gossip.answer_exchange(&self.shared, asked) {
             Some(answer) => reply(conn, &Packed::new(&answer)),
@@ -55,8 +55,8 @@
     }
 
     async fn config(&self, mut conn: Conn) -> Conn {
-        let Some(poll) = message::<ConfigPoll>(&mut conn).await else {
-            return malformed(conn);
+        let Some(poll) = read_message::<ConfigPoll>(&mut conn).await else {
+            return reply_malformed(conn);
         };
         let ConfigPoll {
             ask,
@@ -69,15 +69,15 @@
     }
 
     async fn patch(&self, mut conn: Conn) -> Conn {
-        let Some(ask) = message::<PatchAsk>(&mut conn).await else {
-            return malformed(conn);
+        let Some(ask) = read_message::<PatchAsk>(&mut conn).await else {
+            return reply_malformed(conn);
         };
         reply(conn, &control::handle_patch(&self.shared, ask).await)
     }
 
     async fn fences(&self, mut conn: Conn) -> Conn {
-        let Some(ask) = message::<FenceAsk>(&mut conn).await else {
-            return malformed(conn);
+        let Some(ask) = read_message::<FenceAsk>(&mut conn).await else {
+            return reply_malformed(conn);
         };
         reply(conn, &orders::collect_fences(&self.shared, ask).await)
     }
@@ -91,7 +91,7 @@
 
     async fn page(&self, mut conn: Conn) -> Conn {
         let Some(ask) = read_packed::<PageRequest>(&mut conn).await else {
-            return malformed(conn);
+            return reply_malformed(conn);
         };
         let page = Page::answer(self.shared.journal.ring(), &ask);
         reply(conn, &Packed::new(&page))
@@ -99,8 +99,8 @@
 
     /// Answers an ask from a claimer or another keeper.
     async fn keeper(&self, mut conn: Conn) -> Conn {
-        let Some(ask) = message::<KeeperAsk>(&mut conn).await else {
-            return malformed(conn);
+        let Some(ask) = read_message::<KeeperAsk>(&mut conn).await else {
+            return reply_malformed(conn);
         };
         let answer = self.shared.keys.answer_ask(&self.shared, ask);
         reply(conn, &answer)
@@ -108,8 +108,8 @@
 
     /// Exchanges suspicions with another entry.
     async fn suspected(&self, mut conn: Conn) -> Conn {
-        let Some(suspected) = message::<Suspected>(&mut conn).await else {
-            return malformed(conn);
+        let Some(suspected) = read_message::<Suspected>(&mut conn).await else {
+            return reply_malformed(conn);
         };
         let answer = self
             .shared
@@ -119,8 +119,8 @@
     }
 
     async fn events(&self, mut conn: Conn) -> Conn {
-        let Some(since) = message::<Stamp>(&mut conn).await else {
-            return malformed(conn);
+        let Some(since) = read_message::<Stamp>(&mut conn).await else {
+            return reply_malformed(conn);
         };
         reply(conn, &self.shared.journal.ring().since(since))
     }
@@ -147,5 +147,5 @@
 
 /// Reads a message whose fields are encoded by position.
 async fn read_packed<T: serde::de::DeserializeOwned>(conn: &mut Conn) -> Option<T> {
-    message::<Packed>(conn).await?.unpack().ok()
+    read_message::<Packed>(conn).await?.unpack().ok()
 }
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -11,7 +11,7 @@
 use snipemast_backing::metrics::Metrics;
 use snipemast_core::prelude::*;
 use snipemast_settings::EntrySettings;
-use snipemast_wire::{listen, spawn, Listening, Stamped};
+use snipemast_wire::{listen, spawn, ServerHandle, Stamped};
 
 use crate::admit::{admit_forever, exchange_demands_forever};
 use crate::choose::sync_forever;
@@ -61,9 +61,9 @@
 #[derive(Debug)]
 pub struct Entry {
     shared: Arc<Shared>,
-    callers: Listening,
-    own: Listening,
-    operators: Option<Listening>,
+    callers: ServerHandle,
+    own: ServerHandle,
+    operators: Option<ServerHandle>,
     tasks: Vec<Task<()>>,
 }
 
@@ -143,7 +143,7 @@
 
     /// Returns the address for operators, if the settings have one.
     pub fn operators(&self) -> Option<SocketAddr> {
-        self.operators.as_ref().map(Listening::address)
+        self.operators.as_ref().map(ServerHandle::address)
     }
 
     /// Drains, waits until every answer is complete or the shutdown limit has passed, and ends.
@@ -210,7 +210,7 @@
     (timeline, OperatorApi::new(Arc::clone(shared)))
 }
 
-async fn bind(address: SocketAddr, handler: impl Handler) -> Result<Listening> {
+async fn bind(address: SocketAddr, handler: impl Handler) -> Result<ServerHandle> {
     listen(address, handler)
         .await
         .change_context(EntryError::Bind(address))
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -261,7 +261,7 @@
             .record(Event::AnswerFailed, self.driver.request(), &problem);
         // A caller that disconnected needs no reason.
         let _ = out.send(problem.to_event().into_bytes()).await;
-        out.cut().await;
+        out.abort().await;
     }
 }
 
--- a/crates/entry/src/voter.rs
+++ b/crates/entry/src/voter.rs
@@ -33,7 +33,7 @@
 use snipemast_wire::control::{
     path, Batch, Change, ControlHost, Hello, Submit, Submitted, VoterStatus,
 };
-use snipemast_wire::serve::{malformed, message, reply};
+use snipemast_wire::serve::{read_message, reply, reply_malformed};
 use snipemast_wire::{spawn, Peer};
 
 use engine::{Engine, Request};
@@ -312,23 +312,23 @@
     }
 
     async fn on_hello(&self, mut conn: Conn) -> Conn {
-        let Some(Hello { .. }) = message(&mut conn).await else {
-            return malformed(conn);
+        let Some(Hello { .. }) = read_message(&mut conn).await else {
+            return reply_malformed(conn);
         };
         reply(conn, &self.shared.control_host.lock().clone())
     }
 
     async fn on_messages(&self, mut conn: Conn) -> Conn {
-        let Some(batch) = message::<Batch>(&mut conn).await else {
-            return malformed(conn);
+        let Some(batch) = read_message::<Batch>(&mut conn).await else {
+            return reply_malformed(conn);
         };
         let answers = self.links.receive(batch).await;
         reply(conn, &answers)
     }
 
     async fn on_submit(&self, mut conn: Conn) -> Conn {
-        let Some(Submit { command, left }) = message(&mut conn).await else {
-            return malformed(conn);
+        let Some(Submit { command, left }) = read_message(&mut conn).await else {
+            return reply_malformed(conn);
         };
         reply(
             conn,
@@ -340,8 +340,8 @@
     }
 
     async fn on_change(&self, mut conn: Conn) -> Conn {
-        let Some(Change { change, left }) = message(&mut conn).await else {
-            return malformed(conn);
+        let Some(Change { change, left }) = read_message(&mut conn).await else {
+            return reply_malformed(conn);
         };
         reply(
             conn,
--- a/crates/entry/tests/voters.rs
+++ b/crates/entry/tests/voters.rs
@@ -16,7 +16,7 @@
 use snipemast_control::{ConfigMachine, Location, Timing, VoterChange};
 use snipemast_core::prelude::*;
 use snipemast_entry::voter::{LogStorage, SubmitError, Voter, VoterOptions};
-use snipemast_wire::{listen, spawn, Listening};
+use snipemast_wire::{listen, spawn, ServerHandle};
 
 const SUBMIT_TIMEOUT: Span = Span::from_secs(10);
 
@@ -46,7 +46,7 @@
     options: VoterOptions,
     /// The accepted patches by version, as the host's state machine has them.
     history: Arc<Mutex<BTreeMap<Version, Option<PatchId>>>>,
-    _listening: Listening,
+    _listening: ServerHandle,
 }
 
 impl Host {
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -21,7 +21,7 @@
 use crate::links::{Links, Place};
 
 /// A process of the fleet, by its place in [`Fleet::processes`].
-pub type Index = usize;
+pub type ProcessIndex = usize;
 
 /// What runs in a process.
 #[derive(Debug)]
@@ -59,16 +59,16 @@
     /// Exchanges and calls that it answered.
     pub answered: u64,
     /// Time in its state machine and codec, in nanoseconds.
-    pub work: u64,
+    pub work_nanos: u64,
 }
 
 /// An event that a process recorded.
 #[derive(Debug, Clone)]
-pub struct Noted {
+pub struct RecordedEvent {
     /// When.
     pub at: Moment,
     /// Which process.
-    pub process: Index,
+    pub process: ProcessIndex,
     /// What.
     pub event: Event,
     /// Whom it is about.
@@ -79,15 +79,15 @@
 
 #[derive(Debug)]
 enum Job {
-    Wake(Index, u32, Moment),
+    Wake(ProcessIndex, u32, Moment),
     Arrive(Call),
-    Back(Index, u32, Token, Packed),
-    Late(Index, u32, Token),
+    Back(ProcessIndex, u32, Token, Packed),
+    Late(ProcessIndex, u32, Token),
 }
 
 #[derive(Debug)]
 struct Call {
-    from: Index,
+    from: ProcessIndex,
     start: u32,
     token: Token,
     to: SocketAddr,
@@ -130,11 +130,11 @@
     /// The wire.
     pub links: Links,
     /// What was recorded.
-    pub noted: Vec<Noted>,
+    pub recorded: Vec<RecordedEvent>,
     /// Changes of views since they were last taken: when, at which entry, of which agent.
-    pub changed: Vec<(Moment, Index, HostId)>,
+    pub changed: Vec<(Moment, ProcessIndex, HostId)>,
     /// Living and connected agents that fell out of an entry's view: when, where, which.
-    pub drops: Vec<(Moment, Index, HostId)>,
+    pub drops: Vec<(Moment, ProcessIndex, HostId)>,
     /// How entries are set up.
     pub tuning: Tuning,
     /// How agents are set up.
@@ -142,10 +142,10 @@
     now: Moment,
     queue: BinaryHeap<Reverse<Queued>>,
     order: u64,
-    addresses: HashMap<SocketAddr, Index>,
-    hosts: HashMap<HostId, Index>,
-    open: HashSet<(Index, u32, Token)>,
-    wakes: HashMap<Index, Moment>,
+    addresses: HashMap<SocketAddr, ProcessIndex>,
+    hosts: HashMap<HostId, ProcessIndex>,
+    open: HashSet<(ProcessIndex, u32, Token)>,
+    wakes: HashMap<ProcessIndex, Moment>,
     dice: StdRng,
 }
 
@@ -155,7 +155,7 @@
         Self {
             processes: Vec::new(),
             links: Links::new(seed),
-            noted: Vec::new(),
+            recorded: Vec::new(),
             changed: Vec::new(),
             drops: Vec::new(),
             hosts: HashMap::new(),
@@ -177,21 +177,26 @@
     }
 
     /// Adds an entry, which starts now.
-    pub fn add_entry(&mut self, place: Place, seeds: Vec<SocketAddr>) -> Index {
+    pub fn add_entry(&mut self, place: Place, seeds: Vec<SocketAddr>) -> ProcessIndex {
         let index = self.add(place, 0);
         self.start_entry(index, seeds, Incarnation::new(1));
         index
     }
 
     /// Adds an agent, which starts now.
-    pub fn add_agent(&mut self, place: Place, info: ServerInfo, seeds: Vec<SocketAddr>) -> Index {
+    pub fn add_agent(
+        &mut self,
+        place: Place,
+        info: ServerInfo,
+        seeds: Vec<SocketAddr>,
+    ) -> ProcessIndex {
         let index = self.add(place, 1);
         self.start_agent(index, info, seeds, Incarnation::new(1));
         index
     }
 
     /// Starts an entry's process, anew where one ran.
-    pub fn start_entry(&mut self, index: Index, seeds: Vec<SocketAddr>, start: Incarnation) {
+    pub fn start_entry(&mut self, index: ProcessIndex, seeds: Vec<SocketAddr>, start: Incarnation) {
         let process = &self.processes[index];
         let card = NodeCard {
             process: ProcessId::new(process.place.host.clone(), start),
@@ -208,7 +213,7 @@
     /// Starts an agent's process, anew where one ran.
     pub fn start_agent(
         &mut self,
-        index: Index,
+        index: ProcessIndex,
         info: ServerInfo,
         seeds: Vec<SocketAddr>,
         start: Incarnation,
@@ -230,18 +235,18 @@
     }
 
     /// Ends a process without a word.
-    pub fn crash(&mut self, index: Index) {
+    pub fn crash(&mut self, index: ProcessIndex) {
         self.processes[index].role = None;
         self.processes[index].start += 1;
     }
 
     /// Keeps a process from running for a while; what reaches it waits.
-    pub fn stall(&mut self, index: Index, span: Span) {
+    pub fn stall(&mut self, index: ProcessIndex, span: Span) {
         self.processes[index].asleep = self.now + span;
     }
 
     /// Gives an entry an input.
-    pub fn tell(&mut self, index: Index, input: Input) {
+    pub fn send_input(&mut self, index: ProcessIndex, input: Input) {
         if let Some(Role::Entry(node)) = &mut self.processes[index].role {
             let outputs = node.handle(self.now, input);
             self.entry_outputs(index, outputs, None);
@@ -250,7 +255,7 @@
     }
 
     /// Gives an agent an input.
-    pub fn tell_agent(&mut self, index: Index, input: AnnounceInput) {
+    pub fn send_agent_input(&mut self, index: ProcessIndex, input: AnnounceInput) {
         if let Some(Role::Agent(announcer)) = &mut self.processes[index].role {
             let outputs = announcer.handle(self.now, input);
             self.agent_outputs(index, outputs);
@@ -259,7 +264,7 @@
     }
 
     /// An entry's membership, where it runs.
-    pub fn node(&self, index: Index) -> Option<&Node> {
+    pub fn node(&self, index: ProcessIndex) -> Option<&Node> {
         match &self.processes[index].role {
             Some(Role::Entry(node)) => Some(node),
             _ => None,
@@ -267,7 +272,7 @@
     }
 
     /// An agent's leases, where it runs.
-    pub fn announcer(&self, index: Index) -> Option<&Announcer> {
+    pub fn announcer(&self, index: ProcessIndex) -> Option<&Announcer> {
         match &self.processes[index].role {
             Some(Role::Agent(announcer)) => Some(announcer),
             _ => None,
@@ -275,12 +280,12 @@
     }
 
     /// The entries that run.
-    pub fn entries(&self) -> impl Iterator<Item = (Index, &Node)> {
+    pub fn entries(&self) -> impl Iterator<Item = (ProcessIndex, &Node)> {
         (0..self.processes.len()).filter_map(|i| self.node(i).map(|n| (i, n)))
     }
 
     /// The agents that run.
-    pub fn agents(&self) -> impl Iterator<Item = (Index, &Announcer)> {
+    pub fn agents(&self) -> impl Iterator<Item = (ProcessIndex, &Announcer)> {
         (0..self.processes.len()).filter_map(|i| self.announcer(i).map(|a| (i, a)))
     }
 
@@ -311,14 +316,14 @@
         }
     }
 
-    fn sleeper(&self, job: &Job) -> Option<Index> {
+    fn sleeper(&self, job: &Job) -> Option<ProcessIndex> {
         match job {
             Job::Wake(index, ..) | Job::Back(index, ..) | Job::Late(index, ..) => Some(*index),
             Job::Arrive(call) => self.addresses.get(&call.to).copied(),
         }
     }
 
-    fn wake(&mut self, index: Index, start: u32, due: Moment) {
+    fn wake(&mut self, index: ProcessIndex, start: u32, due: Moment) {
         if self.processes[index].start != start || self.wakes.get(&index) != Some(&due) {
             return;
         }
@@ -349,13 +354,13 @@
         };
         let outputs = node.handle(self.now, input);
         let meter = &mut self.processes[index].meter;
-        meter.work += begun.elapsed().as_nanos() as u64;
+        meter.work_nanos += begun.elapsed().as_nanos() as u64;
         meter.answered += 1;
         self.entry_outputs(index, outputs, Some(&call));
         self.schedule(index);
     }
 
-    fn back(&mut self, index: Index, start: u32, token: Token, bytes: &Packed) {
+    fn back(&mut self, index: ProcessIndex, start: u32, token: Token, bytes: &Packed) {
         if !self.open.remove(&(index, start, token)) || self.processes[index].start != start {
             return;
         }
@@ -376,7 +381,7 @@
         self.schedule(index);
     }
 
-    fn late(&mut self, index: Index, start: u32, token: Token) {
+    fn late(&mut self, index: ProcessIndex, start: u32, token: Token) {
         if !self.open.remove(&(index, start, token)) || self.processes[index].start != start {
             return;
         }
@@ -390,11 +395,11 @@
         self.schedule(index);
     }
 
-    fn work(&mut self, index: Index, handle: impl FnOnce(&mut Process, Moment) -> Done) {
+    fn work(&mut self, index: ProcessIndex, handle: impl FnOnce(&mut Process, Moment) -> Done) {
         let now = self.now;
         let begun = Instant::now();
         let done = handle(&mut self.processes[index], now);
-        self.processes[index].meter.work += begun.elapsed().as_nanos() as u64;
+        self.processes[index].meter.work_nanos += begun.elapsed().as_nanos() as u64;
         match done {
             Done::Entry(outputs) => self.entry_outputs(index, outputs, None),
             Done::Agent(outputs) => self.agent_outputs(index, outputs),
@@ -402,7 +407,7 @@
         }
     }
 
-    fn entry_outputs(&mut self, index: Index, outputs: Vec<Output>, call: Option<&Call>) {
+    fn entry_outputs(&mut self, index: ProcessIndex, outputs: Vec<Output>, call: Option<&Call>) {
         for output in outputs {
             match output {
                 Output::Send {
@@ -426,7 +431,7 @@
                     event,
                     subject,
                     detail,
-                } => self.noted.push(Noted {
+                } => self.recorded.push(RecordedEvent {
                     at: self.now,
                     process: index,
                     event,
@@ -439,7 +444,7 @@
     }
 
     /// Keeps what changed, and whether a living and connected agent fell out of the view.
-    fn note_changed(&mut self, index: Index, hosts: Vec<HostId>) {
+    fn note_changed(&mut self, index: ProcessIndex, hosts: Vec<HostId>) {
         for host in hosts {
             if self.is_dropped(index, &host) {
                 self.drops.push((self.now, index, host.clone()));
@@ -448,19 +453,19 @@
         }
     }
 
-    fn is_dropped(&self, index: Index, host: &HostId) -> bool {
+    fn is_dropped(&self, index: ProcessIndex, host: &HostId) -> bool {
         let Some(agent) = self.hosts.get(host) else {
             return false;
         };
         let places = (&self.processes[index].place, &self.processes[*agent].place);
-        let connected =
-            self.links.carries(places.0, places.1) && self.links.carries(places.1, places.0);
+        let connected = self.links.is_connected(places.0, places.1)
+            && self.links.is_connected(places.1, places.0);
         let lives = self.announcer(*agent).is_some_and(|a| !a.card().draining);
         let seen = self.node(index).and_then(|n| n.agent_view(host));
         connected && lives && seen.is_none_or(|a| !a.is_routable())
     }
 
-    fn agent_outputs(&mut self, index: Index, outputs: Vec<AnnounceOutput>) {
+    fn agent_outputs(&mut self, index: ProcessIndex, outputs: Vec<AnnounceOutput>) {
         for output in outputs {
             match output {
                 AnnounceOutput::Send {
@@ -472,7 +477,7 @@
                     let bytes = self.pack(index, &message);
                     self.call(index, token, to, bytes, timeout, true);
                 }
-                AnnounceOutput::Superseded { by, address } => self.noted.push(Noted {
+                AnnounceOutput::Superseded { by, address } => self.recorded.push(RecordedEvent {
                     at: self.now,
                     process: index,
                     event: Event::IdentityClash,
@@ -483,18 +488,18 @@
         }
     }
 
-    fn pack<T: serde::Serialize>(&mut self, index: Index, message: &T) -> Packed {
+    fn pack<T: serde::Serialize>(&mut self, index: ProcessIndex, message: &T) -> Packed {
         let begun = Instant::now();
         let bytes = Packed::new(message);
         let meter = &mut self.processes[index].meter;
-        meter.work += begun.elapsed().as_nanos() as u64;
+        meter.work_nanos += begun.elapsed().as_nanos() as u64;
         meter.sent += bytes.size() as u64;
         bytes
     }
 
     fn call(
         &mut self,
-        from: Index,
+        from: ProcessIndex,
         token: Token,
         to: SocketAddr,
         bytes: Packed,
@@ -522,7 +527,7 @@
         }
     }
 
-    fn answer(&mut self, index: Index, call: Option<&Call>, bytes: Packed) {
+    fn answer(&mut self, index: ProcessIndex, call: Option<&Call>, bytes: Packed) {
         let Some(call) = call else {
             return;
         };
@@ -536,7 +541,7 @@
         }
     }
 
-    fn add(&mut self, place: Place, kind: u8) -> Index {
+    fn add(&mut self, place: Place, kind: u8) -> ProcessIndex {
         let index = self.processes.len();
         let number = index as u16;
         let address = SocketAddr::from(([10, kind, (number >> 8) as u8, number as u8], 7_000));
@@ -553,7 +558,7 @@
         index
     }
 
-    fn run_role(&mut self, index: Index, role: Role) {
+    fn run_role(&mut self, index: ProcessIndex, role: Role) {
         let process = &mut self.processes[index];
         process.role = Some(role);
         process.start += 1;
@@ -562,7 +567,7 @@
     }
 
     /// Sees to it that the process wakes when it wants to.
-    fn schedule(&mut self, index: Index) {
+    fn schedule(&mut self, index: ProcessIndex) {
         let process = &self.processes[index];
         let due = match &process.role {
             Some(Role::Entry(node)) => node.next_tick(),
--- a/crates/fakes/src/group.rs
+++ b/crates/fakes/src/group.rs
@@ -13,14 +13,14 @@
 use snipemast_groups::agree::{ActiveMap, EngineStatus, Permit};
 use snipemast_servers::protocol;
 use snipemast_wire::group::path;
-use snipemast_wire::serve::{malformed, message, reply};
+use snipemast_wire::serve::{read_message, reply, reply_malformed};
 
 /// Steps whose maps are remembered for the check.
 const RECORD: usize = 4_096;
 
 /// One step, entered with more than one map.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Torn {
+pub struct MapConflict {
     /// The step.
     pub step: Step,
     /// The map that a rank entered it with first.
@@ -46,7 +46,7 @@
 pub struct LockStep {
     seats: Vec<Seat>,
     record: BTreeMap<Step, MapVersion>,
-    torn: Option<Torn>,
+    torn: Option<MapConflict>,
     highest: MapVersion,
 }
 
@@ -128,7 +128,7 @@
     }
 
     /// The first step that was entered with two maps.
-    pub fn torn(&self) -> Option<Torn> {
+    pub fn map_conflict(&self) -> Option<MapConflict> {
         self.torn
     }
 
@@ -152,7 +152,7 @@
         self.highest = self.highest.max(version);
         let first = *self.record.entry(step).or_insert(version);
         if first != version && self.torn.is_none() {
-            self.torn = Some(Torn {
+            self.torn = Some(MapConflict {
                 step,
                 first,
                 second: version,
@@ -267,8 +267,8 @@
                 reply(conn, &status)
             }
             path::ENGINE_PERMIT => {
-                let Some(permit) = message::<Permit>(&mut conn).await else {
-                    return malformed(conn);
+                let Some(permit) = read_message::<Permit>(&mut conn).await else {
+                    return reply_malformed(conn);
                 };
                 let mut steps = self.steps.lock();
                 steps.permit(self.rank, permit);
@@ -277,9 +277,9 @@
                 reply(conn, &status)
             }
             path::ENGINE_WEIGHTS => {
-                let Some((version, map)) = message::<(MapVersion, SharedMap)>(&mut conn).await
+                let Some((version, map)) = read_message::<(MapVersion, SharedMap)>(&mut conn).await
                 else {
-                    return malformed(conn);
+                    return reply_malformed(conn);
                 };
                 self.steps.lock().load(self.rank, version, map);
                 reply(conn, &version)
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -26,4 +26,4 @@
 pub use links::{Links, Place, Side};
 pub use service::FakeService;
 pub use weights::FakeStore;
-pub use wire::{FakeWire, WireMode};
+pub use wire::{FakeProxy, ProxyMode};
--- a/crates/fakes/src/links.rs
+++ b/crates/fakes/src/links.rs
@@ -71,12 +71,12 @@
 
     /// Cuts both directions between two sides.
     pub fn cut(&mut self, one: Side, other: Side) {
-        self.cut_way(one.clone(), other.clone());
-        self.cut_way(other, one);
+        self.cut_one_way(one.clone(), other.clone());
+        self.cut_one_way(other, one);
     }
 
     /// Cuts one direction.
-    pub fn cut_way(&mut self, from: Side, to: Side) {
+    pub fn cut_one_way(&mut self, from: Side, to: Side) {
         self.cuts.push(Cut { from, to });
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Whether the wire carries messages from one process to the other at all.
-    pub fn carries(&self, from: &Place, to: &Place) -> bool {
+    pub fn is_connected(&self, from: &Place, to: &Place) -> bool {
         from.host == to.host
             || !self
                 .cuts
@@ -96,7 +96,7 @@
 
     /// How long a message takes, or nothing where it gets lost.
     pub fn delay(&mut self, from: &Place, to: &Place) -> Option<Span> {
-        if !self.carries(from, to) || self.dice.random::<f64>() < self.loss {
+        if !self.is_connected(from, to) || self.dice.random::<f64>() < self.loss {
             return None;
         }
         let base = if from.zone == to.zone {
--- a/crates/fakes/src/wire.rs
+++ b/crates/fakes/src/wire.rs
@@ -23,19 +23,19 @@
 
 /// What a wire does.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum WireMode {
+pub enum ProxyMode {
     /// It passes everything on.
     #[default]
-    Passes,
+    Forward,
     /// It delays each piece.
-    Delays(Span),
+    Delay(Span),
     /// It sends what comes from the near side to the far side twice, on two connections.
-    Doubles,
+    Duplicate,
 }
 
 /// A TCP wire to one address.
 #[derive(Debug)]
-pub struct FakeWire {
+pub struct FakeProxy {
     address: SocketAddr,
     state: Arc<State>,
     task: Task<()>,
@@ -44,7 +44,7 @@
 #[derive(Debug, Default)]
 struct State {
     target: Mutex<Option<SocketAddr>>,
-    mode: Mutex<WireMode>,
+    mode: Mutex<ProxyMode>,
     /// Connections opened up to this number are silent for good.
     silent: AtomicU64,
     /// Connections opened up to this number are broken off.
@@ -53,7 +53,7 @@
     carried: AtomicU64,
 }
 
-impl FakeWire {
+impl FakeProxy {
     /// A wire that listens on loopback and leads nowhere yet.
     pub async fn start() -> io::Result<Self> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
@@ -73,12 +73,12 @@
     }
 
     /// Leads to this address from now on.
-    pub fn aim(&self, target: SocketAddr) {
+    pub fn set_target(&self, target: SocketAddr) {
         *self.state.target.lock() = Some(target);
     }
 
     /// Does this from now on.
-    pub fn set_mode(&self, mode: WireMode) {
+    pub fn set_mode(&self, mode: ProxyMode) {
         *self.state.mode.lock() = mode;
     }
 
@@ -131,8 +131,8 @@
     near.set_nodelay(true)?;
     far.set_nodelay(true)?;
     let double = match *state.mode.lock() {
-        WireMode::Doubles => true,
-        WireMode::Passes | WireMode::Delays(_) => false,
+        ProxyMode::Duplicate => true,
+        ProxyMode::Forward | ProxyMode::Delay(_) => false,
     };
     let second = match double {
         true => Some(TcpStream::connect(target).await?),
@@ -177,7 +177,7 @@
             return Ok(());
         }
         let mode = *state.mode.lock();
-        if let WireMode::Delays(span) = mode {
+        if let ProxyMode::Delay(span) = mode {
             smol::Timer::after(span.as_duration()).await;
         }
         if number <= state.silent.load(Ordering::SeqCst) {
--- a/crates/fakes/tests/engine.rs
+++ b/crates/fakes/tests/engine.rs
@@ -5,9 +5,9 @@
 use snipemast_core::prelude::*;
 use snipemast_fakes::FakeEngine;
 use snipemast_wire::connect::client;
-use snipemast_wire::{listen, Listening};
+use snipemast_wire::{listen, ServerHandle};
 
-async fn engine(pace: Span) -> Listening {
+async fn engine(pace: Span) -> ServerHandle {
     let info = ServerInfo {
         server: "engine-0".parse().expect("a valid name"),
         offers: Vec::new(),
@@ -24,7 +24,7 @@
     listen(any, engine).await.expect("port 0 binds")
 }
 
-async fn post(server: &Listening, path: &str, body: &Value) -> String {
+async fn post(server: &ServerHandle, path: &str, body: &Value) -> String {
     let url = format!("http://{}{path}", server.address());
     let conn = client().post(url.as_str()).with_body(body.to_string());
     let mut conn = conn.await.expect("an answer");
@@ -34,7 +34,7 @@
         .expect("a whole answer")
 }
 
-async fn get(server: &Listening, path: &str) -> Value {
+async fn get(server: &ServerHandle, path: &str) -> Value {
     let url = format!("http://{}{path}", server.address());
     let mut conn = client().get(url.as_str()).await.expect("an answer");
     let text = conn
--- a/crates/gateway/src/request_log.rs
+++ b/crates/gateway/src/request_log.rs
@@ -61,7 +61,7 @@
     pub(crate) fn log_unlogged(&self) {
         for detail in self.unlogged.0.lock().drain(..) {
             let journal = &self.state.journal;
-            journal.log_after(Event::RequestRouted, &self.name, detail);
+            journal.log_deferred(Event::RequestRouted, &self.name, detail);
         }
     }
 
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Simulates what all gateways together send to a server that names a limit, without a network.
 
-use snipemast_core::hash::{below, fraction, mix};
+use snipemast_core::hash::{fraction, index_below, mix};
 use snipemast_core::prelude::*;
 use snipemast_placement::allowances::GrantLease;
 use snipemast_placement::Allowances;
@@ -82,7 +82,7 @@
 
     fn millis(&mut self, most: usize) -> Span {
         let number = self.next();
-        Span::from_millis(below(number, most) as u64)
+        Span::from_millis(index_below(number, most) as u64)
     }
 }
 
--- a/crates/groups/tests/agreement.rs
+++ b/crates/groups/tests/agreement.rs
@@ -32,7 +32,7 @@
     assert_eq!(before, MapVersion::new(1));
     run(&mut world, 100);
     assert_eq!(world.group.last().unwrap().1, MapVersion::new(2));
-    assert_eq!(world.group.torn(), None);
+    assert_eq!(world.group.map_conflict(), None);
     assert_eq!(world.held, 0);
 }
 
@@ -217,7 +217,7 @@
         .expect("rank 2 has a map again");
     assert_eq!(active.version, MapVersion::new(301));
     assert_eq!(world.group.last().unwrap().1, MapVersion::new(301));
-    assert_eq!(world.group.torn(), None);
+    assert_eq!(world.group.map_conflict(), None);
 }
 
 /// Failure guarded against: the lead tells only one rank to commit and dies with its host. That
@@ -244,7 +244,7 @@
         .collect();
     assert_eq!(versions, [MapVersion::new(2); 3]);
     run(&mut world, 100);
-    assert_eq!(world.group.torn(), None);
+    assert_eq!(world.group.map_conflict(), None);
 }
 
 /// Failure guarded against: a rank has reported to the lead of a new incarnation that an attempt is
@@ -305,7 +305,7 @@
     world.settle();
     run(&mut world, 20);
     assert_eq!(world.group.last().unwrap().1, MapVersion::new(2));
-    assert_eq!(world.group.torn(), None);
+    assert_eq!(world.group.map_conflict(), None);
 }
 
 /// Proposes map 2 and delivers all messages but the lost ones.
--- a/crates/groups/tests/common/sim.rs
+++ b/crates/groups/tests/common/sim.rs
@@ -369,7 +369,7 @@
 
 fn check_maps(sim: &Sim) -> Result<(), Violation> {
     let group = &sim.world.group;
-    if let Some(torn) = group.torn() {
+    if let Some(torn) = group.map_conflict() {
         return Err(Violation::MixedMaps(format!("{torn:?}")));
     }
     let active = sim.world.agents.iter().filter_map(|a| a.active_map());
--- a/crates/groups/tests/explore.rs
+++ b/crates/groups/tests/explore.rs
@@ -269,7 +269,7 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        match self.world.group.torn() {
+        match self.world.group.map_conflict() {
             Some(torn) => Err(format!("{torn:?}")),
             None => Ok(()),
         }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use snipemast_core::prelude::*;
-use snipemast_fakes::fleet::Index;
+use snipemast_fakes::fleet::ProcessIndex;
 use snipemast_fakes::{Fleet, Place};
 
 /// The zones of the small fleets, which are in one region.
@@ -42,8 +42,8 @@
 /// A fleet over the three zones, and the indexes of its entries and agents.
 pub(crate) struct SmallFleet {
     pub(crate) fleet: Fleet,
-    pub(crate) entries: Vec<Index>,
-    pub(crate) agents: Vec<Index>,
+    pub(crate) entries: Vec<ProcessIndex>,
+    pub(crate) agents: Vec<ProcessIndex>,
 }
 
 impl SmallFleet {
@@ -75,7 +75,7 @@
         small
     }
 
-    pub(crate) fn add_entry(&mut self, number: usize) -> Index {
+    pub(crate) fn add_entry(&mut self, number: usize) -> ProcessIndex {
         let seeds = self.seeds();
         let zone = ZONES[number % ZONES.len()];
         let place = place(&format!("entry-{number}"), zone);
@@ -84,7 +84,7 @@
         index
     }
 
-    pub(crate) fn add_agent(&mut self, number: usize) -> Index {
+    pub(crate) fn add_agent(&mut self, number: usize) -> ProcessIndex {
         let zone = ZONES[number % ZONES.len()];
         let name = format!("agent-{number}");
         let seeds = self.zone_seeds(zone);
@@ -110,7 +110,7 @@
             .collect()
     }
 
-    pub(crate) fn host(&self, index: Index) -> HostId {
+    pub(crate) fn host(&self, index: ProcessIndex) -> HostId {
         self.fleet.processes[index].place.host.clone()
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Returns the hosts of the agents that an entry would route to.
-    pub(crate) fn routable(&self, entry: Index) -> Vec<HostId> {
+    pub(crate) fn routable(&self, entry: ProcessIndex) -> Vec<HostId> {
         let Some(node) = self.fleet.node(entry) else {
             return Vec::new();
         };
@@ -138,7 +138,7 @@
     pub(crate) fn removed_entries(&self) -> Vec<String> {
         let removed = self
             .fleet
-            .noted
+            .recorded
             .iter()
             .filter(|n| n.event == Event::MemberRemoved && n.subject.starts_with("entry"));
         removed.map(|n| n.subject.clone()).collect()
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -50,7 +50,7 @@
     use snipemast_membership::AnnounceInput;
     let mut small = SmallFleet::start(9, 19, 4);
     let leaving = small.agents[7];
-    small.fleet.tell_agent(leaving, AnnounceInput::Drain);
+    small.fleet.send_agent_input(leaving, AnnounceInput::Drain);
     small.run_secs(2);
     let host = small.host(leaving);
     for index in small.entries.clone() {
@@ -64,9 +64,9 @@
 fn entry_leaves() {
     let mut small = SmallFleet::start(9, 19, 5);
     let gone = small.entries[0];
-    small.fleet.tell(gone, Input::Drain);
+    small.fleet.send_input(gone, Input::Drain);
     small.run_secs(4);
-    small.fleet.tell(gone, Input::Leave);
+    small.fleet.send_input(gone, Input::Leave);
     small.run_secs(1);
     small.fleet.crash(gone);
     for _ in 0..20 {
@@ -100,13 +100,13 @@
 fn long_stall() {
     let mut small = SmallFleet::start(3, 3, 7);
     let stalled = small.entries[0];
-    small.fleet.noted.clear();
+    small.fleet.recorded.clear();
     small.fleet.stall(stalled, Span::from_secs(8));
     small.run_secs(8);
     // The entry is the only one of its zone, so its agents have no other. The other zones rightly
     // consider a zone that doesn't answer as cut off. Only what the entry itself reports counts.
     small.fleet.run(Span::from_millis(2_500));
-    let reported = small.fleet.noted.iter().any(|n| {
+    let reported = small.fleet.recorded.iter().any(|n| {
         n.process == stalled && n.event == Event::MemberRemoved && n.subject.starts_with("agent")
     });
     assert!(!reported, "the entry dropped its agents after the stall");
@@ -123,8 +123,8 @@
     small
         .fleet
         .links
-        .cut_way(Side::Host(one), Side::Host(other));
-    small.fleet.noted.clear();
+        .cut_one_way(Side::Host(one), Side::Host(other));
+    small.fleet.recorded.clear();
     small.run_secs(60);
     let removed = small.removed_entries();
     assert!(removed.is_empty(), "{removed:?}");
@@ -170,13 +170,13 @@
     small.fleet.crash(small.entries[0]);
     small.fleet.crash(small.agents[1]);
     small.run_secs(30);
-    small.fleet.noted.clear();
+    small.fleet.recorded.clear();
     small.fleet.links.heal();
     small.run_secs(30);
     small.assert_agree("after the heal");
     let back = small
         .fleet
-        .noted
+        .recorded
         .iter()
         .any(|n| n.event == Event::MemberJoined && n.subject.starts_with("entry-0:"));
     assert!(!back, "an entry that died during the cut came back");
@@ -190,7 +190,10 @@
     let zone: ZoneId = id("machachi");
     for other in ["pichincha", "cumbaya"] {
         let other = Side::Zone(id(other));
-        small.fleet.links.cut_way(other, Side::Zone(zone.clone()));
+        small
+            .fleet
+            .links
+            .cut_one_way(other, Side::Zone(zone.clone()));
     }
     small.run_secs(15);
     for (_, node) in small.fleet.entries().filter(|(_, n)| n.card().zone != zone) {
@@ -217,7 +220,7 @@
     small.run_secs(20);
     let clash = small
         .fleet
-        .noted
+        .recorded
         .iter()
         .find(|n| n.event == Event::IdentityClash);
     let clash = clash.expect("the clash is logged");
@@ -243,7 +246,7 @@
     small.run_secs(10);
     let reported = small
         .fleet
-        .noted
+        .recorded
         .iter()
         .any(|n| n.event == Event::IdentityClash && n.process == small.agents[0]);
     assert!(reported, "the earlier agent was not told");
@@ -340,7 +343,7 @@
 fn lossy_links() {
     let mut small = SmallFleet::start(9, 19, 17);
     small.fleet.drops.clear();
-    small.fleet.noted.clear();
+    small.fleet.recorded.clear();
     small.fleet.links.loss = 0.05;
     small.run_secs(600);
     assert!(small.fleet.drops.is_empty(), "{:?}", small.fleet.drops);
@@ -355,7 +358,7 @@
     for value in [1_u8, 2] {
         let life = Span::from_secs(60);
         let input = Input::Publish(Topic::Suspicion, vec![value], life);
-        small.fleet.tell(small.entries[3], input);
+        small.fleet.send_input(small.entries[3], input);
         small.run_secs(3);
     }
     for (_, node) in small.fleet.entries() {
--- a/crates/membership/tests/matrix.rs
+++ b/crates/membership/tests/matrix.rs
@@ -10,7 +10,7 @@
 
 use common::{id, info, SmallFleet, ZONES};
 use snipemast_core::prelude::*;
-use snipemast_fakes::fleet::Index;
+use snipemast_fakes::fleet::ProcessIndex;
 use snipemast_fakes::Side;
 use snipemast_membership::{AnnounceInput, Input};
 
@@ -71,8 +71,8 @@
 struct Case {
     small: SmallFleet,
     scenario: String,
-    missed: BTreeMap<(Index, Index), Moment>,
-    started: BTreeMap<Index, Moment>,
+    missed: BTreeMap<(ProcessIndex, ProcessIndex), Moment>,
+    started: BTreeMap<ProcessIndex, Moment>,
     starts: u64,
 }
 
@@ -101,7 +101,7 @@
             Fault::ZoneCut => self.cut_zone(1 + twin, true, true),
             Fault::ZoneDeaf => self.cut_zone(1 + twin, true, false),
             Fault::ZoneMute => self.cut_zone(1 + twin, false, true),
-            Fault::EntryDeaf => self.small.fleet.links.cut_way(zone, host),
+            Fault::EntryDeaf => self.small.fleet.links.cut_one_way(zone, host),
             Fault::Lossy => self.small.fleet.links.loss = 0.2,
         }
     }
@@ -112,10 +112,10 @@
             let other = Side::Zone(id(other));
             let links = &mut self.small.fleet.links;
             if into {
-                links.cut_way(other.clone(), inside.clone());
+                links.cut_one_way(other.clone(), inside.clone());
             }
             if out {
-                links.cut_way(inside.clone(), other);
+                links.cut_one_way(inside.clone(), other);
             }
         }
     }
@@ -127,9 +127,14 @@
                 let index = self.small.add_agent(6);
                 self.started.insert(index, self.small.fleet.now());
             }
-            Step::AgentDrains => self.small.fleet.tell_agent(agent, AnnounceInput::Drain),
+            Step::AgentDrains => self
+                .small
+                .fleet
+                .send_agent_input(agent, AnnounceInput::Drain),
             Step::AgentLeaves => {
-                self.small.fleet.tell_agent(agent, AnnounceInput::Leave);
+                self.small
+                    .fleet
+                    .send_agent_input(agent, AnnounceInput::Leave);
                 self.small.fleet.crash(agent);
             }
             Step::AgentMoves => {
@@ -138,9 +143,9 @@
                 let links = &mut self.small.fleet.links;
                 links.cut(Side::Host(from), Side::Host(host));
             }
-            Step::EntryDrains => self.small.fleet.tell(entry, Input::Drain),
+            Step::EntryDrains => self.small.fleet.send_input(entry, Input::Drain),
             Step::EntryLeaves => {
-                self.small.fleet.tell(entry, Input::Leave);
+                self.small.fleet.send_input(entry, Input::Leave);
                 self.small.fleet.crash(entry);
             }
             Step::EntryJoins => {
@@ -150,7 +155,7 @@
         }
     }
 
-    fn restart_agent(&mut self, agent: Index) {
+    fn restart_agent(&mut self, agent: ProcessIndex) {
         self.starts += 1;
         let name = self.small.host(agent).to_string();
         let zone = self.small.fleet.processes[agent].place.zone.to_string();
@@ -162,7 +167,7 @@
         self.started.insert(agent, self.small.fleet.now());
     }
 
-    fn restart_entry(&mut self, entry: Index) {
+    fn restart_entry(&mut self, entry: ProcessIndex) {
         self.starts += 1;
         let seeds = self.small.seeds();
         let start = Incarnation::new(self.starts);
@@ -197,7 +202,7 @@
         }
     }
 
-    fn is_missed(&self, entry: Index, agent: Index) -> bool {
+    fn is_missed(&self, entry: ProcessIndex, agent: ProcessIndex) -> bool {
         let fleet = &self.small.fleet;
         let (Some(node), Some(announcer)) = (fleet.node(entry), fleet.announcer(agent)) else {
             return false;
@@ -216,10 +221,10 @@
 
     /// Whether the entry and the agent reach each other, and the agent also reaches an entry of its
     /// zone that reaches the other entry.
-    fn is_connected(&self, entry: Index, agent: Index) -> bool {
+    fn is_connected(&self, entry: ProcessIndex, agent: ProcessIndex) -> bool {
         let fleet = &self.small.fleet;
-        let place = |i: Index| &fleet.processes[i].place;
-        let both = |a, b| fleet.links.carries(a, b) && fleet.links.carries(b, a);
+        let place = |i: ProcessIndex| &fleet.processes[i].place;
+        let both = |a, b| fleet.links.is_connected(a, b) && fleet.links.is_connected(b, a);
         let near = self
             .small
             .entries
@@ -312,7 +317,9 @@
             case.fault(fault, 0);
             case.run(millis);
             let agent = case.small.agents[3];
-            case.small.fleet.tell_agent(agent, AnnounceInput::Drain);
+            case.small
+                .fleet
+                .send_agent_input(agent, AnnounceInput::Drain);
             case.small.run_secs(3);
             let host = case.small.host(agent);
             for entry in case.small.entries.clone() {
--- a/crates/placement/src/passes.rs
+++ b/crates/placement/src/passes.rs
@@ -81,7 +81,7 @@
             return false;
         };
         seen.last = now;
-        seen.usual_pause = seen.usual_pause.following(pause, PAUSE_MEAN_PARTS);
+        seen.usual_pause = seen.usual_pause.smoothed(pause, PAUSE_MEAN_PARTS);
         if is_long {
             seen.long_since.get_or_insert(now);
             return false;
--- a/crates/placement/src/pick.rs
+++ b/crates/placement/src/pick.rs
@@ -13,7 +13,7 @@
 use std::fmt::Debug;
 
 use snipemast_core::data;
-use snipemast_core::hash::{below, fraction, mix};
+use snipemast_core::hash::{fraction, index_below, mix};
 use snipemast_core::prelude::*;
 
 /// The cost of a server in another availability zone, in requests. Requests that stay in their zone
@@ -115,10 +115,10 @@
         if eligible.is_empty() {
             return None;
         }
-        let draw = |number: u64| eligible[below(mix(chance ^ number), eligible.len())];
+        let draw = |number: u64| eligible[index_below(mix(chance ^ number), eligible.len())];
         // With two servers, the busier one must not be drawn twice.
         let (one, other) = match eligible[..] {
-            [one, other] if below(mix(chance), 2) == 0 => (one, other),
+            [one, other] if index_below(mix(chance), 2) == 0 => (one, other),
             [one, other] => (other, one),
             _ => (draw(1), draw(2)),
         };
--- a/crates/placement/src/rests.rs
+++ b/crates/placement/src/rests.rs
@@ -7,7 +7,7 @@
 
 use snipemast_core::hash::{fraction, mix};
 use snipemast_core::prelude::*;
-use snipemast_core::starts::Starts;
+use snipemast_core::starts::StartMap;
 
 /// The longest jitter that is added to a rest, as a fraction of the rest and as a span.
 const JITTER_FRACTION: f64 = 0.25;
@@ -28,7 +28,7 @@
 /// a while, or moves, still rests. Only a new start of it does not.
 #[derive(Debug, Default)]
 pub struct Rests {
-    servers: Starts<Rest>,
+    servers: StartMap<Rest>,
     /// Differs between gateways, so that they don't come back at once.
     seed: u64,
 }
@@ -49,7 +49,7 @@
     /// Creates a tracker in which no server rests.
     pub fn new(seed: u64) -> Self {
         Self {
-            servers: Starts::new(),
+            servers: StartMap::new(),
             seed,
         }
     }
@@ -66,7 +66,7 @@
         self.servers.insert(server, start, Rest::new(until));
         let is_recent = |rest: &Rest| now < rest.until + RETENTION;
         self.servers.retain(|_, _, rest| is_recent(rest));
-        self.servers.shrink(MAX_RESTS, |rest| rest.until);
+        self.servers.evict_lowest(MAX_RESTS, |rest| rest.until);
     }
 
     /// Records that a server refused a request and asks for no rest. If it rested before, it gets
--- a/crates/placement/src/servers.rs
+++ b/crates/placement/src/servers.rs
@@ -267,7 +267,7 @@
         /// The number of answers over which the usual duration is averaged.
         const DURATION_MEAN_PARTS: u64 = 16;
         let usual = self.usual_durations.entry(service.clone()).or_insert(took);
-        *usual = usual.following(took, DURATION_MEAN_PARTS);
+        *usual = usual.smoothed(took, DURATION_MEAN_PARTS);
     }
 
     /// Records that a request at a start of a server has ended, whether it succeeded or not.
--- a/crates/registry/src/leaving.rs
+++ b/crates/registry/src/leaving.rs
@@ -2,7 +2,7 @@
 
 use snipemast_core::data;
 use snipemast_core::prelude::*;
-use snipemast_core::starts::Starts;
+use snipemast_core::starts::StartMap;
 
 /// How long a leaving start is remembered once the table doesn't know it any more, because it may
 /// come back with later news.
@@ -26,7 +26,7 @@
 /// The starts of servers that are leaving. None of them ever becomes ready again.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct LeavingServers {
-    known: Starts<Notice>,
+    known: StartMap<Notice>,
 }
 
 /// What is known of a start that is leaving.
@@ -53,7 +53,7 @@
             return false;
         }
         self.known.insert(server, start, Notice { first, reported });
-        self.known.shrink(MAX_STARTS, |notice| notice.first);
+        self.known.evict_lowest(MAX_STARTS, |notice| notice.first);
         true
     }
 
--- a/crates/registry/src/table.rs
+++ b/crates/registry/src/table.rs
@@ -10,7 +10,7 @@
 
 use snipemast_core::data;
 use snipemast_core::prelude::*;
-use snipemast_core::starts::Starts;
+use snipemast_core::starts::StartMap;
 
 use crate::announcement::{Announcement, Standing};
 use crate::leaving::{LeavingServer, LeavingServers};
@@ -67,7 +67,7 @@
     holders: HashMap<SocketAddr, ServerId>,
     ranks: HashMap<SocketAddr, KnownRank>,
     /// The latest limits that servers named in their answers.
-    limits: Starts<KnownLimit>,
+    limits: StartMap<KnownLimit>,
     leaving: LeavingServers,
     /// When servers last said goodbye to this process; the start that did may not be known yet.
     goodbyes: HashMap<ServerId, Moment>,
--- a/crates/routing/src/hash.rs
+++ b/crates/routing/src/hash.rs
@@ -4,7 +4,7 @@
 
 use xxhash_rust::xxh3::Xxh3Default;
 
-pub use snipemast_core::hash::{below, mix};
+pub use snipemast_core::hash::{index_below, mix};
 
 /// Returns a hash that is the same in every process.
 pub fn stable_hash(value: &impl Hash) -> u64 {
--- a/crates/routing/src/pick.rs
+++ b/crates/routing/src/pick.rs
@@ -2,7 +2,7 @@
 
 use snipemast_core::prelude::*;
 
-use crate::hash::{below, mix};
+use crate::hash::{index_below, mix};
 use crate::pool::{Means, Pool, Proximity, Tier};
 use crate::prefix::{Hints, Prefix};
 use crate::query::{Choice, Query, RoutingPolicy, ServerIndex};
@@ -134,7 +134,7 @@
         let mut draw = draw;
         for _ in 0..self.policy.draws * 3 {
             draw = mix(draw);
-            let index = *tier.servers.get(below(draw, tier.servers.len()))?;
+            let index = *tier.servers.get(index_below(draw, tier.servers.len()))?;
             if last == Some(index) && tier.servers.len() > 1 {
                 continue;
             }
@@ -160,7 +160,7 @@
         fitness: Fitness,
         stalled: &mut Option<u32>,
     ) -> Option<Scored> {
-        let start = below(draw, tier.servers.len());
+        let start = index_below(draw, tier.servers.len());
         let (head, tail) = tier.servers.split_at(start);
         let mut all = tail.iter().chain(head);
         let index = *all.find(|&&index| self.is_fit(index, tier, fitness, stalled))?;
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -4,7 +4,7 @@
 //! in the same way and divides them up, so each server belongs to one entry of a round. For any
 //! number of entries, the counts of entries that the servers have differ by at most one.
 
-use crate::hash::{below, mix};
+use crate::hash::{index_below, mix};
 
 /// The subset of servers that one entry keeps connections to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 
 fn shuffle(servers: &mut [u32], round: u64) {
     for n in (1..servers.len()).rev() {
-        let pick = below(mix(mix(round) ^ n as u64), n + 1);
+        let pick = index_below(mix(mix(round) ^ n as u64), n + 1);
         servers.swap(n, pick);
     }
 }
--- a/crates/wire/src/follow.rs
+++ b/crates/wire/src/follow.rs
@@ -13,23 +13,23 @@
 use crate::peer::Peer;
 
 /// A process that a follower feeds.
-pub trait Sink: Send + Sync {
+pub trait ConfigSink: Send + Sync {
     /// The clock that the follower runs on.
     fn clock(&self) -> &Clock;
 
     /// What the process has in force, and those that ask it.
-    fn standing(&self) -> (ProcessVersion, Census);
+    fn versions(&self) -> (ProcessVersion, Census);
 
     /// Brings a later version into force.
-    fn bring(&self, config: Arc<Config>, delta: Option<Delta>);
+    fn apply(&self, config: Arc<Config>, delta: Option<Delta>);
 
     /// Notes whether a source answers, how old its news is, and the highest fencing number
     /// that was heard of.
-    fn note(&self, linked: bool, age: Option<Span>, fence: Fence);
+    fn update_link(&self, linked: bool, age: Option<Span>, fence: Fence);
 }
 
 /// Follows the sources, the preferred one first, for as long as the process lives.
-pub async fn follow_forever<S: Sink>(sink: &S, sources: &[SocketAddr], follower: Follower) {
+pub async fn follow_forever<S: ConfigSink>(sink: &S, sources: &[SocketAddr], follower: Follower) {
     let peers: Vec<Peer> = sources.iter().copied().map(Peer::new).collect();
     let mut follower = follower;
     let mut queue = VecDeque::new();
@@ -42,7 +42,7 @@
             };
             queue.extend(follower.handle(sink.clock().now(), input));
             let now = sink.clock().now();
-            sink.note(follower.is_linked(), follower.age(now), follower.fence());
+            sink.update_link(follower.is_linked(), follower.age(now), follower.fence());
         }
         let rest = sink.clock().now().until(follower.wake());
         smol::Timer::after(rest.as_duration()).await;
@@ -50,7 +50,7 @@
 }
 
 /// Does what the follower wants; a question comes back with its answer or its loss.
-async fn perform<S: Sink>(sink: &S, peers: &[Peer], output: Output) -> Option<Input> {
+async fn perform<S: ConfigSink>(sink: &S, peers: &[Peer], output: Output) -> Option<Input> {
     match output {
         Output::Send {
             id,
@@ -58,7 +58,7 @@
             ask,
             timeout,
         } => {
-            let (standing, below) = sink.standing();
+            let (standing, below) = sink.versions();
             let poll = ConfigPoll {
                 ask,
                 standing,
@@ -75,7 +75,7 @@
             None
         }
         Output::Apply { config, delta } => {
-            sink.bring(config, delta.map(|d| *d));
+            sink.apply(config, delta.map(|d| *d));
             None
         }
     }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -141,7 +141,7 @@
             if let Some(last) = self.last.take() {
                 return Ok(last);
             }
-            if let Some(frame) = self.ready()? {
+            if let Some(frame) = self.try_next()? {
                 if !is_last(&frame.part) {
                     return Ok(frame);
                 }
@@ -161,7 +161,7 @@
     }
 
     /// The next frame, where it has come already.
-    pub fn ready(&mut self) -> Result<Option<Frame>> {
+    pub fn try_next(&mut self) -> Result<Option<Frame>> {
         let Some(length) = self.length() else {
             return Ok(None);
         };
--- a/crates/wire/src/group.rs
+++ b/crates/wire/src/group.rs
@@ -49,5 +49,5 @@
 
     /// The word that a message was taken; what comes of it is sent by itself.
     #[derive(Copy)]
-    pub struct Taken;
+    pub struct Ack;
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -35,7 +35,7 @@
 
 pub use codec::{decode, encode, encode_into, CodecError};
 pub use config::ConfigPoll;
-pub use follow::{follow_forever, Sink};
+pub use follow::{follow_forever, ConfigSink};
 pub use frame::{Frame, FrameReader, FrameWriter, Part};
 pub use gossip::Packed;
 pub use message::{
@@ -44,5 +44,5 @@
 };
 pub use peer::{Peer, PeerError, PeerErrorKind, Stream};
 pub use pipe::{pipe, PipeReader, PipeWriter};
-pub use serve::{listen, spawn, Listening};
+pub use serve::{listen, spawn, ServerHandle};
 pub use stamp::Stamped;
--- a/crates/wire/src/order.rs
+++ b/crates/wire/src/order.rs
@@ -82,11 +82,11 @@
         /// How many voters there are.
         pub voters: u32,
         /// Each voter's word.
-        pub told: Vec<Told>,
+        pub told: Vec<VoterFence>,
     }
 
     /// One voter's word.
-    pub struct Told {
+    pub struct VoterFence {
         /// The voter's host.
         pub host: HostId,
         /// No leader with a lower number can still be in office with this voter's help.
--- a/crates/wire/src/pipe.rs
+++ b/crates/wire/src/pipe.rs
@@ -41,7 +41,7 @@
     }
 
     /// Breaks the body off, so that the receiver sees it was cut.
-    pub async fn cut(&self) {
+    pub async fn abort(&self) {
         let cut = io::Error::new(io::ErrorKind::ConnectionAborted, "the answer was cut");
         // A reader that is gone needs no word.
         let _ = self.sender.send(Err(cut)).await;
--- a/crates/wire/src/serve.rs
+++ b/crates/wire/src/serve.rs
@@ -20,13 +20,13 @@
 
 /// A server that listens: its address, and the handle that stops it.
 #[derive(Debug)]
-pub struct Listening {
+pub struct ServerHandle {
     address: SocketAddr,
     stopper: Stopper,
     task: Task<()>,
 }
 
-impl Listening {
+impl ServerHandle {
     /// The address that was bound.
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -61,7 +61,7 @@
 }
 
 /// Binds the address, port 0 for any, and serves it in the background.
-pub async fn listen(address: SocketAddr, handler: impl Handler) -> std::io::Result<Listening> {
+pub async fn listen(address: SocketAddr, handler: impl Handler) -> std::io::Result<ServerHandle> {
     let listener = std::net::TcpListener::bind(address)?;
     let address = listener.local_addr()?;
     listener.set_nonblocking(true)?;
@@ -74,7 +74,7 @@
         .with_stopper(stopper.clone())
         .with_http_config(HttpConfig::default().with_received_body_max_len(MAX_MESSAGE))
         .run_async(handler);
-    Ok(Listening {
+    Ok(ServerHandle {
         address,
         stopper,
         task: spawn(server),
@@ -100,7 +100,7 @@
 }
 
 /// Reads the message of a request, or nothing where it is not one.
-pub async fn message<T: DeserializeOwned>(conn: &mut Conn) -> Option<T> {
+pub async fn read_message<T: DeserializeOwned>(conn: &mut Conn) -> Option<T> {
     let bytes = conn.request_body().await.read_bytes().await.ok()?;
     decode(&bytes).ok()
 }
@@ -119,12 +119,12 @@
 }
 
 /// Answers that the request is not the expected message.
-pub fn malformed(conn: Conn) -> Conn {
+pub fn reply_malformed(conn: Conn) -> Conn {
     conn.with_status(Status::BadRequest).halt()
 }
 
 /// Answers with a stream of frames.
-pub fn stream(conn: Conn, frames: PipeReader) -> Conn {
+pub fn reply_stream(conn: Conn, frames: PipeReader) -> Conn {
     let body = trillium::Body::new_streaming(frames, None);
     keep_alive(conn)
         .with_status(Status::Ok)
--- a/crates/wire/tests/connect.rs
+++ b/crates/wire/tests/connect.rs
@@ -3,7 +3,7 @@
 use trillium::{async_trait, Conn, Handler};
 
 use snipemast_wire::connect::client;
-use snipemast_wire::{listen, Listening};
+use snipemast_wire::{listen, ServerHandle};
 
 /// Answers with the body it got, unless the path asks for less.
 struct Echo;
@@ -25,7 +25,7 @@
     }
 }
 
-async fn echo() -> Listening {
+async fn echo() -> ServerHandle {
     let any = "127.0.0.1:0".parse().expect("an address");
     listen(any, Echo).await.expect("port 0 binds")
 }
--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -27,7 +27,7 @@
 use snipemast_settings::agent::AgentLimits;
 use snipemast_settings::entry::EntryLimits;
 use snipemast_settings::{AgentSettings, ControlSettings, EntrySettings};
-use snipemast_wire::{listen, Listening};
+use snipemast_wire::{listen, ServerHandle};
 
 /// The key of the fleet's one workspace.
 pub const KEY: &str = "workspace-key";
@@ -39,7 +39,7 @@
     pub entry: Entry,
     /// The agents, in the order in which they were added.
     pub agents: Vec<Agent>,
-    fakes: Vec<Listening>,
+    fakes: Vec<ServerHandle>,
     patches: u64,
 }
 
@@ -119,7 +119,7 @@
             .await;
     }
 
-    async fn add_agent(&mut self, name: &str, fake: Listening) {
+    async fn add_agent(&mut self, name: &str, fake: ServerHandle) {
         self.add_beside(name, fake.address()).await;
         self.fakes.push(fake);
     }
--- a/tests/src/wired.rs
+++ b/tests/src/wired.rs
@@ -7,8 +7,8 @@
 
 use snipemast_agent::Agent;
 use snipemast_core::prelude::*;
-use snipemast_fakes::{FakeEngine, FakeService, FakeWire};
-use snipemast_wire::{listen, Listening};
+use snipemast_fakes::{FakeEngine, FakeProxy, FakeService};
+use snipemast_wire::{listen, ServerHandle};
 
 use crate::{agent_settings, id, info, journal, loopback, pause, Fleet};
 
@@ -16,10 +16,10 @@
 #[derive(Debug)]
 pub struct Behind {
     /// The wire.
-    pub wire: FakeWire,
+    pub wire: FakeProxy,
     /// The agent.
     pub agent: Agent,
-    _fake: Listening,
+    _fake: ServerHandle,
 }
 
 /// A fleet whose agents stand behind wires.
@@ -75,14 +75,14 @@
         self.add(name, fake).await;
     }
 
-    async fn add(&mut self, name: &str, fake: Listening) {
-        let wire = FakeWire::start().await.expect("port 0");
+    async fn add(&mut self, name: &str, fake: ServerHandle) {
+        let wire = FakeProxy::start().await.expect("port 0");
         let settings = agent_settings(name, fake.address(), self.fleet.entry.own());
         let journal = journal(&settings.host);
         let reached = Some(wire.address());
         let agent = Agent::start_advertised(settings, Incarnation::new(1), journal, reached).await;
         let agent = agent.expect("an agent starts on port 0");
-        wire.aim(agent.address());
+        wire.set_target(agent.address());
         self.agents.push(Behind {
             wire,
             agent,
--- a/tests/src/zones.rs
+++ b/tests/src/zones.rs
@@ -11,7 +11,7 @@
 use snipemast_core::prelude::*;
 use snipemast_entry::Entry;
 use snipemast_settings::EntrySettings;
-use snipemast_wire::Listening;
+use snipemast_wire::ServerHandle;
 
 use crate::{agent_settings, entry_settings, id, journal, loopback, pause, KEY};
 
@@ -160,7 +160,7 @@
 }
 
 /// Serves a fake on any port.
-pub async fn serve(fake: impl trillium::Handler) -> Listening {
+pub async fn serve(fake: impl trillium::Handler) -> ServerHandle {
     let fake = snipemast_wire::listen(loopback(), fake).await;
     fake.expect("a fake starts on port 0")
 }
--- a/tests/tests/configuration.rs
+++ b/tests/tests/configuration.rs
@@ -189,7 +189,7 @@
         reach(edge.shared(), 1).await;
         let mut total = 0;
         for _ in 0..3_000 {
-            let (standing, _) = snipemast_wire::Sink::standing(control.shared().as_ref());
+            let (standing, _) = snipemast_wire::ConfigSink::versions(control.shared().as_ref());
             total = control.shared().distributor.census(&standing).total();
             if total == 3 {
                 return;
--- a/tests/tests/groups.rs
+++ b/tests/tests/groups.rs
@@ -9,14 +9,14 @@
 use snipemast_groups::agree::Proposal;
 use snipemast_groups::map::ExpertMap;
 use snipemast_tests::{agent_settings, id, info, journal, loopback, pause};
-use snipemast_wire::group::{path, GroupBody, GroupMessage, Taken};
-use snipemast_wire::{listen, Listening, Peer};
+use snipemast_wire::group::{path, Ack, GroupBody, GroupMessage};
+use snipemast_wire::{listen, Peer, ServerHandle};
 
 /// Three agents, their engines, and the caller of the control role's orders.
 struct Ranks {
     group: FakeGroup,
     agents: Vec<Agent>,
-    engines: Vec<Listening>,
+    engines: Vec<ServerHandle>,
 }
 
 impl Ranks {
@@ -121,7 +121,7 @@
         body,
     };
     let told = Peer::new(agent.address())
-        .call::<_, Taken>(path::GROUP, &message, Span::from_secs(10))
+        .call::<_, Ack>(path::GROUP, &message, Span::from_secs(10))
         .await;
     told.expect("an agent takes a message");
 }
@@ -139,7 +139,7 @@
         ranks.step_until(1).await;
         ranks.propose_until(0, 1, &dealt(9), 2).await;
         ranks.step_until(2).await;
-        assert_eq!(ranks.group.steps().lock().torn(), None);
+        assert_eq!(ranks.group.steps().lock().map_conflict(), None);
     });
 }
 
@@ -168,6 +168,6 @@
         }
         assert_eq!(ranks.versions(), [1, 1, 1]);
         assert!(ranks.group.steps().lock().completed().get() > before.get() + 20);
-        assert_eq!(ranks.group.steps().lock().torn(), None);
+        assert_eq!(ranks.group.steps().lock().map_conflict(), None);
     });
 }
--- a/tests/tests/membership.rs
+++ b/tests/tests/membership.rs
@@ -7,7 +7,7 @@
 use snipemast_entry::Entry;
 use snipemast_fakes::FakeEngine;
 use snipemast_tests::{agent_settings, entry_settings, id, info, journal, loopback, pause};
-use snipemast_wire::{listen, Listening};
+use snipemast_wire::{listen, ServerHandle};
 
 /// How many steps of 20 ms a test waits for what must come about.
 const STEPS: usize = 1_500;
@@ -16,7 +16,7 @@
 struct Zone {
     entries: Vec<Entry>,
     agents: Vec<Agent>,
-    fakes: Vec<Listening>,
+    fakes: Vec<ServerHandle>,
 }
 
 impl Zone {
--- a/tests/tests/requests.rs
+++ b/tests/tests/requests.rs
@@ -1,7 +1,7 @@
 //! Requests over loopback while the wire between entry and agent misbehaves.
 
 use snipemast_core::prelude::*;
-use snipemast_fakes::WireMode;
+use snipemast_fakes::ProxyMode;
 use snipemast_tests::wired::Wired;
 use snipemast_tests::{answer, pause, Answer};
 
@@ -53,7 +53,7 @@
     smol::block_on(async {
         let mut wired = Wired::start().await;
         wired.add_service("desk-0").await;
-        wired.agents[0].wire.set_mode(WireMode::Doubles);
+        wired.agents[0].wire.set_mode(ProxyMode::Duplicate);
         for _ in 0..5 {
             let answer = answer(wired.order("one order")).await;
             assert_eq!(
@@ -91,7 +91,7 @@
     smol::block_on(async {
         let mut wired = Wired::start().await;
         wired.add_engine("engine-0").await;
-        let slow = WireMode::Delays(Span::from_millis(60));
+        let slow = ProxyMode::Delay(Span::from_millis(60));
         wired.agents[0].wire.set_mode(slow);
         assert_eq!(words(&answer(wired.stream(6)).await), 6);
     });
--- a/tests/tests/requests_keys.rs
+++ b/tests/tests/requests_keys.rs
@@ -7,10 +7,10 @@
 use trillium::{async_trait, Conn, Handler};
 
 use snipemast_core::prelude::*;
-use snipemast_fakes::{FakeEngine, FakeService, FakeWire};
+use snipemast_fakes::{FakeEngine, FakeProxy, FakeService};
 use snipemast_tests::zones::{serve, Zones};
 use snipemast_tests::{answer, id, info, loopback, pause, Answer};
-use snipemast_wire::Listening;
+use snipemast_wire::ServerHandle;
 
 fn mesa() -> serde_json::Value {
     json!({ "services": { "mesa": { "kind": "plain" } } })
@@ -95,11 +95,11 @@
 }
 
 /// Lets a dead engine be gone: connections break, and new ones lead nowhere.
-async fn bury(wire: FakeWire, dead: Arc<AtomicBool>) {
+async fn bury(wire: FakeProxy, dead: Arc<AtomicBool>) {
     while !dead.load(Ordering::SeqCst) {
         pause(2).await;
     }
-    wire.aim(loopback());
+    wire.set_target(loopback());
     wire.reset();
     pause(60_000).await;
 }
@@ -108,7 +108,7 @@
 struct Pool {
     zones: Zones,
     dead: Vec<Arc<AtomicBool>>,
-    _served: Vec<Listening>,
+    _served: Vec<ServerHandle>,
 }
 
 impl Pool {
@@ -144,8 +144,8 @@
             dead: Arc::clone(&dead),
         };
         let served = serve(fragile).await;
-        let wire = FakeWire::start().await.expect("port 0");
-        wire.aim(served.address());
+        let wire = FakeProxy::start().await.expect("port 0");
+        wire.set_target(served.address());
         self.zones.add_agent(name, wire.address()).await;
         snipemast_wire::spawn(bury(wire, Arc::clone(&dead))).detach();
         self._served.push(served);
--- a/tests/tests/timeline.rs
+++ b/tests/tests/timeline.rs
@@ -52,7 +52,7 @@
             since: None,
         };
         let timeline = collect(fleet.entry.shared(), &asked).await;
-        assert!(timeline.records.iter().all(|r| r.names(&id)));
+        assert!(timeline.records.iter().all(|r| r.mentions(&id)));
         assert_eq!(hosts(&timeline), ["entry-0", "engine-0", "entry-0"]);
         let events: Vec<Event> = timeline.records.iter().map(|r| r.event).collect();
         assert_eq!(events.first(), Some(&Event::RequestReceived));
