--- a/crates/agent/src/orders/service.rs
+++ b/crates/agent/src/orders/service.rs
@@ -145,7 +145,7 @@
         (standing, Census::default())
     }
 
-    fn apply(&self, config: Arc<Config>, _: Option<Delta>) {
+    fn apply_config(&self, config: Arc<Config>, _: Option<Delta>) {
         let version = config.version;
         self.config.store(config);
         self.journal.record(Event::VersionApplied, version, "");
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -35,7 +35,7 @@
         (standing, below)
     }
 
-    fn apply(&self, config: Arc<Config>, delta: Option<Delta>) {
+    fn apply_config(&self, config: Arc<Config>, delta: Option<Delta>) {
         self.advance(config, delta);
     }
 
--- a/crates/wire/src/follow.rs
+++ b/crates/wire/src/follow.rs
@@ -21,7 +21,7 @@
     fn versions(&self) -> (ProcessVersion, Census);
 
     /// Brings a later version into force.
-    fn apply(&self, config: Arc<Config>, delta: Option<Delta>);
+    fn apply_config(&self, config: Arc<Config>, delta: Option<Delta>);
 
     /// Notes whether a source answers, how old its news is, and the highest fencing number
     /// that was heard of.
@@ -75,7 +75,7 @@
             None
         }
         Output::Apply { config, delta } => {
-            sink.apply(config, delta.map(|d| *d));
+            sink.apply_config(config, delta.map(|d| *d));
             None
         }
     }
