--- a/crates/agent/src/gate/handler.rs
+++ b/crates/agent/src/gate/handler.rs
@@ -9,7 +9,7 @@
 use snipemast_requests::{Arrival, ArrivalOutcome};
 use snipemast_wire::frame::{Frame, Part, RefusalReason, Tag};
 use snipemast_wire::message::path;
-use snipemast_wire::serve::{malformed, message, reply, stream};
+use snipemast_wire::serve::{read_message, reply, reply_malformed, reply_stream};
 use snipemast_wire::{
     gossip, pipe, spawn, AttemptStatus, Cancel, Dispatch, FrameWriter, Packed, ResumeFrom, Settle,
     Settlement,
@@ -36,8 +36,8 @@
 
     /// Answers a dispatch with its frames or a refusal.
     async fn dispatch(&self, mut conn: Conn) -> Conn {
-        let Some(dispatch) = message::<Dispatch>(&mut conn).await else {
-            return malformed(conn);
+        let Some(dispatch) = read_message::<Dispatch>(&mut conn).await else {
+            return reply_malformed(conn);
         };
         match self.accept(dispatch) {
             Ok(id) => self.relay_answer(conn, id, 0),
@@ -94,8 +94,8 @@
 
     /// Answers a dispatch that runs already from an offset on.
     async fn resume(&self, mut conn: Conn) -> Conn {
-        let Some(ResumeFrom { id, agent, offset }) = message(&mut conn).await else {
-            return malformed(conn);
+        let Some(ResumeFrom { id, agent, offset }) = read_message(&mut conn).await else {
+            return reply_malformed(conn);
         };
         if agent != self.gate.process {
             return refuse(conn, &id, RefusalReason::Incarnation);
@@ -116,13 +116,13 @@
             drop(guard);
         })
         .detach();
-        stream(conn, reader)
+        reply_stream(conn, reader)
     }
 
     /// Settles the status of a dispatch.
     async fn settle(&self, mut conn: Conn) -> Conn {
-        let Some(Settle { id, agent, keep }) = message(&mut conn).await else {
-            return malformed(conn);
+        let Some(Settle { id, agent, keep }) = read_message(&mut conn).await else {
+            return reply_malformed(conn);
         };
         let settled = self.gate.shards.settle(&id, &agent, keep);
         if settled == AttemptStatus::Barred {
@@ -133,8 +133,8 @@
 
     /// Cancels a dispatch.
     async fn cancel(&self, mut conn: Conn) -> Conn {
-        let Some(Cancel { id, agent, keep }) = message(&mut conn).await else {
-            return malformed(conn);
+        let Some(Cancel { id, agent, keep }) = read_message(&mut conn).await else {
+            return reply_malformed(conn);
         };
         let settled = self.gate.shards.cancel(&id, &agent, keep);
         reply(conn, &Settlement { id, settled })
@@ -142,11 +142,11 @@
 
     /// Answers with a page of the timeline.
     async fn page(&self, mut conn: Conn) -> Conn {
-        let Some(packed) = message::<Packed>(&mut conn).await else {
-            return malformed(conn);
+        let Some(packed) = read_message::<Packed>(&mut conn).await else {
+            return reply_malformed(conn);
         };
         let Ok(ask) = packed.unpack::<PageRequest>() else {
-            return malformed(conn);
+            return reply_malformed(conn);
         };
         let page = Page::answer(self.gate.journal.ring(), &ask);
         reply(conn, &Packed::new(&page))
@@ -154,8 +154,8 @@
 
     /// Answers with the events since a stamp.
     async fn events(&self, mut conn: Conn) -> Conn {
-        let Some(since) = message::<Stamp>(&mut conn).await else {
-            return malformed(conn);
+        let Some(since) = read_message::<Stamp>(&mut conn).await else {
+            return reply_malformed(conn);
         };
         reply(conn, &self.gate.journal.ring().since(since))
     }
--- a/crates/agent/src/rank.rs
+++ b/crates/agent/src/rank.rs
@@ -19,8 +19,8 @@
     ActiveMap, EngineStatus, Lead, LeadInput, LeadOutput, LeadTerm, Margin, Permit, RankAgent,
     RankInput, RankOutput, Timer,
 };
-use snipemast_wire::group::{path, GroupBody, GroupMessage, Taken};
-use snipemast_wire::serve::{malformed, message, reply};
+use snipemast_wire::group::{path, Ack, GroupBody, GroupMessage};
+use snipemast_wire::serve::{read_message, reply, reply_malformed};
 use snipemast_wire::{spawn, Peer};
 
 /// The most messages that wait for a slow peer before further ones are dropped.
@@ -187,7 +187,7 @@
                 let group = group.clone();
                 let message = GroupMessage { group, from, body };
                 let sent = peer
-                    .call::<_, Taken>(path::GROUP, &message, SEND_TIMEOUT)
+                    .call::<_, Ack>(path::GROUP, &message, SEND_TIMEOUT)
                     .await;
                 // A connection that failed is not used again; the state machines resend.
                 if sent.is_err() {
@@ -424,12 +424,12 @@
         if conn.path() != path::GROUP {
             return conn;
         }
-        match message::<GroupMessage>(&mut conn).await {
+        match read_message::<GroupMessage>(&mut conn).await {
             Some(message) => {
                 self.driver.handle_message(message);
-                reply(conn, &Taken)
+                reply(conn, &Ack)
             }
-            None => malformed(conn),
+            None => reply_malformed(conn),
         }
     }
 }
