--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,4 +1,4 @@
-//! A clock that counts the time for which a host is suspended.
+//! A clock that includes the time for which a host is suspended.
 
 use std::time::Duration;
 
@@ -6,23 +6,23 @@
 
 use snipemast_core::prelude::*;
 
-/// The host's boot clock, as moments since this process asked first.
+/// The host's boot clock, as moments since it was created.
 ///
-/// Failure guarded against: a host is suspended for seconds and the steady clock does not count
-/// them, so a leader wakes up with a lease that others have long seen expire. The boot clock
-/// counts them.
+/// Failure guarded against: a host is suspended for seconds, which the monotonic clock does not
+/// include, so that a leader resumes with a lease that has expired for all others. The boot clock
+/// includes them.
 #[derive(Debug, Clone, Copy)]
 pub struct BootClock {
     start: Duration,
 }
 
 impl BootClock {
-    /// Starts the clock now.
+    /// Creates a clock that starts now.
     pub fn new() -> Self {
         Self { start: boot_time() }
     }
 
-    /// The present moment.
+    /// Returns the present moment.
     pub fn now(&self) -> Moment {
         let since = boot_time().saturating_sub(self.start);
         Moment::from_micros(since.as_micros() as u64)
--- a/crates/net/src/connect.rs
+++ b/crates/net/src/connect.rs
@@ -1,4 +1,4 @@
-//! One connection to a peer, owned by whoever uses it.
+//! A single connection to a peer, owned by its user.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 /// The result of connecting.
 pub type Result<T> = std::result::Result<T, Report<ConnectError>>;
 
-/// No connection to a peer.
+/// The error for a connection to a peer that could not be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectError(
     /// The peer's address.
@@ -38,9 +38,9 @@
 /// Why a request got no response.
 #[derive(Debug)]
 pub enum SendError {
-    /// Nothing of it was written: the peer has not seen it.
+    /// No part of it was written, so the peer has not seen it.
     Unsent,
-    /// It may have reached the peer.
+    /// The request may have reached the peer.
     Unknown(hyper::Error),
 }
 
@@ -55,21 +55,21 @@
 
 impl std::error::Error for SendError {}
 
-/// An open connection; dropping it closes the socket at once, whatever is under way on it.
+/// An open connection; dropping it closes the socket at once, even during an exchange.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: Task<()>,
-    /// How many requests it has carried.
+    /// The number of requests that were sent on it.
     pub request_count: u32,
 }
 
-/// Opens a connection within a limit.
+/// Opens a connection within a time limit.
 pub async fn connect(address: SocketAddr, limit: Span) -> Result<Connection> {
     connect_with_ack_timeout(address, limit, ACK_TIMEOUT).await
 }
 
-/// Opens a connection on which written bytes may stay unacknowledged for so long.
+/// Opens a connection that fails once written bytes stay unacknowledged for `ack_timeout`.
 pub async fn connect_with_ack_timeout(
     address: SocketAddr,
     limit: Span,
@@ -83,7 +83,7 @@
         .await
         .change_context_lazy(failed)?;
     let driver = spawn(async move {
-        // How it ended shows at the request or body that was under way.
+        // An error also shows at the request or body in progress.
         let _ = connection.await;
     });
     Ok(Connection {
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Whether it can take a request now: the last response was read in whole and the peer has
-    /// not closed.
+    /// Whether a request can be sent now: the last response was read to its end, and the peer has
+    /// not closed the connection.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready() && !self.driver.is_finished()
     }
--- a/crates/net/src/exec.rs
+++ b/crates/net/src/exec.rs
@@ -1,7 +1,7 @@
-//! The executor of a process: one thread runs every task.
+//! The executor of a process, which runs every task on a single thread.
 //!
-//! A fraction of a core gains nothing from more threads, and each wake-up of another thread
-//! costs processor time.
+//! A process that uses a fraction of a core gains nothing from more threads, and each wake-up of
+//! another thread costs processor time.
 
 use std::future::Future;
 
@@ -12,17 +12,17 @@
 
 static EXECUTOR: Executor<'static> = Executor::new();
 
-/// Starts a task; dropping the handle cancels it.
+/// Starts a task, which is cancelled when its handle is dropped.
 pub fn spawn<T: Send + 'static>(work: impl Future<Output = T> + Send + 'static) -> Task<T> {
     EXECUTOR.spawn(work)
 }
 
-/// Runs the process's tasks on this thread until the main task ends.
+/// Runs all tasks of the process on this thread until the main task ends.
 pub fn run<T>(main: impl Future<Output = T>) -> T {
     smol::block_on(EXECUTOR.run(main))
 }
 
-/// What the work comes to, or nothing where it takes longer than the limit.
+/// Runs a future, and returns its output unless it takes longer than the limit.
 pub async fn within<T>(limit: Span, work: impl Future<Output = T>) -> Option<T> {
     future::or(async { Some(work.await) }, async {
         Timer::after(limit.as_duration()).await;
@@ -31,7 +31,7 @@
     .await
 }
 
-/// Waits for a span.
+/// Waits for a span of time.
 pub async fn pause(span: Span) {
     Timer::after(span.as_duration()).await;
 }
--- a/crates/net/src/kept.rs
+++ b/crates/net/src/kept.rs
@@ -1,4 +1,4 @@
-//! One connection that is kept for the calls to one peer.
+//! A persistent connection to one peer.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 /// The result of an exchange.
 pub type Result<T> = std::result::Result<T, Report<ExchangeError>>;
 
-/// A request that has no whole response: no connection, or one that broke.
+/// The error for a request without a complete response, as the connection failed or broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExchangeError(
     /// The peer's address.
@@ -32,27 +32,29 @@
 
 impl std::error::Error for ExchangeError {}
 
-/// One peer, with the connection to it that is kept; requests go one after another.
+/// A peer with a persistent connection to it; requests are sent one after another.
 #[derive(Debug)]
 pub struct PersistentConnection {
     address: SocketAddr,
     limit: Span,
     ack_timeout: Span,
-    kept: Mutex<Option<Connection>>,
+    idle: Mutex<Option<Connection>>,
 }
 
 impl PersistentConnection {
-    /// No connection yet to the peer at an address; a new one may take so long.
+    /// Creates a client of the peer at an address, without a connection yet.
+    ///
+    /// Opening a connection may take as long as the limit.
     pub fn new(address: SocketAddr, limit: Span) -> Self {
         Self {
             address,
             limit,
             ack_timeout: ACK_TIMEOUT,
-            kept: Mutex::new(None),
+            idle: Mutex::new(None),
         }
     }
 
-    /// Takes the peer for gone once written bytes have stayed unacknowledged for so long.
+    /// Sets how long written bytes may stay unacknowledged before the connection fails.
     #[must_use]
     pub fn with_ack_timeout(self, ack_timeout: Span) -> Self {
         Self {
@@ -61,30 +63,30 @@
         }
     }
 
-    /// The peer's address.
+    /// Returns the peer's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// Sends a request and reads the whole response.
     ///
-    /// The connection is taken out meanwhile, so that an exchange that is cut off in the middle leaves
-    /// none behind.
+    /// The connection is removed during the exchange, so that a cancelled exchange
+    /// leaves none behind.
     pub async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<(StatusCode, Bytes)> {
-        let unanswered = ExchangeError(self.address);
-        let mut kept = self.kept.lock().await;
-        let usable = kept.take().filter(Connection::is_ready);
+        let failed = ExchangeError(self.address);
+        let mut idle = self.idle.lock().await;
+        let usable = idle.take().filter(Connection::is_ready);
         let mut connection = match usable {
             Some(connection) => connection,
             None => connect_with_ack_timeout(self.address, self.limit, self.ack_timeout)
                 .await
-                .change_context(unanswered)?,
+                .change_context(failed)?,
         };
-        let response = connection.send(request).await.change_context(unanswered)?;
+        let response = connection.send(request).await.change_context(failed)?;
         let status = response.status();
         let body = response.into_body().collect().await;
-        let body = body.change_context(unanswered)?.to_bytes();
-        *kept = Some(connection);
+        let body = body.change_context(failed)?.to_bytes();
+        *idle = Some(connection);
         Ok((status, body))
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,12 +1,12 @@
-//! HTTP/1.1 on smol: plumbing for the shells of gateway and controller.
+//! HTTP/1.1 on smol: connections, listeners and calls for the processes on the users' platform.
 //!
-//! - [`exec`]: the executor that runs every task of the process, on its main thread.
-//! - [`clock`]: a clock that counts the time for which a host is suspended.
+//! - [`exec`]: the executor that runs every task of the process on its main thread.
+//! - [`clock`]: a clock that includes the time for which a host is suspended.
 //! - [`socket`]: options of the sockets that carry requests.
-//! - [`connect`](mod@connect): one connection to a peer, owned by whoever uses it.
-//! - [`kept`]: one connection that is kept for the calls to one peer.
+//! - [`connect`](mod@connect): a single connection to a peer, owned by its user.
+//! - [`kept`]: a persistent connection to one peer.
 //! - [`serve`](mod@serve): the accept loop of a listener.
-//! - [`rpc`]: calls between own processes: one MessagePack message each way.
+//! - [`rpc`]: calls between the system's own processes, with one MessagePack message each way.
 
 pub mod clock;
 pub mod connect;
--- a/crates/net/src/rpc.rs
+++ b/crates/net/src/rpc.rs
@@ -1,4 +1,4 @@
-//! Calls between own processes: one MessagePack message each way.
+//! Calls between the system's own processes, with one MessagePack message each way.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -18,17 +18,18 @@
 /// The result of a call.
 pub type Result<T> = std::result::Result<T, Report<RpcError>>;
 
-/// How long a new connection may take: two round trips between distant zones, and one lost packet.
+/// The time limit for a new connection, enough for two round trips between distant availability
+/// zones and one lost packet.
 const CONNECT_LIMIT: Span = Span::from_millis(800);
 
-/// A call that was not answered.
+/// Why a call has no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RpcError {
-    /// No connection, no answer within the limit, or the connection broke.
+    /// There is no connection, it broke, or no answer came within the limit.
     Unanswered(SocketAddr),
     /// The peer refused the call.
     Refused(StatusCode),
-    /// A message that can't be read.
+    /// The message can't be decoded.
     Unreadable,
 }
 
@@ -36,7 +37,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unanswered(a) => write!(f, "{a} did not answer"),
-            Self::Refused(status) => write!(f, "refused with {status}"),
+            Self::Refused(status) => write!(f, "the peer refused the call with status {status}"),
             Self::Unreadable => f.write_str("the message can't be read"),
         }
     }
@@ -44,28 +45,28 @@
 
 impl std::error::Error for RpcError {}
 
-/// One peer, with the connection to it that is kept; calls go one after another.
+/// A peer with a persistent connection to it; calls are sent one after another.
 #[derive(Debug)]
 pub struct RpcClient {
     connection: PersistentConnection,
 }
 
 impl RpcClient {
-    /// A client of the process at an address.
+    /// Creates a client of the process at an address.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             connection: PersistentConnection::new(address, CONNECT_LIMIT),
         }
     }
 
-    /// Takes the peer for gone once written bytes have stayed unacknowledged for so long.
+    /// Sets how long written bytes may stay unacknowledged before the connection fails.
     #[must_use]
     pub fn with_ack_timeout(self, ack_timeout: Span) -> Self {
         let connection = self.connection.with_ack_timeout(ack_timeout);
         Self { connection }
     }
 
-    /// Calls the peer and waits for its answer, at most for the limit.
+    /// Calls the peer and waits for its answer, for at most the limit.
     pub async fn call<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
@@ -88,19 +89,19 @@
     }
 }
 
-/// A message in bytes, fields by name so that a later release may add some.
+/// Encodes a message with its field names, so that a later release may add fields.
 pub fn encode<T: Serialize>(message: &T) -> Bytes {
     rmp_serde::to_vec_named(message)
-        .expect("messages hold nothing that MessagePack can't")
+        .expect("MessagePack can encode every message")
         .into()
 }
 
-/// Reads a message.
+/// Decodes a message.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T> {
     rmp_serde::from_slice(bytes).change_context(RpcError::Unreadable)
 }
 
-/// The response that carries a message.
+/// Returns a response that carries a message.
 pub fn encode_response<T: Serialize>(message: &T) -> Response<Full<Bytes>> {
     Response::new(Full::new(encode(message)))
 }
--- a/crates/net/src/serve.rs
+++ b/crates/net/src/serve.rs
@@ -18,12 +18,13 @@
 use crate::exec::{pause, spawn};
 use crate::socket;
 
-/// The pause after an accept that failed: descriptors are short, and some may come back.
-const ACCEPT_PAUSE: Span = Span::from_millis(50);
+/// The delay after a failed accept: file descriptors may have run out, and some may be closed by then.
+const ACCEPT_RETRY_DELAY: Span = Span::from_millis(50);
 
-/// Answers the requests of every connection to a listener, until it is dropped with all of them.
+/// Answers the requests of all connections to a listener, until the returned future is dropped, which
+/// closes them.
 ///
-/// A handler is dropped when its caller closes the connection, with all that it holds.
+/// A handler's future is dropped when its caller closes the connection.
 pub async fn serve<H, F, B>(listener: TcpListener, handler: H)
 where
     H: Fn(Request<Incoming>, SocketAddr) -> F + Send + Sync + 'static,
@@ -38,7 +39,7 @@
         let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(_) => {
-                pause(ACCEPT_PAUSE).await;
+                pause(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -53,7 +54,8 @@
             });
             let mut builder = http1::Builder::new();
             let builder = builder.pipeline_flush(true).half_close(false);
-            // A caller that went away is no fault of this process; the handler's drop tells it.
+            // A caller that closes the connection is no error of this process, and the handler
+            // learns of it by being dropped.
             let _ = builder
                 .serve_connection(FuturesIo::new(stream), service)
                 .await;
@@ -65,17 +67,17 @@
 #[derive(Default)]
 struct Connections {
     tasks: Vec<Task<()>>,
-    /// How many there may be before finished ones are looked for.
-    bound: usize,
+    /// The number of tasks from which finished ones are removed.
+    prune_at: usize,
 }
 
 impl Connections {
     fn push(&mut self, task: Task<()>) {
-        /// The least number of tasks that is worth a look.
-        const LEAST: usize = 64;
-        if self.tasks.len() >= self.bound {
+        /// The minimum number of tasks from which finished ones are removed.
+        const MIN_PRUNE: usize = 64;
+        if self.tasks.len() >= self.prune_at {
             self.tasks.retain(|t| !t.is_finished());
-            self.bound = (2 * self.tasks.len()).max(LEAST);
+            self.prune_at = (2 * self.tasks.len()).max(MIN_PRUNE);
         }
         self.tasks.push(task);
     }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -9,33 +9,34 @@
 
 use snipemast_core::prelude::*;
 
-/// How long written bytes may stay unacknowledged: several retransmissions on a link that
-/// loses packets, and below the shortest bound after which callers give a silent stream up (2 s).
+/// How long written bytes may stay unacknowledged: enough for several retransmissions on a link that
+/// loses packets, and below the shortest time after which callers give up a silent stream (2 s).
 pub const ACK_TIMEOUT: Span = Span::from_millis(1_500);
 
-/// How long a connection may be silent before it is probed.
+/// How long a connection may be silent before the peer is probed.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 
-/// The pause between two probes, and how many go unanswered before the connection is dead.
-const KEEPALIVE_PAUSE: Duration = Duration::from_secs(1);
-const KEEPALIVE_COUNT: u32 = 2;
+/// The interval between two probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// The number of unanswered probes after which the connection fails.
+const KEEPALIVE_PROBES: u32 = 2;
 
-/// Sets a connection's options; written bytes may stay unacknowledged for so long.
+/// Sets a connection's options; it fails once written bytes stay unacknowledged for `ack_timeout`.
 ///
-/// Failure guarded against: the peer's host loses power or is cut off, or something on the way
-/// forgets the connection. Nothing comes any more, not even a reset, and a read waits for good.
-/// Probes and the bound on unacknowledged bytes turn the silence into an error within some 3 s.
+/// Failure guarded against: the peer's host loses power or is cut off, or a device on the path drops
+/// the state of the connection. No packet arrives any more, not even a reset, and a read waits
+/// forever. Probes and the limit on unacknowledged bytes turn the silence into an error within about 3 s.
 pub fn set_options(stream: &TcpStream, ack_timeout: Span) -> io::Result<()> {
     stream.set_nodelay(true)?;
     sockopt::set_tcp_user_timeout(stream, ack_timeout.as_millis() as u32)?;
     sockopt::set_socket_keepalive(stream, true)?;
     sockopt::set_tcp_keepidle(stream, KEEPALIVE_IDLE)?;
-    sockopt::set_tcp_keepintvl(stream, KEEPALIVE_PAUSE)?;
-    sockopt::set_tcp_keepcnt(stream, KEEPALIVE_COUNT)?;
+    sockopt::set_tcp_keepintvl(stream, KEEPALIVE_INTERVAL)?;
+    sockopt::set_tcp_keepcnt(stream, KEEPALIVE_PROBES)?;
     Ok(())
 }
 
-/// Listens at an address.
+/// Opens a listener at an address.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let listener = StdListener::bind(address)?;
     listener.set_nonblocking(true)?;
@@ -43,14 +44,14 @@
     Ok(listener.into())
 }
 
-/// Opens a connection with its options set, on which written bytes may stay unacknowledged for so long.
+/// Opens a connection within a time limit, with the options of [`set_options`]; closing it resets it.
 pub async fn open(address: SocketAddr, limit: Span, ack_timeout: Span) -> io::Result<TcpStream> {
     let stream = crate::within(limit, TcpStream::connect(address))
         .await
         .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))?;
     set_options(&stream, ack_timeout)?;
-    // Failure guarded against: a request is given up that its peer's host, which stands still, has not read; on
-    // a plain close its bytes stay there and are worked on when the host wakes up. A reset takes them back.
+    // Failure guarded against: a caller gives up a request that the peer's frozen host has not read. After a
+    // normal close the peer would read and run it when its host resumes; a reset discards it.
     sockopt::set_socket_linger(&stream, Some(Duration::ZERO))?;
     Ok(stream)
 }
