--- a/crates/servers/src/engine.rs
+++ b/crates/servers/src/engine.rs
@@ -17,15 +17,15 @@
 
 use crate::protocol;
 
-/// The result of asking a backend server.
+/// The result of a call to a backend server.
 pub type Result<T> = std::result::Result<T, Report<EngineError>>;
 
-/// A backend server that did not answer as the protocol says.
+/// Why a call to a backend server failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineError {
-    /// The connection failed or broke.
+    /// The connection failed or broke off.
     Broken(SocketAddr),
-    /// The answer is not the shape that the protocol asks for.
+    /// The answer does not follow the protocol.
     Malformed(SocketAddr),
     /// The call is not valid HTTP.
     Invalid,
@@ -43,7 +43,7 @@
 
 impl std::error::Error for EngineError {}
 
-/// A backend server, reached over a pool of connections.
+/// A client for one backend server, with a pool of connections to it.
 #[derive(Debug, Clone)]
 pub struct Engine {
     address: SocketAddr,
@@ -51,23 +51,23 @@
 }
 
 impl Engine {
-    /// The backend server that listens at this address.
+    /// Creates a client for the backend server that listens at this address.
     pub fn new(address: SocketAddr) -> Self {
         let clients = Clients::new();
         Self { address, clients }
     }
 
-    /// What the server offers.
+    /// Asks the server what it offers.
     pub async fn info(&self) -> Result<ServerInfo> {
         self.get(protocol::INFO).await
     }
 
-    /// The server's load.
+    /// Asks the server for its load.
     pub async fn load(&self) -> Result<LoadReport> {
         self.get(protocol::LOAD).await
     }
 
-    /// Sends a call and returns once the head of the answer has come.
+    /// Sends a call, and returns once the head of the answer has arrived.
     pub async fn call(&self, id: &DispatchId, call: Call) -> Result<Answer> {
         let method: Method = call
             .method
@@ -105,10 +105,10 @@
     }
 }
 
-/// Headers of an answer that go on to the caller; the others belong to the connection.
-const PASSED: [&str; 3] = ["content-type", "cache-control", "etag"];
+/// The headers of an answer that are forwarded to the caller; the others concern the connection.
+const FORWARDED_HEADERS: [&str; 3] = ["content-type", "cache-control", "etag"];
 
-/// An answer of a backend server, whose body is still coming.
+/// An answer of a backend server, whose body is read from it.
 #[derive(Debug)]
 pub struct Answer {
     conn: Conn,
@@ -116,12 +116,12 @@
 }
 
 impl Answer {
-    /// The HTTP status.
+    /// Returns the HTTP status, or 0 if there is none.
     pub fn status(&self) -> u16 {
         self.conn.status().map_or(0, |s| s as u16)
     }
 
-    /// The headers to pass on.
+    /// Returns the headers that are forwarded to the caller.
     pub fn headers(&self) -> Vec<Header> {
         let header = |name: &str| {
             let value = self.conn.response_headers().get_str(name)?;
@@ -130,15 +130,18 @@
                 value: value.into(),
             })
         };
-        PASSED.iter().filter_map(|name| header(name)).collect()
+        FORWARDED_HEADERS
+            .iter()
+            .filter_map(|name| header(name))
+            .collect()
     }
 
-    /// Breaks the connection off, which tells the server to stop its work.
+    /// Closes the connection, which tells the server to stop its work.
     ///
-    /// Failure guarded against: a caller leaves, and the engine goes on for tokens that nobody
-    /// reads. It shows as an engine that stays busy after its callers left: the HTTP library reads
-    /// an abandoned body to its end to keep the connection. It looks at the answer's headers when
-    /// it decides that, so a `close` there makes it drop the connection instead.
+    /// Failure guarded against: a caller leaves, and the engine stays busy with tokens that nobody
+    /// reads, because the HTTP library reads an abandoned body to its end in order to reuse the
+    /// connection. It decides that by the answer's headers, so a `close` there makes it drop the
+    /// connection instead.
     pub fn abort(mut self) {
         self.conn
             .response_headers_mut()
--- a/crates/servers/src/lib.rs
+++ b/crates/servers/src/lib.rs
@@ -1,8 +1,8 @@
 //! The protocol towards backend servers, as `docs/SERVERS.md` describes it.
 //!
-//! - [`protocol`]: paths, headers and JSON shapes.
+//! - [`protocol`]: paths and headers.
 //! - [`engine`]: a client for one backend server.
-//! - [`orders`]: orders to a model engine.
+//! - [`orders`]: a client for orders to one model engine.
 
 pub mod engine;
 pub mod orders;
--- a/crates/servers/src/orders.rs
+++ b/crates/servers/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to a model engine: load models, adapters and versions, or change role.
+//! Orders to a model engine, by which it loads models, adapters and versions or changes its role.
 
 use std::net::SocketAddr;
 
@@ -15,29 +15,29 @@
 use crate::protocol;
 
 data! {
-    /// An order as a model engine reads it.
+    /// An order in the form that a model engine reads.
     pub struct EngineOrder {
         /// The order's id.
         pub id: OrderId,
-        /// The fencing number; an engine that checks refuses a lower one than it has seen.
+        /// The fencing number; an engine that checks it refuses a lower one than it has seen.
         pub fence: Fence,
-        /// What to do.
+        /// What the engine has to do.
         pub action: Action,
     }
 
-    /// What an engine made of an order.
+    /// The outcome of an order at an engine.
     #[derive(Copy)]
     pub enum OrderOutcome {
-        /// It has done it.
+        /// The engine carried out the order.
         Done,
-        /// It refused the fencing number.
+        /// The engine refused the fencing number as too low.
         Old,
-        /// It failed.
+        /// The engine failed to carry out the order.
         Failed,
     }
 }
 
-/// The way orders take to one model engine.
+/// A client for orders to one model engine.
 #[derive(Debug, Clone)]
 pub struct OrderClient {
     address: SocketAddr,
@@ -45,19 +45,19 @@
 }
 
 impl OrderClient {
-    /// Orders to the engine that listens at this address.
+    /// Creates a client for the engine that listens at this address.
     pub fn new(address: SocketAddr) -> Self {
         let client = Client::new(ClientConfig::default().with_nodelay(true));
         Self { address, client }
     }
 
-    /// Passes an order on and waits until it is carried out.
+    /// Sends an order to the engine, and waits until it is carried out or the timeout has passed.
     pub async fn forward(&self, order: &EngineOrder, timeout: Span) -> Result<OrderOutcome> {
-        let late = async {
+        let timed_out = async {
             smol::Timer::after(timeout.as_duration()).await;
             Err(Report::new(EngineError::Broken(self.address)))
         };
-        self.send(order).or(late).await
+        self.send(order).or(timed_out).await
     }
 
     async fn send(&self, order: &EngineOrder) -> Result<OrderOutcome> {
