--- a/crates/callers/src/ask.rs
+++ b/crates/callers/src/ask.rs
@@ -1,4 +1,4 @@
-//! What a caller asks, read from an HTTP request.
+//! A caller's request to a service, read from an HTTP request.
 
 use std::fmt;
 
@@ -11,26 +11,26 @@
 use crate::path::service_path;
 use crate::problem::{Problem, ProblemKind};
 
-/// The result of reading what a caller asks.
+/// The result of reading a caller's request.
 pub type Result<T> = std::result::Result<T, RequestError>;
 
-/// Where a prompt is completed.
-const COMPLETIONS: &str = "/v1/completions";
-/// Where a conversation is continued.
-const CHAT: &str = "/v1/chat/completions";
+/// The path at which a prompt is completed.
+const COMPLETIONS_PATH: &str = "/v1/completions";
+/// The path at which a conversation is continued.
+const CHAT_PATH: &str = "/v1/chat/completions";
 
-/// A request to a service, read and checked.
+/// A request to a service, after its checks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceRequest {
-    /// What is asked for.
+    /// What the request is for.
     pub target: Target,
     /// The HTTP method.
     pub method: Method,
-    /// The path and query towards the backend server.
+    /// The path and query that the backend server gets.
     pub path: String,
-    /// The content type of the body, where there is one.
+    /// The content type of the body, if the request names one.
     pub content_type: Option<String>,
-    /// The body.
+    /// The request's body.
     pub body: Vec<u8>,
     /// The caller's key for a non-idempotent request.
     pub key: Option<RequestKey>,
@@ -46,7 +46,7 @@
         /// Whether the answer is streamed.
         stream: bool,
     },
-    /// A call of a plain service.
+    /// A call to a plain service.
     Plain {
         /// The service.
         service: ServiceId,
@@ -54,7 +54,7 @@
 }
 
 impl Target {
-    /// The service that is asked for.
+    /// Returns the service that the request is for.
     pub fn service(&self) -> &ServiceId {
         match self {
             Self::Model { service, .. } | Self::Plain { service } => service,
@@ -65,23 +65,23 @@
 /// Why a request can't be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestError {
-    /// There is no bearer key.
+    /// The request has no bearer key.
     KeyMissing,
-    /// Nothing stands at this path.
+    /// There is nothing at this path.
     PathUnknown,
-    /// The path would be read in more than one way.
+    /// The path can be read in more than one way.
     PathMalformed,
-    /// The path takes another method.
+    /// The path requires another method.
     MethodWrong,
     /// The body is longer than this limit.
     BodyTooLarge(Size),
-    /// The body broke off.
+    /// The body broke off before its end.
     BodyCut,
     /// The body is not JSON.
     BodyMalformed(String),
-    /// A field of the body is missing or has the wrong shape.
+    /// A field of the body is missing or malformed.
     FieldWrong(String),
-    /// A header has the wrong shape.
+    /// A header is malformed.
     HeaderWrong(String),
 }
 
@@ -120,7 +120,7 @@
     }
 }
 
-/// The hash of the bearer key that a request carries.
+/// Returns the hash of a request's bearer key.
 pub fn read_bearer_key(conn: &Conn) -> Result<KeyHash> {
     let header = conn
         .request_headers()
@@ -134,24 +134,24 @@
 }
 
 impl ServiceRequest {
-    /// Reads a request to a service.
+    /// Reads and checks a request to a service.
     pub async fn read(conn: &mut Conn, limit: Size) -> Result<Self> {
         let path = conn.path().to_string();
-        let key = key(conn)?;
+        let key = read_idempotency_key(conn)?;
         match path.as_str() {
-            COMPLETIONS | CHAT => {
-                let body = body(conn, limit).await?;
-                Self::completion(conn, path, body, key)
+            COMPLETIONS_PATH | CHAT_PATH => {
+                let body = read_body(conn, limit).await?;
+                Self::read_completion(conn, path, body, key)
             }
             _ => {
                 let (service, rest) = service_path(&path)?;
-                let body = body(conn, limit).await?;
-                Ok(Self::plain(conn, service, rest, body, key))
+                let body = read_body(conn, limit).await?;
+                Ok(Self::read_plain(conn, service, rest, body, key))
             }
         }
     }
 
-    fn completion(
+    fn read_completion(
         conn: &Conn,
         path: String,
         body: Vec<u8>,
@@ -162,19 +162,21 @@
         }
         let document: Value = serde_json::from_slice(&body)
             .map_err(|e| RequestError::BodyMalformed(e.to_string()))?;
-        let wrong = |field: &str| RequestError::FieldWrong(field.into());
-        let name = document["model"].as_str().ok_or_else(|| wrong("model"))?;
-        let service = name.parse().map_err(|_| wrong("model"))?;
-        if !is_asked(&path, &document) {
-            return Err(wrong(asked_field(&path)));
+        let invalid_field = |field: &str| RequestError::FieldWrong(field.into());
+        let name = document["model"]
+            .as_str()
+            .ok_or_else(|| invalid_field("model"))?;
+        let service = name.parse().map_err(|_| invalid_field("model"))?;
+        if !has_prompt(&path, &document) {
+            return Err(invalid_field(prompt_field(&path)));
         }
         if !matches!(&document["max_tokens"], Value::Null) && !document["max_tokens"].is_u64() {
-            return Err(wrong("max_tokens"));
+            return Err(invalid_field("max_tokens"));
         }
         let stream = match &document["stream"] {
             Value::Null => false,
             Value::Bool(stream) => *stream,
-            _ => return Err(wrong("stream")),
+            _ => return Err(invalid_field("stream")),
         };
         let target = Target::Model { service, stream };
         let content = Some("application/json".into());
@@ -188,7 +190,7 @@
         })
     }
 
-    fn plain(
+    fn read_plain(
         conn: &Conn,
         service: ServiceId,
         mut path: String,
@@ -211,41 +213,42 @@
     }
 }
 
-/// The field that holds the question.
-fn asked_field(path: &str) -> &'static str {
-    if path == CHAT {
+/// Returns the field of the body that holds the prompt or the conversation.
+fn prompt_field(path: &str) -> &'static str {
+    if path == CHAT_PATH {
         "messages"
     } else {
         "prompt"
     }
 }
 
-/// Whether a completion asks something: engines differ in how they fail where it does not.
-fn is_asked(path: &str, document: &Value) -> bool {
-    match &document[asked_field(path)] {
+/// Whether a completion has a prompt or conversation that is not empty; engines differ in how they fail
+/// without one.
+fn has_prompt(path: &str, document: &Value) -> bool {
+    match &document[prompt_field(path)] {
         Value::Array(parts) => !parts.is_empty(),
-        Value::String(_) => path != CHAT,
+        Value::String(_) => path != CHAT_PATH,
         _ => false,
     }
 }
 
-fn key(conn: &Conn) -> Result<Option<RequestKey>> {
+fn read_idempotency_key(conn: &Conn) -> Result<Option<RequestKey>> {
     let Some(text) = conn.request_headers().get_str("idempotency-key") else {
         return Ok(None);
     };
-    // The header is a quoted string in the draft standard; most callers send it bare.
+    // The header is a quoted string in the draft standard, but most callers send it without quotes.
     let key = text.trim_matches('"').parse();
     key.map(Some)
         .map_err(|_| RequestError::HeaderWrong("idempotency-key".into()))
 }
 
-async fn body(conn: &mut Conn, limit: Size) -> Result<Vec<u8>> {
+async fn read_body(conn: &mut Conn, limit: Size) -> Result<Vec<u8>> {
     let too_large = RequestError::BodyTooLarge(limit);
-    let announced = conn
+    let content_length = conn
         .request_headers()
         .get_str(KnownHeaderName::ContentLength);
-    let announced = announced.and_then(|n| n.parse().ok()).unwrap_or(0u64);
-    if announced > limit.as_bytes() {
+    let content_length = content_length.and_then(|n| n.parse().ok()).unwrap_or(0u64);
+    if content_length > limit.as_bytes() {
         return Err(too_large);
     }
     let body = conn
--- a/crates/callers/src/lib.rs
+++ b/crates/callers/src/lib.rs
@@ -1,8 +1,8 @@
 //! The HTTP interface towards callers.
 //!
-//! - [`ask`]: what a caller asks, read from an HTTP request.
-//! - `path`: the path of a plain service's call, checked.
-//! - [`problem`]: refusals and failures, as RFC 9457 problem details.
+//! - [`ask`]: a caller's request to a service, read from an HTTP request.
+//! - `path`: the check of the path of a call to a plain service.
+//! - [`problem`]: refusals and failures, as problem details according to RFC 9457.
 
 pub mod ask;
 mod path;
--- a/crates/callers/src/problem.rs
+++ b/crates/callers/src/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals and failures, as RFC 9457 problem details.
+//! Refusals and failures, as problem details according to RFC 9457.
 
 use std::fmt;
 
@@ -9,38 +9,38 @@
 
 /// The header that says whether a request ran.
 pub const OUTCOME_HEADER: &str = "snipemast-outcome";
-/// The header that names a request.
+/// The header that holds a request's id.
 pub const REQUEST_HEADER: &str = "snipemast-request";
 
-/// What went wrong, each kind with its own HTTP status.
+/// The kind of a problem, which determines its HTTP status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ProblemKind {
-    /// The request is not what the interface asks for.
+    /// The request does not follow the interface.
     Malformed,
-    /// No key, or one that belongs to no workspace.
+    /// The request has no key, or one that belongs to no workspace.
     Unauthorized,
-    /// Nothing has this name.
+    /// There is nothing with this name.
     NotFound,
-    /// The method is not one that the path takes.
+    /// The path requires another method.
     Method,
-    /// The body is over its limit.
+    /// The body is larger than its limit.
     TooLarge,
-    /// The key was used with another body.
+    /// The idempotency key was used before with another body.
     KeyReused,
-    /// The workspace is over a limit.
+    /// The workspace exceeds a limit.
     Limited,
-    /// No backend server can take it now.
+    /// No backend server can take the request now.
     Unavailable,
-    /// The request crashed backend servers and is held back.
+    /// The request crashed backend servers and is quarantined.
     Quarantined,
-    /// The deadline passed.
+    /// The request's deadline passed.
     Late,
     /// The backend server failed.
     Failed,
 }
 
 impl ProblemKind {
-    /// The HTTP status.
+    /// Returns the HTTP status.
     pub const fn status(self) -> u16 {
         match self {
             Self::Malformed => 400,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The last part of the problem's type, which stays the same over releases.
+    /// Returns the last part of the problem's type URI, which stays the same across releases.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
@@ -74,7 +74,7 @@
     }
 }
 
-/// One problem of one request.
+/// A refusal or failure of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
     kind: ProblemKind,
@@ -84,7 +84,7 @@
 }
 
 impl Problem {
-    /// A problem of a request that did not run.
+    /// Creates a problem of a request that did not run.
     pub fn new(kind: ProblemKind, detail: impl fmt::Display) -> Self {
         Self {
             kind,
@@ -94,31 +94,31 @@
         }
     }
 
-    /// Says whether the request ran.
+    /// Sets whether the request ran.
     #[must_use]
     pub fn with_outcome(mut self, outcome: Outcome) -> Self {
         self.outcome = outcome;
         self
     }
 
-    /// Says when to come back.
+    /// Sets the span after which the caller may retry.
     #[must_use]
     pub fn with_retry(mut self, after: Span) -> Self {
         self.retry = Some(after);
         self
     }
 
-    /// What went wrong.
+    /// Returns the kind of the problem.
     pub fn kind(&self) -> ProblemKind {
         self.kind
     }
 
-    /// Whether the request ran.
+    /// Returns whether the request ran.
     pub fn outcome(&self) -> Outcome {
         self.outcome
     }
 
-    /// The problem as a JSON document.
+    /// Returns the problem as a JSON document.
     pub fn to_json(&self) -> String {
         let kind = self.kind.as_str();
         json!({
@@ -131,7 +131,7 @@
         .to_string()
     }
 
-    /// The problem as the last event of an answer stream.
+    /// Returns the problem as the last event of an answer's stream.
     pub fn to_event(&self) -> String {
         format!("event: error\ndata: {}\n\n", self.to_json())
     }
