--- a/crates/operators/src/answer.rs
+++ b/crates/operators/src/answer.rs
@@ -1,4 +1,4 @@
-//! The JSON shapes of the answers.
+//! The JSON shapes of answers to operators.
 
 use serde_json::Value;
 
@@ -7,100 +7,100 @@
 use snipemast_routing::LimitStatus;
 
 data! {
-    /// What became of a patch.
+    /// The verdict on a patch.
     #[serde(tag = "outcome", rename_all = "lowercase")]
     pub enum VerdictAnswer {
-        /// It is in force, whole.
+        /// The whole patch is in force.
         Accepted {
-            /// As this version.
+            /// The version that the patch made.
             version: Version,
         },
-        /// It was made against another version; nothing of it is in force.
+        /// The patch was made against another version; no part of it is in force.
         Conflict {
             /// The version in force.
             current: Version,
         },
-        /// It has faults; nothing of it is in force.
+        /// The patch has faults; no part of it is in force.
         Faulty {
-            /// Each of them.
+            /// All faults of the patch.
             faults: Vec<FaultLine>,
         },
-        /// Its id was used before, for another patch; nothing of it is in force.
+        /// The patch's id was used before for another patch; no part of it is in force.
         Reused,
     }
 
-    /// One fault.
+    /// One fault of a patch.
     pub struct FaultLine {
-        /// Where, as a dotted path.
+        /// The place of the fault, as a dotted path.
         pub path: String,
-        /// What is wrong.
+        /// A description of the fault.
         pub fault: String,
     }
 
-    /// What a patch would come to.
+    /// The effect that a patch would have.
     pub struct DryRunAnswer {
-        /// The verdict that it would get now.
+        /// The verdict that the patch would get now.
         pub verdict: VerdictAnswer,
-        /// What it would change, where it would be accepted.
+        /// What the patch would change, if it would be accepted.
         pub change: Option<Value>,
     }
 
-    /// One version of the history.
+    /// One version in the history of the configuration.
     pub struct HistoryLine {
         /// The version.
         pub version: Version,
-        /// The patch that made it.
+        /// The patch that made the version.
         pub patch: Option<PatchId>,
-        /// Who submitted it.
+        /// The operator who submitted the patch.
         pub author: Option<OperatorId>,
-        /// When, in RFC 3339.
+        /// The time of the patch, in RFC 3339 format.
         pub time: String,
-        /// Why.
+        /// The reason that the operator gave.
         pub reason: String,
-        /// The names that it changed, as dotted paths.
+        /// The names that the patch changed, as dotted paths.
         pub touched: Vec<String>,
     }
 
-    /// What a host knows.
+    /// The state of the system as a host knows it.
     pub struct StatusReport {
-        /// What this process has in force.
+        /// The configuration that this process has in force.
         pub standing: Standing,
-        /// Whether a source of the configuration answers it.
+        /// Whether a source of the configuration answers this process.
         pub linked: bool,
-        /// The highest fencing number that it heard of.
+        /// The highest fencing number that this process has learnt.
         pub fence: Fence,
-        /// Requests in flight.
+        /// The number of requests in flight.
         pub running: u64,
-        /// Whether it is on its way out.
+        /// Whether this process is draining.
         pub draining: bool,
-        /// Who has which version, of those that ask this process.
+        /// The versions of the processes that poll this process.
         pub census: Census,
-        /// The agents that announced themselves here.
+        /// The agents that announced themselves to this process.
         pub members: Vec<MemberLine>,
-        /// Who is held back and why, and what waits where.
+        /// The workspaces that are held at a limit and why, and the requests that are waiting.
         #[serde(default)]
         pub limits: LimitStatus,
     }
 
-    /// One agent and its backend server.
+    /// An agent and its backend server.
     pub struct MemberLine {
-        /// The agent.
+        /// The agent's name.
         pub agent: String,
-        /// Its availability zone.
+        /// The agent's availability zone.
         pub zone: ZoneId,
         /// The backend server.
         pub server: ServerId,
-        /// What it offers.
+        /// What the server offers.
         pub offers: Vec<Offer>,
-        /// Whether it takes no new work.
+        /// Whether the agent is draining and takes no new work.
         pub draining: bool,
-        /// Its load.
+        /// The server's load.
         pub load: LoadReport,
     }
 }
 
 impl VerdictAnswer {
-    /// The HTTP status that goes with it.
+    /// Returns the HTTP status of the answer.
     pub const fn status(&self) -> u16 {
         match self {
             Self::Accepted { .. } => 200,
--- a/crates/operators/src/author.rs
+++ b/crates/operators/src/author.rs
@@ -1,25 +1,25 @@
-//! Who asks, by key, and what the role allows.
+//! The author of a request, identified by key, and what the role allows.
 
 use std::fmt;
 
 use snipemast_config::{Config, KeyHash, Role};
 use snipemast_core::prelude::*;
 
-/// Who asks.
+/// The author of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Author {
     /// An operator of the configuration.
     Operator(OperatorId),
-    /// The holder of the first key, before the configuration names operators.
+    /// The holder of the first key, as long as the configuration names no operators.
     First,
 }
 
-/// Why a request is not answered.
+/// Why a request is denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denied {
     /// The key belongs to nobody.
     Unknown,
-    /// The operator may read only.
+    /// The operator's role allows only reading.
     ReadOnly,
 }
 
@@ -35,7 +35,7 @@
 impl std::error::Error for Denied {}
 
 impl Author {
-    /// The operator, where the configuration names one.
+    /// Returns the operator, if the configuration names the author.
     pub fn operator(self) -> Option<OperatorId> {
         match self {
             Self::Operator(id) => Some(id),
@@ -44,11 +44,11 @@
     }
 }
 
-/// Lets whoever holds a key with the role in.
+/// Returns the author who holds the key, or denies the request if the key or its role does not allow it.
 ///
-/// Failure guarded against: before the first patch no operator is configured, and whoever
-/// reaches the address first makes itself one. Until the configuration names operators only
-/// the first key, from the control host's own settings, is let in; afterwards it opens nothing.
+/// Failure guarded against: before the first patch no operator is configured, and anyone who reaches
+/// the address first could make themselves one. As long as the configuration names no operators,
+/// only the first key, from the control host's own settings, is accepted; afterwards it is refused.
 pub fn authorize(
     config: &Config,
     first: Option<&KeyHash>,
--- a/crates/operators/src/lib.rs
+++ b/crates/operators/src/lib.rs
@@ -1,9 +1,9 @@
 //! The HTTP and JSON interface towards operators.
 //!
-//! - [`route`]: what an operator asks for, read from method, path and query.
-//! - [`author`]: who asks, by key, and what the role allows.
+//! - [`route`]: an operator's request, read from method, path and query.
+//! - [`author`]: the author of a request, identified by key, and what the role allows.
 //! - [`answer`]: the JSON shapes of the answers.
-//! - [`timeline`]: the events of many processes in one order.
+//! - [`timeline`]: the events of many processes in causal order.
 
 pub mod answer;
 pub mod author;
--- a/crates/operators/src/route.rs
+++ b/crates/operators/src/route.rs
@@ -1,4 +1,4 @@
-//! What an operator asks for, read from method, path and query.
+//! An operator's request, read from method, path and query.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,55 +10,55 @@
 /// The result of reading a request.
 pub type Result<T> = std::result::Result<T, RouteError>;
 
-/// How many versions of the history are shown where nobody says how many.
-const LAST: usize = 20;
+/// The number of versions of the history that are shown by default.
+const DEFAULT_HISTORY: usize = 20;
 
-/// What an operator asks for.
+/// A request of an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route {
     /// `POST /patches`: submit a patch.
     Submit,
-    /// `POST /patches?dry-run=true`: what a patch would come to.
+    /// `POST /patches?dry-run=true`: show the effect that a patch would have.
     DryRun,
-    /// `GET /config`: the configuration in force, or `?at=N` another version.
+    /// `GET /config`: read the configuration in force, or another version with `?at=N`.
     Config {
-        /// The version, where it is not the one in force.
+        /// The version, if not the one in force.
         at: Option<Version>,
     },
-    /// `GET /config/diff?from=N&to=M`: what changed between two versions.
+    /// `GET /config/diff?from=N&to=M`: show what changed between two versions.
     Diff {
-        /// The one version.
+        /// The version to compare from.
         from: Version,
-        /// The other version.
+        /// The version to compare to.
         to: Version,
     },
-    /// `GET /config/back?to=N`: the patch that leads back to the content of a version.
+    /// `GET /config/back?to=N`: get the patch that restores the content of a version.
     Back {
-        /// The version.
+        /// The version to restore.
         to: Version,
     },
-    /// `GET /history?last=N`: the last versions, who made them and why.
+    /// `GET /history?last=N`: list the last versions, who made them and why.
     History {
-        /// How many.
+        /// The number of versions.
         last: usize,
     },
-    /// `GET /status`: what this host knows.
+    /// `GET /status`: show the state of the system as this host knows it.
     Status,
-    /// `GET /suspects`: the requests that are suspected of crashing backend servers.
+    /// `GET /suspects`: list the requests that are suspected of crashing backend servers.
     Suspects,
-    /// `POST /suspects/lift?request=F`: clear a request of what is known so far.
+    /// `POST /suspects/lift?request=F`: clear a request of the suspicion that is known so far.
     Lift {
         /// The request's fingerprint.
         request: Fingerprint,
     },
 }
 
-/// A request that asks for nothing there is.
+/// Why a request can't be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RouteError {
-    /// Nothing stands at the path.
+    /// There is nothing at the path.
     NotFound,
-    /// The path takes another method.
+    /// The path requires another method.
     Method,
     /// A parameter is missing or malformed.
     Parameter(String),
@@ -94,7 +94,7 @@
                 to: query.required("to")?,
             },
             "/history" => Self::History {
-                last: query.get("last")?.unwrap_or(LAST),
+                last: query.get("last")?.unwrap_or(DEFAULT_HISTORY),
             },
             "/status" => Self::Status,
             "/suspects" => Self::Suspects,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The role that it takes.
+    /// Returns the role that the request requires.
     pub fn role(&self) -> Role {
         match self {
             Self::Submit | Self::Lift { .. } => Role::Write,
@@ -137,7 +137,7 @@
     }
 }
 
-/// The parameters of a request; none of them needs escapes.
+/// The query of a request; the values of its parameters need no escapes.
 struct Query<'a>(&'a str);
 
 impl Query<'_> {
--- a/crates/operators/src/timeline.rs
+++ b/crates/operators/src/timeline.rs
@@ -1,50 +1,50 @@
-//! The time line as an operator gets it: the events of many processes in one order.
+//! The timeline that operators get: the events of many processes in causal order.
 
 use snipemast_core::data;
 use snipemast_core::prelude::*;
 use snipemast_core::units::UnitError;
 
-/// The path of the time line.
+/// The path of the timeline.
 pub const TIMELINE_PATH: &str = "/timeline";
 
 data! {
-    /// Events of all processes that answered.
+    /// The events of all processes that answered.
     pub struct Timeline {
         /// The events, causes before their effects.
         pub records: Vec<Record>,
         /// The processes that answered.
         pub reached: Vec<ProcessId>,
-        /// The processes that did not, whose events are missing, with what others saw of them last.
+        /// The processes that did not answer, whose events are missing, with what others last saw of them.
         pub unreachable: Vec<String>,
-        /// Whether there are more events than were brought together.
+        /// Whether there are more events than were collected.
         pub more: bool,
     }
 
-    /// Which events are asked for.
+    /// The selection of events in a query of the timeline.
     #[derive(Default)]
     pub struct TimelineQuery {
-        /// Only those of the last span; all that are kept without it.
+        /// Selects only the events of this last span; without it, all that are kept.
         pub since: Option<Span>,
-        /// Only those about this request.
+        /// Selects only the events about this request.
         pub request: Option<String>,
     }
 }
 
 impl TimelineQuery {
-    /// Reads the query of a URL; what it does not know is passed over.
+    /// Parses the query of a URL, ignoring unknown parameters.
     pub fn read(query: &str) -> Result<Self, UnitError> {
-        let mut asked = Self::default();
+        let mut selection = Self::default();
         for (key, value) in query.split('&').filter_map(|pair| pair.split_once('=')) {
             match key {
-                "since" => asked.since = Some(value.parse()?),
-                "request" => asked.request = Some(value.to_string()),
+                "since" => selection.since = Some(value.parse()?),
+                "request" => selection.request = Some(value.to_string()),
                 _ => {}
             }
         }
-        Ok(asked)
+        Ok(selection)
     }
 
-    /// The query that says the same.
+    /// Returns the query of a URL for this selection.
     pub fn to_query(&self) -> String {
         let since = self.since.map(|since| format!("since={since}"));
         let request = self.request.as_ref().map(|id| format!("request={id}"));
@@ -55,7 +55,7 @@
             .join("&")
     }
 
-    /// The earliest stamp that is asked for.
+    /// Returns the earliest stamp that is selected.
     pub fn earliest_stamp(&self, now: Stamp) -> Stamp {
         let micros = self
             .since
--- a/crates/operators/tests/routes.rs
+++ b/crates/operators/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Requests of operators: what they ask for, and who may.
+//! Reading and authorization of operators' requests.
 
 use serde_json::json;
 
@@ -6,6 +6,8 @@
 use snipemast_core::prelude::*;
 use snipemast_operators::{authorize, Author, Denied, Route, RouteError};
 
+/// Guards against a request of an operator that is read as another one, or accepted with a wrong method or
+/// parameter.
 #[test]
 fn routes_read() {
     let version = Version::new;
@@ -33,6 +35,7 @@
     assert_eq!(read("GET", "/config/diff", "from=1"), parameter("to"));
 }
 
+/// Guards against a key that is accepted for more than its operator's role allows, or for no operator.
 #[test]
 fn roles_hold() {
     let set = json!({ "operators": {
@@ -40,33 +43,41 @@
         "bea": { "key": KeyHash::of("bea"), "role": "read" },
     } });
     let patch = Patch {
-        id: "p".parse().expect("a name"),
+        id: "p".parse().expect("a valid name"),
         base: Version::new(0),
         reason: String::new(),
         set,
     };
-    let config = patch.apply(&Config::default()).expect("no faults");
+    let config = patch
+        .apply(&Config::default())
+        .expect("the patch has no faults");
     let ask = |key: &str, role| authorize(&config, None, &KeyHash::of(key), role);
-    let ana = "ana".parse().expect("a name");
+    let ana = "ana".parse().expect("a valid name");
     assert_eq!(ask("ana", Role::Write), Ok(Author::Operator(ana)));
     assert!(ask("bea", Role::Read).is_ok());
     assert_eq!(ask("bea", Role::Write), Err(Denied::ReadOnly));
     assert_eq!(ask("eve", Role::Read), Err(Denied::Unknown));
 }
 
-fn write(config: &Config, first: Option<&KeyHash>, key: &str) -> Result<Author, Denied> {
+fn authorize_write(config: &Config, first: Option<&KeyHash>, key: &str) -> Result<Author, Denied> {
     authorize(config, first, &KeyHash::of(key), Role::Write)
 }
 
+/// Guards against a stranger who finds the address of a new control host, which has no operators yet, and makes
+/// themselves its operator.
 #[test]
 fn first_key_only() {
-    // A control host is new and has no operators. A stranger who finds its address first makes
-    // itself the one operator.
     let empty = Config::default();
     let first = KeyHash::of("first");
-    assert_eq!(write(&empty, None, "eve"), Err(Denied::Unknown));
-    assert_eq!(write(&empty, Some(&first), "eve"), Err(Denied::Unknown));
-    assert_eq!(write(&empty, Some(&first), "first"), Ok(Author::First));
+    assert_eq!(authorize_write(&empty, None, "eve"), Err(Denied::Unknown));
+    assert_eq!(
+        authorize_write(&empty, Some(&first), "eve"),
+        Err(Denied::Unknown)
+    );
+    assert_eq!(
+        authorize_write(&empty, Some(&first), "first"),
+        Ok(Author::First)
+    );
     let mut named = empty;
     let operator = snipemast_config::Operator {
         key: KeyHash::of("ana"),
@@ -74,6 +85,9 @@
     };
     named
         .operators
-        .insert("ana".parse().expect("a name"), operator);
-    assert_eq!(write(&named, Some(&first), "first"), Err(Denied::Unknown));
+        .insert("ana".parse().expect("a valid name"), operator);
+    assert_eq!(
+        authorize_write(&named, Some(&first), "first"),
+        Err(Denied::Unknown)
+    );
 }
