--- a/crates/backing/src/lib.rs
+++ b/crates/backing/src/lib.rs
@@ -1,7 +1,7 @@
-//! Interfaces towards backing services: weight store and metrics sink.
+//! Interfaces to backing services: the weight store and the metrics sink.
 //!
-//! - [`weights`]: the rate-limited weight store, and the budget that all groups share.
-//! - [`metrics`]: counters and gauges, sent to a statsd address.
+//! - [`weights`]: the weight store, and the rate limit on it that all groups share.
+//! - [`metrics`]: counters and gauges that are sent to a statsd address.
 
 pub mod metrics;
 pub mod weights;
--- a/crates/backing/src/metrics.rs
+++ b/crates/backing/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, sent to a statsd address by `cadence`.
+//! Metrics that are sent to a statsd address by `cadence`.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,16 +9,16 @@
 
 use snipemast_core::prelude::*;
 
-/// The result of opening the way to a sink.
+/// The result of opening a socket to the metrics sink.
 pub type Result<T> = std::result::Result<T, Report<MetricsError>>;
 
-/// How often a process reports.
+/// The interval between two reports of a process.
 pub const REPORT_INTERVAL: Span = Span::from_secs(1);
 
-/// The way to the metrics sink can't be opened.
+/// The error for a socket to the metrics sink that can't be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MetricsError {
-    /// Where the sink should be.
+    /// The address of the sink.
     pub address: SocketAddr,
 }
 
@@ -30,10 +30,10 @@
 
 impl std::error::Error for MetricsError {}
 
-/// A process's metrics: a counter for each numbered event, and gauges.
+/// The metrics of a process: a counter for each numbered event, and gauges.
 ///
-/// Events are counted where they are recorded and sent once an interval, so that a request pays
-/// for an addition and never for a packet.
+/// Events are counted when they are recorded and the counts are sent once per interval, so that a
+/// request costs an addition but no packet.
 #[derive(Debug)]
 pub struct Metrics {
     client: StatsdClient,
@@ -41,7 +41,8 @@
 }
 
 impl Metrics {
-    /// Metrics of this host, sent to this address; nobody needs to listen there.
+    /// Creates the metrics of a host, which are sent to this address whether or not anything listens
+    /// there.
     pub fn new(address: SocketAddr, host: &HostId) -> Result<Self> {
         let failed = MetricsError { address };
         let any: SocketAddr = match address {
@@ -60,14 +61,14 @@
         })
     }
 
-    /// Sends what happened since the last report.
+    /// Sends the counts of events since the last report, and the gauges.
     pub fn report(&mut self, ring: &Ring, gauges: &[(&str, u64)]) {
         for (event, count) in ring.counts() {
             let sent = self.sent.entry(event).or_default();
             let new = count - *sent;
             *sent = count;
             if new > 0 {
-                // The socket never blocks; what it can't take is lost, as any metric may be.
+                // The socket never blocks: what it can't send is lost, which is acceptable for metrics.
                 let _ = self.client.count(event.name(), new);
             }
         }
--- a/crates/backing/src/weights.rs
+++ b/crates/backing/src/weights.rs
@@ -1,8 +1,8 @@
-//! The rate-limited weight store: who may load when.
+//! The rate-limited weight store, and the order in which loads from it are granted.
 //!
-//! [`Budget`] is the sans-I/O token bucket that all groups share; [`WeightStore`] is the client's
-//! interface. A server that has to load its model at all goes before a group that is formed anew,
-//! and that before loads ahead of a rebalancing switch.
+//! [`Budget`] is a sans-I/O token bucket that all groups share; [`WeightStore`] is the interface of
+//! the client. Servers that have not loaded their model yet take precedence over groups that are
+//! formed again, and those over loads ahead of a rebalancing switch.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -17,140 +17,143 @@
 pub type Result<T> = std::result::Result<T, Report<WeightError>>;
 
 snipemast_core::number_ids! {
-    /// One load that a budget was asked for.
+    /// The id of a load that was requested from a budget.
     LoadId;
 }
 
 data! {
-    /// How urgent a load is, the most urgent first.
+    /// The urgency of a load, in descending order.
     #[derive(Copy, PartialOrd, Ord, Hash)]
     pub enum Urgency {
-        /// A server that answers nothing until its model is loaded.
+        /// The load of a server that answers no requests until its model is loaded.
         Serve,
-        /// A group that is held until it is formed anew.
+        /// The load of a group that is held until it is formed again.
         Form,
-        /// A group that steps, ahead of a switch to another expert map.
+        /// The load of a running group, ahead of a switch to another expert map.
         Ahead,
     }
 
-    /// A wish to load weights.
+    /// A request to load weights.
     #[derive(Hash)]
-    pub struct Ask {
-        /// The load.
+    pub struct LoadRequest {
+        /// The id of the load.
         pub load: LoadId,
-        /// For whom: loads of one urgency are shared out evenly over these.
+        /// The group that loads; loads of the same urgency are shared evenly between groups.
         pub group: GroupId,
-        /// How much.
+        /// The size of the weights.
         pub size: Size,
-        /// How urgent it is.
+        /// The urgency of the load.
         pub urgency: Urgency,
     }
 
-    /// How much the store gives.
+    /// The rate limit of the store.
     #[derive(Copy, Hash)]
     pub struct Quota {
-        /// Bytes a second.
+        /// The number of bytes per second.
         pub rate: Size,
-        /// Bytes that may be taken at once after a rest.
+        /// The number of bytes that may be loaded at once after a pause.
         pub burst: Size,
-        /// Bytes of the burst that loads ahead of a switch leave for others.
+        /// The bytes of the burst that loads ahead of a switch leave for others.
         pub reserve: Size,
-        /// How many wishes of each urgency wait at most.
+        /// The maximum number of waiting requests of each urgency.
         pub queue: u32,
     }
 }
 
-/// What a budget is told.
+/// An input of a budget.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BudgetInput {
-    /// Somebody wants to load.
-    Ask(Ask),
-    /// A load is not wanted any more; this much of it was not read.
+    /// A load is requested.
+    Request(LoadRequest),
+    /// A load is cancelled, of which this much was not read.
     Cancel(LoadId, Size),
     /// Time has passed.
     Tick,
 }
 
-/// What a budget decides.
+/// A decision of a budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BudgetOutput {
     /// The load may begin.
     Grant(LoadId),
-    /// Too many wait; ask again later.
+    /// Too many requests are waiting; the load may be requested again later.
     Refuse(LoadId),
-    /// Tick again at this moment.
+    /// The budget needs a tick at this moment.
     Wake(Moment),
 }
 
-/// The budget of the weight store, shared over all groups.
+/// The budget of the weight store, which all groups share.
 #[derive(Debug, Clone)]
 pub struct Budget {
     quota: Quota,
+    /// The bytes in the bucket, below 0 where a large load left a debt.
     level: i64,
-    filled: Moment,
-    waiting: BTreeMap<Urgency, VecDeque<Ask>>,
-    taken: BTreeMap<GroupId, u64>,
+    last_refill: Moment,
+    waiting: BTreeMap<Urgency, VecDeque<LoadRequest>>,
+    /// The bytes that were granted to each group so far.
+    granted_bytes: BTreeMap<GroupId, u64>,
+    /// The sizes of the latest granted loads.
     granted: BTreeMap<LoadId, Size>,
 }
 
 impl Budget {
-    /// A full bucket.
+    /// Creates a budget with a full bucket.
     pub fn new(quota: Quota) -> Self {
         Self {
             quota,
             level: quota.burst.as_bytes() as i64,
-            filled: Moment::ZERO,
+            last_refill: Moment::ZERO,
             waiting: BTreeMap::new(),
-            taken: BTreeMap::new(),
+            granted_bytes: BTreeMap::new(),
             granted: BTreeMap::new(),
         }
     }
 
-    /// Takes an input and says who may load.
+    /// Handles an input, and returns which loads may begin and when to tick again.
     pub fn handle(&mut self, now: Moment, input: BudgetInput) -> Vec<BudgetOutput> {
-        self.fill(now);
+        self.refill(now);
         let mut out = Vec::new();
         match input {
-            BudgetInput::Ask(ask) => self.ask(ask, &mut out),
+            BudgetInput::Request(request) => self.enqueue(request, &mut out),
             BudgetInput::Cancel(load, unread) => self.cancel(load, unread),
             BudgetInput::Tick => {}
         }
         self.grant(&mut out);
-        out.extend(self.wake(now).map(BudgetOutput::Wake));
+        out.extend(self.next_tick(now).map(BudgetOutput::Wake));
         out
     }
 
-    /// How many wishes wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.values().map(VecDeque::len).sum()
     }
 
-    fn fill(&mut self, now: Moment) {
-        let elapsed = now.since(self.filled).as_micros();
+    fn refill(&mut self, now: Moment) {
+        let elapsed = now.since(self.last_refill).as_micros();
         let gained = u128::from(elapsed) * u128::from(self.quota.rate.as_bytes()) / 1_000_000;
-        // Less than a byte is left for the next time.
+        // Time that gains less than a byte is left for the next call.
         if gained > 0 {
             let full = self.quota.burst.as_bytes() as i64;
             let gained = i64::try_from(gained).unwrap_or(i64::MAX);
             self.level = self.level.saturating_add(gained).min(full);
-            self.filled = now;
+            self.last_refill = now;
         }
     }
 
-    fn ask(&mut self, ask: Ask, out: &mut Vec<BudgetOutput>) {
-        let queue = self.waiting.entry(ask.urgency).or_default();
-        let known = queue.iter().any(|a| a.load == ask.load);
-        if known || self.granted.contains_key(&ask.load) {
+    fn enqueue(&mut self, request: LoadRequest, out: &mut Vec<BudgetOutput>) {
+        let queue = self.waiting.entry(request.urgency).or_default();
+        let known = queue.iter().any(|a| a.load == request.load);
+        if known || self.granted.contains_key(&request.load) {
             return;
         }
         if queue.len() >= self.quota.queue as usize {
-            out.push(BudgetOutput::Refuse(ask.load));
+            out.push(BudgetOutput::Refuse(request.load));
         } else {
-            queue.push_back(ask);
+            queue.push_back(request);
         }
     }
 
-    /// Takes a wish back; what was granted and not read flows back into the bucket.
+    /// Cancels a load, and returns what was granted but not read to the bucket.
     fn cancel(&mut self, load: LoadId, unread: Size) {
         for queue in self.waiting.values_mut() {
             queue.retain(|a| a.load != load);
@@ -162,60 +165,70 @@
         }
     }
 
-    /// Grants what the bucket allows, the most urgent first.
+    /// Grants the loads that the bucket allows, the most urgent first.
     ///
-    /// Failure guarded against: rebalancing many groups crowds out a server that restarted and
-    /// has to load its model at all; its pool answers nothing meanwhile. Less urgent loads never
-    /// pass a waiting one that is more urgent, and those ahead of a switch leave a reserve.
+    /// Failure guarded against: the rebalancing of many groups starves a restarted server that has to
+    /// load its model, and its pool answers no requests meanwhile. A less urgent load therefore never
+    /// overtakes a waiting one that is more urgent, and loads ahead of a switch leave a reserve.
     fn grant(&mut self, out: &mut Vec<BudgetOutput>) {
         while let Some((urgency, index)) = self.next() {
             let queue = self
                 .waiting
                 .get_mut(&urgency)
-                .expect("its queue is not empty");
-            let Some(ask) = queue.remove(index) else {
+                .expect("the queue of the next load exists");
+            let Some(request) = queue.remove(index) else {
                 return;
             };
-            let size = ask.size.as_bytes();
+            let size = request.size.as_bytes();
             self.level -= size as i64;
-            *self.taken.entry(ask.group).or_default() += size;
-            self.remember(ask.load, ask.size);
-            out.push(BudgetOutput::Grant(ask.load));
+            *self.granted_bytes.entry(request.group).or_default() += size;
+            self.record_grant(request.load, request.size);
+            out.push(BudgetOutput::Grant(request.load));
         }
     }
 
-    /// Remembers a grant, for a resent wish and for cancelling; the oldest fall out.
-    fn remember(&mut self, load: LoadId, size: Size) {
+    /// Records a grant, to recognize a resent request and to cancel the load; the oldest are dropped.
+    fn record_grant(&mut self, load: LoadId, size: Size) {
         self.granted.insert(load, size);
         while self.granted.len() > 4 * self.quota.queue.max(1) as usize {
             self.granted.pop_first();
         }
     }
 
-    /// The wish that is granted next, where the bucket holds enough for it.
+    /// Returns the place of the next load, if the bucket holds enough for it.
     fn next(&self) -> Option<(Urgency, usize)> {
         let (urgency, queue) = self.waiting.iter().find(|(_, q)| !q.is_empty())?;
-        let taken = |ask: &Ask| self.taken.get(&ask.group).copied().unwrap_or_default();
-        let (index, ask) = queue.iter().enumerate().min_by_key(|(_, a)| taken(a))?;
-        (self.level >= self.needed(ask)).then_some((*urgency, index))
+        let granted_bytes = |request: &LoadRequest| {
+            self.granted_bytes
+                .get(&request.group)
+                .copied()
+                .unwrap_or_default()
+        };
+        let (index, request) = queue
+            .iter()
+            .enumerate()
+            .min_by_key(|(_, a)| granted_bytes(a))?;
+        (self.level >= self.required_level(request)).then_some((*urgency, index))
     }
 
-    /// The level at which a wish is granted. What is larger than the bucket takes all of it and
-    /// leaves a debt, so that it is not starved.
-    fn needed(&self, ask: &Ask) -> i64 {
-        let reserve = match ask.urgency {
+    /// Returns the level at which a load is granted.
+    ///
+    /// A load that is larger than the bucket is granted once the bucket is full, and leaves a debt, so
+    /// that it is not starved.
+    fn required_level(&self, request: &LoadRequest) -> i64 {
+        let reserve = match request.urgency {
             Urgency::Serve | Urgency::Form => 0,
             Urgency::Ahead => self.quota.reserve.as_bytes(),
         };
         let full = self.quota.burst.as_bytes();
-        (ask.size.as_bytes() + reserve).min(full) as i64
+        (request.size.as_bytes() + reserve).min(full) as i64
     }
 
-    /// When the bucket will hold enough for the next wish.
-    fn wake(&self, now: Moment) -> Option<Moment> {
+    /// Returns the moment at which the bucket will hold enough for the next load.
+    fn next_tick(&self, now: Moment) -> Option<Moment> {
         let (_, queue) = self.waiting.iter().find(|(_, q)| !q.is_empty())?;
-        let needed = queue.iter().map(|a| self.needed(a)).min()?;
-        let missing = (needed - self.level).max(1) as u128;
+        let required_level = queue.iter().map(|a| self.required_level(a)).min()?;
+        let missing = (required_level - self.level).max(1) as u128;
         let rate = u128::from(self.quota.rate.as_bytes().max(1));
         let wait = (missing * 1_000_000).div_ceil(rate);
         Some(now + Span::from_micros(u64::try_from(wait).unwrap_or(u64::MAX)))
@@ -225,7 +238,7 @@
 /// Why weights could not be loaded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WeightError {
-    /// The store does not answer, or not in time.
+    /// The store did not answer in time.
     Unreachable,
     /// The store has no such weights.
     Missing,
@@ -242,9 +255,9 @@
 
 impl std::error::Error for WeightError {}
 
-/// The weight store, as those who load see it.
+/// The interface of a client of the weight store.
 pub trait WeightStore {
-    /// Loads the weights of one expert of a model's layer, and says how large they were.
+    /// Loads the weights of one expert of a model's layer, and returns their size.
     ///
     /// Dropping the future cancels the load.
     fn load(
--- a/crates/backing/tests/metrics.rs
+++ b/crates/backing/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics arrive at a statsd address, each event once.
+//! Metrics that are sent to a statsd address.
 
 use std::net::UdpSocket;
 use std::time::Duration;
@@ -6,13 +6,14 @@
 use snipemast_backing::metrics::Metrics;
 use snipemast_core::prelude::*;
 
-fn received(socket: &UdpSocket) -> Vec<String> {
+fn receive_lines(socket: &UdpSocket) -> Vec<String> {
     let mut buffer = [0; 2_048];
     let length = socket.recv(&mut buffer).expect("a packet");
     let text = String::from_utf8_lossy(&buffer[..length]).into_owned();
     text.lines().map(String::from).collect()
 }
 
+/// Guards against events that are counted twice, or not at all because the ring no longer keeps their records.
 #[test]
 fn events_counted() {
     let sink = UdpSocket::bind("127.0.0.1:0").expect("a port");
@@ -21,12 +22,12 @@
     let host: HostId = "entry-0".parse().expect("a valid name");
     let ring = Ring::new(ProcessId::new(host.clone(), Incarnation::new(1)), 1);
     let mut metrics = Metrics::new(sink.local_addr().expect("bound"), &host).expect("a socket");
-    // The ring keeps one record only; the counts must not depend on it.
+    // The ring keeps a single record only; the counts must not depend on it.
     for _ in 0..3 {
         ring.record(Event::RequestReceived, "r", "");
     }
     metrics.report(&ring, &[("running", 2)]);
-    let first = received(&sink);
+    let first = receive_lines(&sink);
     assert_eq!(
         first,
         [
@@ -37,14 +38,14 @@
     ring.record(Event::RequestReceived, "r", "");
     metrics.report(&ring, &[]);
     assert_eq!(
-        received(&sink),
+        receive_lines(&sink),
         ["snipemast.RequestReceived:1|c|#host:entry-0"]
     );
 }
 
-// A process slows down or ends because nobody listens for its metrics.
+/// Guards against a process that fails because nothing listens for its metrics.
 #[test]
-fn nobody_listens() {
+fn no_listener() {
     let gone = UdpSocket::bind("127.0.0.1:0")
         .expect("a port")
         .local_addr()
