--- a/crates/core/src/events.rs
+++ b/crates/core/src/events.rs
@@ -1,7 +1,7 @@
-//! The numbered events of all processes, and the bounded ring that keeps them.
+//! The numbered events of all processes, and the bounded ring buffer that keeps them.
 //!
-//! Every log line and every entry of the time line carries one [`Event`]. The catalogue in
-//! `docs/EVENTS.md` is held against [`Event::ALL`] by a test.
+//! Every log line and every entry of the timeline has one [`Event`]. A test compares the catalogue
+//! in `docs/EVENTS.md` with [`Event::ALL`].
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -17,7 +17,7 @@
 macro_rules! events {
     ($($(#[doc = $doc:literal])+ $name:ident = $number:literal;)+) => {
         data! {
-            /// A kind of event, known by its number.
+            /// A kind of event, identified by its number.
             #[derive(Copy, PartialOrd, Ord, Hash)]
             #[serde(into = "u16", try_from = "u16")]
             pub enum Event {
@@ -26,17 +26,17 @@
         }
 
         impl Event {
-            /// Every event, by number.
+            /// All events, ordered by number.
             pub const ALL: &'static [Event] = &[$(Event::$name,)+];
 
-            /// The name that stands in logs and in the catalogue.
+            /// Returns the name of the event in logs and in the catalogue.
             pub const fn name(self) -> &'static str {
                 match self {
                     $(Event::$name => stringify!($name),)+
                 }
             }
 
-            /// What the event says.
+            /// Returns the description of the event in the catalogue.
             pub const fn meaning(self) -> &'static str {
                 match self {
                     $(Event::$name => concat!($($doc),+),)+
@@ -192,12 +192,12 @@
 }
 
 impl Event {
-    /// The number of the event.
+    /// Returns the number of the event.
     pub const fn number(self) -> u16 {
         self as u16
     }
 
-    /// Whether it happens to every request that goes well.
+    /// Whether the event occurs for every request that goes well.
     pub const fn is_routine(self) -> bool {
         matches!(
             self,
@@ -227,7 +227,7 @@
     }
 }
 
-/// A number that no event has.
+/// A number that belongs to no event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnknownEvent {
     /// The number.
@@ -243,23 +243,23 @@
 impl std::error::Error for UnknownEvent {}
 
 data! {
-    /// One event that happened in one process.
+    /// One event that occurred in a process.
     pub struct Record {
-        /// When, in hybrid logical time.
+        /// The time of the event, in hybrid logical time.
         pub stamp: Stamp,
-        /// Where.
+        /// The process.
         pub process: ProcessId,
-        /// What.
+        /// The kind of event.
         pub event: Event,
-        /// The request, patch, group or member it is about.
+        /// The request, patch, group or member that the event is about.
         pub subject: String,
-        /// Further facts in words.
+        /// Further facts as text.
         pub detail: String,
     }
 }
 
 impl Record {
-    /// Whether the record is about this request, patch, group or process, or names it.
+    /// Whether the record is about this request, patch, group or process, or mentions it.
     pub fn mentions(&self, about: &str) -> bool {
         let words = |text: &str| {
             text.split([' ', ',', ';', '(', ')'])
@@ -287,50 +287,52 @@
     }
 }
 
-/// A process's last events: the oldest fall out when the ring is full.
+/// A ring buffer of a process's latest events; the oldest is removed when it is full.
 #[derive(Debug)]
 pub struct Ring {
     process: ProcessId,
     clock: HybridClock,
-    bound: usize,
-    ignored: AtomicU64,
+    capacity: usize,
+    /// The minute of the last [`Event::ClockIgnored`].
+    ignored_minute: AtomicU64,
     records: Mutex<VecDeque<Record>>,
+    /// How often each event occurred, in the order of [`Event::ALL`].
     counts: Vec<AtomicU64>,
 }
 
 impl Ring {
-    /// An empty ring for this process that keeps at most `bound` records.
-    pub fn new(process: ProcessId, bound: usize) -> Self {
-        let records = Mutex::new(VecDeque::with_capacity(bound.min(1_024)));
+    /// Creates an empty ring for this process that keeps at most `capacity` records.
+    pub fn new(process: ProcessId, capacity: usize) -> Self {
+        let records = Mutex::new(VecDeque::with_capacity(capacity.min(1_024)));
         Self {
             process,
             clock: HybridClock::new(),
-            bound: bound.max(1),
-            ignored: AtomicU64::new(0),
+            capacity: capacity.max(1),
+            ignored_minute: AtomicU64::new(0),
             records,
             counts: Event::ALL.iter().map(|_| AtomicU64::new(0)).collect(),
         }
     }
 
-    /// The process whose events these are.
+    /// Returns the process whose events the ring keeps.
     pub fn process(&self) -> &ProcessId {
         &self.process
     }
 
-    /// The clock that stamps the records.
+    /// Returns the clock that stamps the records.
     pub fn clock(&self) -> &HybridClock {
         &self.clock
     }
 
-    /// Moves the clock past a peer's stamp, and says so now and then where it can't be followed.
+    /// Moves the clock past a peer's stamp, or records that the stamp is too far ahead.
     pub fn observe(&self, peer: Stamp) {
         if self.clock.observe(peer) {
             return;
         }
         let ahead = peer.micros.saturating_sub(self.clock.tick().micros) / 1_000_000;
-        // One event a minute: the peer goes on talking.
+        // At most one event per minute, because the peer continues to send stamps.
         let minute = self.clock.tick().micros / 60_000_000;
-        if self.ignored.swap(minute, Ordering::Relaxed) != minute {
+        if self.ignored_minute.swap(minute, Ordering::Relaxed) != minute {
             self.record(
                 Event::ClockIgnored,
                 "",
@@ -339,15 +341,15 @@
         }
     }
 
-    /// Keeps an event, stamped now.
+    /// Records an event with the current stamp.
     pub fn record(&self, event: Event, subject: impl fmt::Display, detail: impl fmt::Display) {
         if let Ok(place) = Event::ALL.binary_search(&event) {
             self.counts[place].fetch_add(1, Ordering::Relaxed);
         }
         let (subject, detail) = (subject.to_string(), detail.to_string());
         let mut records = self.records.lock();
-        // Stamped under the lock, so that the ring is in the order of its stamps and pages of it
-        // leave nothing out.
+        // The stamp is taken under the lock, so that the ring is ordered by stamps and its pages
+        // omit nothing.
         let record = Record {
             stamp: self.clock.tick(),
             process: self.process.clone(),
@@ -355,14 +357,14 @@
             subject,
             detail,
         };
-        if records.len() == self.bound {
+        if records.len() == self.capacity {
             records.pop_front();
         }
         records.push_back(record);
     }
 
-    /// At most `limit` records after a stamp that name a subject, oldest first, and whether more
-    /// follow.
+    /// Returns at most `limit` records after a stamp, oldest first, and whether more follow. With
+    /// `about`, only records that mention it are returned.
     pub fn page(&self, after: Stamp, limit: usize, about: Option<&str>) -> (Vec<Record>, bool) {
         let records = self.records.lock();
         let start = records.partition_point(|r| r.stamp <= after);
@@ -374,7 +376,7 @@
         (page, more)
     }
 
-    /// The stamp of the oldest record that has not fallen out.
+    /// Returns the stamp of the oldest record in the ring.
     pub fn oldest(&self) -> Stamp {
         self.records
             .lock()
@@ -382,7 +384,7 @@
             .map_or_else(Stamp::default, |r| r.stamp)
     }
 
-    /// How often each event that happened did so, also where its records fell out.
+    /// Returns how often each event occurred, including records that were removed.
     pub fn counts(&self) -> Vec<(Event, u64)> {
         let counts = self
             .counts
@@ -392,7 +394,7 @@
         all.filter(|(_, count)| *count > 0).collect()
     }
 
-    /// The counts as lines of the usual text format of metrics.
+    /// Returns the counts as lines in the Prometheus text format.
     pub fn exposition(&self) -> String {
         let counts = self.counts().into_iter();
         let line = |(event, count): (Event, u64)| {
@@ -402,7 +404,7 @@
         counts.map(line).collect()
     }
 
-    /// The records since a stamp, oldest first.
+    /// Returns the records since a stamp, oldest first.
     pub fn since(&self, stamp: Stamp) -> Vec<Record> {
         self.records
             .lock()
--- a/crates/core/src/hlc.rs
+++ b/crates/core/src/hlc.rs
@@ -1,7 +1,7 @@
-//! Hybrid logical clocks: wall time that never runs back, ordered over processes.
+//! Hybrid logical clocks: wall time that never goes back, ordered across processes.
 //!
-//! A stamp received in a message moves the receiver's clock past it, so an effect never
-//! sorts before its cause, even where wall clocks differ or jump back.
+//! A stamp received in a message moves the receiver's clock past it. An effect therefore never
+//! sorts before its cause, even if wall clocks differ or jump back.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,24 +13,24 @@
 use crate::data;
 use crate::ids::IdError;
 
-/// How far a received stamp may lie ahead of the wall clock, in microseconds.
+/// How far a received stamp may be ahead of the wall clock, in microseconds.
 ///
-/// A peer whose clock jumped years ahead would otherwise drag every clock with it.
+/// Without this limit, a peer whose clock jumped years ahead would advance every other clock too.
 pub const MAX_AHEAD: u64 = 60_000_000;
 
 data! {
     /// A point in hybrid logical time.
     #[derive(Copy, Default, PartialOrd, Ord, Hash)]
     pub struct Stamp {
-        /// Wall time in microseconds since 1970, never running back.
+        /// Wall time in microseconds since 1970, which never goes back.
         pub micros: u64,
-        /// Order among events of the same microsecond.
+        /// The order among events of the same microsecond.
         pub counter: u32,
     }
 }
 
 impl Stamp {
-    /// The earliest stamp after this one.
+    /// Returns the earliest stamp after this one.
     #[must_use]
     pub const fn next(self) -> Self {
         match self.counter.checked_add(1) {
@@ -69,62 +69,64 @@
     }
 }
 
-/// A process's hybrid logical clock.
+/// The hybrid logical clock of a process.
 #[derive(Debug)]
 pub struct HybridClock {
     last: Mutex<Stamp>,
     start: Instant,
-    origin: u64,
+    /// The wall time at the start, in microseconds.
+    origin_micros: u64,
 }
 
 impl HybridClock {
-    /// Starts a clock that has seen nothing.
+    /// Starts a clock that has observed no stamp.
     pub fn new() -> Self {
         Self {
             last: Mutex::default(),
             start: Instant::now(),
-            origin: wall_micros(),
+            origin_micros: wall_micros(),
         }
     }
 
-    /// Stamps an event of this process.
+    /// Returns the stamp of a new event of this process.
     pub fn tick(&self) -> Stamp {
         self.tick_at(self.wall())
     }
 
-    /// Stamps an event of this process at the given wall time.
+    /// Returns the stamp of a new event of this process at this wall time, in microseconds.
     pub fn tick_at(&self, wall: u64) -> Stamp {
         let mut last = self.last.lock();
         *last = advance(*last, wall);
         *last
     }
 
-    /// Moves past a stamp received from a peer; false where the stamp is ignored.
+    /// Moves past a stamp received from a peer, or ignores it and returns false.
     pub fn observe(&self, peer: Stamp) -> bool {
         self.observe_at(peer, self.wall())
     }
 
-    /// Moves past a stamp received from a peer at the given wall time.
+    /// Moves past a stamp received from a peer at this wall time, in microseconds.
     ///
-    /// A stamp more than [`MAX_AHEAD`] ahead of the wall clock is ignored: it is a broken clock,
-    /// not a cause. What was observed before does not count as wall time, or a clock that runs
-    /// ahead bit by bit would drag every other along.
+    /// A stamp more than [`MAX_AHEAD`] ahead of the wall clock is ignored, because it comes
+    /// from a wrong clock. Stamps observed earlier do not count as wall time: otherwise a clock
+    /// that runs ahead in small steps would advance every other clock.
     pub fn observe_at(&self, peer: Stamp, wall: u64) -> bool {
-        let sane = peer.micros <= wall.saturating_add(MAX_AHEAD);
-        if sane {
+        let accepted = peer.micros <= wall.saturating_add(MAX_AHEAD);
+        if accepted {
             let mut last = self.last.lock();
             *last = peer.max(*last);
         }
-        sane
+        accepted
     }
 
-    /// The wall time, or where it was set back, the time at the start and what has passed since.
+    /// Returns the wall time in microseconds, or the time at the start plus the time since then
+    /// if the wall clock was set back.
     ///
-    /// Failure guarded against: a clock that is set back by hours makes every peer's stamp look
-    /// insane. It shows as effects before their causes for as long as the peers are ahead.
+    /// With a clock that is set back by hours, the stamps of all peers would be too far ahead and
+    /// ignored. Effects would then sort before their causes for as long as the peers are ahead.
     fn wall(&self) -> u64 {
         let passed = self.start.elapsed().as_micros() as u64;
-        wall_micros().max(self.origin + passed)
+        wall_micros().max(self.origin_micros + passed)
     }
 }
 
@@ -134,14 +136,16 @@
     }
 }
 
+/// Returns the stamp after `last`, or that of the wall time if it is later.
 fn advance(last: Stamp, wall: u64) -> Stamp {
-    let walled = Stamp {
+    let current = Stamp {
         micros: wall,
         counter: 0,
     };
-    walled.max(last.next())
+    current.max(last.next())
 }
 
+/// Returns the wall time in microseconds since 1970.
 fn wall_micros() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -9,15 +9,15 @@
 /// The result of parsing an id.
 pub type Result<T> = std::result::Result<T, IdError>;
 
-/// The longest name that is accepted, in characters.
-pub const MAX_NAME: usize = 64;
+/// The length of the longest accepted name, in characters.
+pub const MAX_NAME_LENGTH: usize = 64;
 
-/// Why a text is not an id.
+/// A text that is not a valid id.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IdError {
-    /// The type that was asked for.
+    /// The expected type.
     pub kind: &'static str,
-    /// The text that was refused.
+    /// The rejected text.
     pub text: String,
 }
 
@@ -30,13 +30,13 @@
 impl std::error::Error for IdError {}
 
 crate::name_ids! {
-    /// A host that runs one process of the system.
+    /// A host, which runs one process of the system.
     HostId;
     /// An availability zone.
     ZoneId;
     /// A region, which holds availability zones.
     RegionId;
-    /// A workspace: the customer a request is billed to.
+    /// A workspace: the customer that a request is billed to.
     WorkspaceId;
     /// A backend server: one rank of a model engine, or a plain service.
     ServerId;
@@ -46,9 +46,9 @@
     ModelId;
     /// An adapter loaded on top of a model.
     AdapterId;
-    /// A group of ranks that step together.
+    /// A group of ranks that run their steps together.
     GroupId;
-    /// An operator's own id for one patch, by which a resend is known.
+    /// An operator's own id for a patch, which identifies a resend.
     PatchId;
     /// An operator.
     OperatorId;
@@ -57,57 +57,57 @@
 }
 
 crate::number_ids! {
-    /// The start of a process: a later one is larger.
+    /// One start of a process; a later start has a larger number.
     Incarnation;
-    /// The version of the configuration.
+    /// A version of the configuration.
     Version;
-    /// A term of office of a control leader.
+    /// The term of a control leader.
     Term;
-    /// A fencing number: orders with a lower one than seen are refused.
+    /// A fencing number; an order is refused if its number is lower than one already seen.
     Fence;
-    /// A position in the replicated log, from 1.
+    /// A position in the replicated log, starting at 1.
     Index;
-    /// A lock-step step of a group.
+    /// A step that all ranks of a group run in lock-step.
     Step;
-    /// The version of a group's expert map.
+    /// A version of a group's expert map.
     MapVersion;
-    /// The start of a group on a set of ranks.
+    /// One start of a group on a set of ranks.
     GroupIncarnation;
-    /// A ballot of a group's recovery.
+    /// A ballot in the recovery of a group.
     Ballot;
 }
 
 data! {
-    /// A process: a host and the incarnation that runs on it.
+    /// A process, identified by its host and its incarnation.
     #[derive(PartialOrd, Ord, Hash)]
     pub struct ProcessId {
         /// The host.
         pub host: HostId,
-        /// The start of the process on that host.
+        /// The incarnation of the process on that host.
         pub incarnation: Incarnation,
     }
 
-    /// One attempt to run a request: unique over all entries and their restarts.
+    /// One attempt to run a request, unique across all entries and their restarts.
     #[derive(PartialOrd, Ord, Hash)]
     pub struct DispatchId {
         /// The entry that made the attempt.
         pub entry: ProcessId,
-        /// A counter within that incarnation of the entry.
+        /// A counter within the incarnation of the entry.
         pub counter: u64,
     }
 
     /// One request of a caller, with all its attempts.
     #[derive(PartialOrd, Ord, Hash)]
     pub struct RequestId {
-        /// The entry that took the request.
+        /// The entry that received the request.
         pub entry: ProcessId,
-        /// A counter within that incarnation of the entry.
+        /// A counter within the incarnation of the entry.
         pub counter: u64,
     }
 }
 
 impl ProcessId {
-    /// Names a process.
+    /// Creates the id of a process.
     pub fn new(host: HostId, incarnation: Incarnation) -> Self {
         Self { host, incarnation }
     }
@@ -125,7 +125,7 @@
     fn from_str(text: &str) -> Result<Self> {
         let (host, incarnation) = text
             .rsplit_once(':')
-            .ok_or_else(|| refused("ProcessId", text))?;
+            .ok_or_else(|| invalid_id("ProcessId", text))?;
         Ok(Self::new(host.parse()?, incarnation.parse()?))
     }
 }
@@ -133,7 +133,7 @@
 macro_rules! counted_id {
     ($name:ident) => {
         impl $name {
-            /// Names the attempt or request with this counter.
+            /// Creates the id with this counter.
             pub fn new(entry: ProcessId, counter: u64) -> Self {
                 Self { entry, counter }
             }
@@ -151,7 +151,7 @@
             fn from_str(text: &str) -> Result<Self> {
                 let (entry, counter) = text
                     .rsplit_once(':')
-                    .ok_or_else(|| refused(stringify!($name), text))?;
+                    .ok_or_else(|| invalid_id(stringify!($name), text))?;
                 Ok(Self::new(
                     entry.parse()?,
                     parse_number(stringify!($name), counter)?,
@@ -164,29 +164,30 @@
 counted_id!(DispatchId);
 counted_id!(RequestId);
 
-/// Checks the text of a name.
+/// Checks the length and the characters of a name.
 #[doc(hidden)]
 pub fn check_name(kind: &'static str, text: String) -> Result<String> {
-    let fits = !text.is_empty() && text.len() <= MAX_NAME;
-    let clean = text
+    let fits = !text.is_empty() && text.len() <= MAX_NAME_LENGTH;
+    let valid_chars = text
         .bytes()
         .all(|b| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-'));
-    if fits && clean {
+    if fits && valid_chars {
         Ok(text)
     } else {
-        Err(refused(kind, &text))
+        Err(invalid_id(kind, &text))
     }
 }
 
-/// Parses a bare number.
+/// Parses a number without a unit.
 #[doc(hidden)]
 pub fn parse_number(kind: &'static str, text: &str) -> Result<u64> {
-    text.parse().map_err(|_| refused(kind, text))
+    text.parse().map_err(|_| invalid_id(kind, text))
 }
 
-fn refused(kind: &'static str, text: &str) -> IdError {
+/// Returns the error for an invalid id, with at most [`MAX_NAME_LENGTH`] characters of its text.
+fn invalid_id(kind: &'static str, text: &str) -> IdError {
     IdError {
         kind,
-        text: text.chars().take(MAX_NAME).collect(),
+        text: text.chars().take(MAX_NAME_LENGTH).collect(),
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,17 +1,17 @@
-//! Ids, units, errors, clocks and events shared by every package.
+//! Ids, units, errors, clocks and events that all packages share.
 //!
-//! - [`macros`](crate::data): the derives that most types share, and the id types.
-//! - [`ids`]: who and what a message speaks of.
-//! - [`units`]: sizes, durations and rates with their text forms.
-//! - [`time`]: monotonic moments, passed into the decision packages.
-//! - [`hash`]: seeded mixing, for random picks.
-//! - [`hlc`]: hybrid logical clocks, which order events over processes.
-//! - [`events`]: the numbered events and the bounded ring that keeps them.
-//! - [`outcome`]: what a caller may conclude about a request.
+//! - [`macros`](crate::data): the derives that plain data types share, and the id newtypes.
+//! - [`ids`]: ids of hosts, processes, requests and configuration objects.
+//! - [`units`]: sizes, durations and rates, and how settings write them.
+//! - [`time`]: points in monotonic time, passed into the packages that make decisions.
+//! - [`hash`]: mixing of numbers, the source of pseudo-random choices.
+//! - [`hlc`]: hybrid logical clocks, which order the events of different processes.
+//! - [`events`]: the numbered events and the bounded ring buffer that keeps them.
+//! - [`outcome`]: whether a request ran, as far as its caller may conclude.
 //! - [`server`]: what a backend server offers and reports.
-//! - [`starts`]: what is known of single starts of servers.
-//! - [`log_budget`]: how many log lines of each kind there may be in a second.
-//! - [`logs`]: structured logs, one numbered event a line.
+//! - [`starts`]: a map of values by backend server and start.
+//! - [`log_budget`]: how many log lines of each kind are written in a second.
+//! - [`logs`]: structured logs with one numbered event per line.
 
 mod macros;
 
--- a/crates/core/src/log_budget.rs
+++ b/crates/core/src/log_budget.rs
@@ -1,7 +1,7 @@
-//! How many log lines of each kind a process may write in a second, and what was left out.
+//! Limits how many log lines of each kind a process writes in a second, and counts the others.
 //!
-//! Load answered: a flood of requests, each with several lines, on a quarter of a core. Lines of
-//! what goes well are the first to be left out; a trouble keeps its lines.
+//! The limits hold for a flood of requests, each with several lines, on a quarter of a core. Lines
+//! about requests that go well are the first to be omitted; lines about problems are kept.
 
 use std::collections::BTreeMap;
 
@@ -9,69 +9,77 @@
 use crate::time::Moment;
 use crate::units::Span;
 
-/// Lines a second of one kind that speak of what goes well: enough to see that it does.
-pub const ROUTINE: u32 = 10;
+/// Lines per second and kind about requests that go well: enough to see that they do.
+pub const ROUTINE_LINES: u32 = 10;
 
-/// Lines a second of one kind that speak of trouble or of a change of what is believed. Some 30
-/// kinds are usual in a process, so a second has at most 3,000 lines of some 250 bytes.
-pub const TROUBLE: u32 = 100;
+/// Lines per second and kind about a problem or a change of state. A process usually has about 30
+/// kinds, so it writes at most 3,000 lines of about 250 bytes in a second.
+pub const PROBLEM_LINES: u32 = 100;
 
-/// The span over which lines are counted.
+/// The length of the window in which lines are counted.
 const WINDOW: Span = Span::from_secs(1);
 
-/// Whether a line is written.
+/// The decision about a line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Taken {
-    /// Whether this line is.
+pub struct Admission {
+    /// Whether the line is to be written.
     pub written: bool,
-    /// What was left out of the window that has just ended, if anything was.
-    pub left_out: Option<String>,
+    /// How many lines of each kind were omitted in the window that has just ended, if any were.
+    pub omitted: Option<String>,
 }
 
-/// Counts lines by kind.
+/// Counts the lines of each kind in the current window.
 #[derive(Debug, Clone, Default)]
 pub struct LogBudget {
+    /// The start of the current window.
     window: Option<Moment>,
     counts: BTreeMap<Event, u32>,
 }
 
 impl LogBudget {
-    /// Nothing is counted yet.
+    /// Creates a budget that has counted no line.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a line; `kept` where it belongs to a trouble, whatever its kind.
-    pub fn take(&mut self, now: Moment, event: Event, kept: bool) -> Taken {
+    /// Counts a line and decides whether it is written; `problem` says that it belongs to a
+    /// problem, whatever its kind.
+    pub fn admit(&mut self, now: Moment, event: Event, problem: bool) -> Admission {
         let ended = self.window.is_none_or(|since| now >= since + WINDOW);
-        let left_out = if ended {
+        let omitted = if ended {
             self.window = Some(now);
-            left_out(&std::mem::take(&mut self.counts))
+            describe_omitted(&std::mem::take(&mut self.counts))
         } else {
             None
         };
         let count = self.counts.entry(event).or_default();
         *count += 1;
-        let bound = if kept { TROUBLE } else { bound(event) };
-        Taken {
-            written: *count <= bound,
-            left_out,
+        let limit = if problem {
+            PROBLEM_LINES
+        } else {
+            line_limit(event)
+        };
+        Admission {
+            written: *count <= limit,
+            omitted,
         }
     }
 }
 
-fn bound(event: Event) -> u32 {
+/// Returns the lines per second that an event of this kind may have.
+fn line_limit(event: Event) -> u32 {
     if event.is_routine() {
-        ROUTINE
+        ROUTINE_LINES
     } else {
-        TROUBLE
+        PROBLEM_LINES
     }
 }
 
-fn left_out(counts: &BTreeMap<Event, u32>) -> Option<String> {
-    let beyond = counts.iter().filter(|(e, n)| **n > bound(**e));
-    let parts: Vec<String> = beyond
-        .map(|(event, count)| format!("{} {}", event.name(), count - bound(*event)))
+/// Lists how many lines of each kind were over their limit, or returns none if no line was.
+fn describe_omitted(counts: &BTreeMap<Event, u32>) -> Option<String> {
+    let over = counts.iter().filter(|(e, n)| **n > line_limit(**e));
+    let parts: Vec<String> = over
+        .map(|(event, count)| format!("{} {}", event.name(), count - line_limit(*event)))
         .collect();
     (!parts.is_empty()).then(|| parts.join(", "))
 }
--- a/crates/core/src/logs.rs
+++ b/crates/core/src/logs.rs
@@ -1,4 +1,6 @@
-//! Structured logs: JSON lines, each with one numbered event, bounded in number, and never waited for.
+//! Structured logs: JSON lines with one numbered event each, limited in number.
+//!
+//! A separate thread writes the lines, so that no task waits for the output.
 
 use std::fmt;
 use std::io;
@@ -18,35 +20,36 @@
 use crate::time::Moment;
 use crate::units::Span;
 
-/// How many lines may wait to be written; more are dropped and counted, and nothing waits for them.
-const QUEUE: usize = 4_096;
+/// How many lines may wait to be written; further lines are dropped and counted.
+const QUEUE_LINES: usize = 4_096;
 
-/// How long the end of a process waits for its last lines: a reader that has stopped must not hold it up.
-const FLUSH: Span = Span::from_millis(300);
+/// How long a process waits at its end for its last lines, so that a reader which has stopped does
+/// not block it.
+const FLUSH_TIMEOUT: Span = Span::from_millis(300);
 
 data! {
-    /// How much a process logs; its ring keeps every event all the same.
+    /// How much a process logs; its ring keeps every event at any level.
     #[derive(Copy, Default)]
     #[serde(rename_all = "lowercase")]
     pub enum LogLevel {
-        /// Everything but the events of single requests.
+        /// All events except those of single requests.
         #[default]
         Info,
-        /// The events of single requests too.
+        /// All events.
         Debug,
     }
 }
 
-/// Where lines go.
+/// Where log lines are written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogOutput {
-    /// Standard output: what a platform collects of a process.
+    /// Standard output, which a platform collects.
     Stdout,
-    /// Standard error, where standard output is for results.
+    /// Standard error, if standard output is for results.
     Stderr,
 }
 
-/// Writes events both to the log and to the process's ring.
+/// Writes events to the log and to the ring of the process.
 #[derive(Clone, Debug)]
 pub struct Journal {
     log: Logger,
@@ -55,7 +58,7 @@
     start: Instant,
 }
 
-/// Writes what waits to be written when it is dropped, within a bound.
+/// Writes the waiting log lines when it is dropped, within a time limit.
 pub struct LogGuard(Option<AsyncGuard>);
 
 impl fmt::Debug for LogGuard {
@@ -65,29 +68,30 @@
 }
 
 impl Drop for LogGuard {
-    /// Failure guarded against: a process ends in the middle of its last line, or, where nobody reads its
-    /// output any more, never.
+    /// Flushes the waiting lines, so that a process does not end in the middle of its last line. The
+    /// time limit lets it end even if nobody reads its output any more.
     fn drop(&mut self) {
         let Some(guard) = self.0.take() else { return };
         let (sender, receiver) = channel();
         let started = thread::Builder::new().spawn(move || {
             drop(guard);
-            // Nobody waits any more after the bound.
+            // The receiver is gone if the time limit has passed.
             let _ = sender.send(());
         });
         if started.is_ok() {
-            // Beyond the bound the lines are lost.
-            let _ = receiver.recv_timeout(FLUSH.as_duration());
+            // After the time limit the remaining lines are lost.
+            let _ = receiver.recv_timeout(FLUSH_TIMEOUT.as_duration());
         }
     }
 }
 
 impl Journal {
-    /// A journal that logs JSON lines of at least this level, and what writes its last lines.
+    /// Creates a journal that logs JSON lines of at least this level, and the guard that writes its
+    /// last lines.
     pub fn new(ring: Arc<Ring>, level: LogLevel, output: LogOutput) -> (Self, LogGuard) {
         let (drain, guard) = match output {
-            LogOutput::Stdout => queued(io::stdout()),
-            LogOutput::Stderr => queued(io::stderr()),
+            LogOutput::Stdout => async_drain(io::stdout()),
+            LogOutput::Stderr => async_drain(io::stderr()),
         };
         let level = match level {
             LogLevel::Info => Level::Info,
@@ -107,23 +111,23 @@
         }
     }
 
-    /// A journal that keeps its ring and logs nothing, for tests and demonstrations.
+    /// Creates a journal that writes to its ring but logs nothing, for tests and demonstrations.
     pub fn silent(ring: Arc<Ring>) -> Self {
         Self::with_log(Logger::root(slog::Discard, o!()), ring)
     }
 
-    /// The ring behind the journal.
+    /// Returns the ring that the journal writes to.
     pub fn ring(&self) -> &Arc<Ring> {
         &self.ring
     }
 
-    /// Records an event; what speaks of a single request is logged at debug level.
+    /// Records an event; an event of a single request is logged at debug level.
     pub fn record(&self, event: Event, subject: impl fmt::Display, detail: impl fmt::Display) {
         self.record_routine(event, subject, detail);
     }
 
-    /// Records an event that happens to every request; false where the log has too many lines of its
-    /// kind already.
+    /// Records an event of every request. Returns false if the log line was omitted because there
+    /// were too many of its kind.
     pub fn record_routine(
         &self,
         event: Event,
@@ -135,7 +139,7 @@
         written
     }
 
-    /// Logs an event that was recorded and left out of the log, because what it led to is a trouble.
+    /// Logs an event that was recorded earlier but omitted from the log, because it led to a problem.
     pub fn log_deferred(
         &self,
         event: Event,
@@ -145,24 +149,26 @@
         self.log(event, &subject, &detail, true);
     }
 
+    /// Logs an event if the budget allows it, and whatever was omitted before.
     fn log(
         &self,
         event: Event,
         subject: &impl fmt::Display,
         detail: &impl fmt::Display,
-        kept: bool,
+        problem: bool,
     ) -> bool {
         let now = Moment::ZERO + Span::from(self.start.elapsed());
-        let taken = self.budget.lock().take(now, event, kept);
-        if let Some(left_out) = taken.left_out {
-            self.write(Event::LinesLeftOut, &"log", &left_out);
+        let admission = self.budget.lock().admit(now, event, problem);
+        if let Some(omitted) = admission.omitted {
+            self.write(Event::LinesLeftOut, &"log", &omitted);
         }
-        if taken.written {
+        if admission.written {
             self.write(event, subject, detail);
         }
-        taken.written
+        admission.written
     }
 
+    /// Writes a line, at debug level if the event belongs to a single request.
     fn write(&self, event: Event, subject: &impl fmt::Display, detail: &impl fmt::Display) {
         let number = event.number();
         if (200..400).contains(&number) {
@@ -175,10 +181,10 @@
     }
 }
 
-/// Writes JSON lines on a thread of their own.
-fn queued(output: impl io::Write + Send + 'static) -> (slog_async::Async, AsyncGuard) {
+/// Creates a drain that writes JSON lines on a separate thread.
+fn async_drain(output: impl io::Write + Send + 'static) -> (slog_async::Async, AsyncGuard) {
     let json = slog_json::Json::default(output).fuse();
     slog_async::Async::new(json)
-        .chan_size(QUEUE)
+        .chan_size(QUEUE_LINES)
         .build_with_guard()
 }
--- a/crates/core/src/macros.rs
+++ b/crates/core/src/macros.rs
@@ -1,9 +1,9 @@
-//! Macros for the derives and id types that stand in every package.
+//! Macros for the derives and id newtypes that all packages use.
 
-/// Adds the derives that plain data types share.
+/// Adds the derives of plain data types.
 ///
-/// The type becomes `Debug`, `Clone`, `PartialEq`, `Eq`, `Serialize` and `Deserialize`.
-/// `data! { float ... }` leaves out `Eq`, for types that hold floats.
+/// A type becomes `Debug`, `Clone`, `PartialEq`, `Eq`, `Serialize` and `Deserialize`.
+/// `data! { float ... }` omits `Eq`, for types that contain floats.
 #[macro_export]
 macro_rules! data {
     (float $($item:item)+) => {
@@ -26,7 +26,7 @@
 
 /// Defines newtypes over `String` for names that people choose.
 ///
-/// A name has 1 to 64 characters out of `a-z A-Z 0-9 . _ -`; anything else is an
+/// A name has 1 to 64 characters from `a-z A-Z 0-9 . _ -`; any other text gives an
 /// [`IdError`](crate::ids::IdError).
 #[macro_export]
 macro_rules! name_ids {
@@ -41,12 +41,12 @@
             pub struct $name(String);
 
             impl $name {
-                /// Checks the text and wraps it.
+                /// Creates a name from a text, or an error if the text is not a valid name.
                 pub fn new(text: impl Into<String>) -> std::result::Result<Self, $crate::ids::IdError> {
                     $crate::ids::check_name(stringify!($name), text.into()).map(Self)
                 }
 
-                /// The text of the name.
+                /// Returns the text of the name.
                 pub fn as_str(&self) -> &str {
                     &self.0
                 }
@@ -97,18 +97,18 @@
             pub struct $name(pub u64);
 
             impl $name {
-                /// Wraps the number.
+                /// Creates an id from a number.
                 pub const fn new(number: u64) -> Self {
                     Self(number)
                 }
 
-                /// The number that follows.
+                /// Returns the id with the next number.
                 #[must_use]
                 pub const fn next(self) -> Self {
                     Self(self.0 + 1)
                 }
 
-                /// The bare number.
+                /// Returns the number.
                 pub const fn get(self) -> u64 {
                     self.0
                 }
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller may conclude about a request that was not answered in whole.
+//! What a caller may conclude about a request that was not answered completely.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,9 +12,9 @@
     #[derive(Copy, Hash)]
     #[serde(rename_all = "kebab-case")]
     pub enum Outcome {
-        /// It did not run and never will: it is safe to send again.
+        /// It did not run and never will, so it is safe to send again.
         NotRun,
-        /// It may have run: only an idempotent request is safe to send again.
+        /// It may have run, so only an idempotent request is safe to send again.
         Unknown,
         /// It ran.
         Ran,
@@ -22,7 +22,7 @@
 }
 
 impl Outcome {
-    /// The text of the `Snipemast-Outcome` header.
+    /// Returns the value of the `Snipemast-Outcome` header.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
--- a/crates/core/src/prelude.rs
+++ b/crates/core/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that most modules use.
+//! The types that most modules import.
 
 pub use crate::data;
 pub use crate::events::{Event, Record, Ring};
--- a/crates/core/src/server.rs
+++ b/crates/core/src/server.rs
@@ -1,4 +1,4 @@
-//! What a backend server offers and reports, as agents announce it.
+//! What a backend server offers and reports, as its agent announces it.
 
 use std::fmt;
 
@@ -8,36 +8,37 @@
 use crate::units::Span;
 
 data! {
-    /// A backend server's description of itself.
+    /// A backend server's own description.
     pub struct ServerInfo {
         /// Its name.
         pub server: ServerId,
-        /// What it can answer now.
+        /// The models and services that it can answer for now.
         pub offers: Vec<Offer>,
-        /// What its engine can do.
+        /// The capabilities of its engine.
         pub capabilities: Capabilities,
         /// Its place in a group of ranks.
         #[serde(default)]
         pub rank: Option<Rank>,
-        /// Requests that it runs at once before they wait.
+        /// How many requests it runs at once; further requests wait.
         pub slots: u32,
     }
 
-    /// A backend server's place in a forming of its group, as the process beside it tells.
+    /// A backend server's place in one incarnation of its group, as reported by the process beside
+    /// it.
     pub struct GroupRank {
         /// The group.
         pub group: GroupId,
-        /// Which forming of it this is.
+        /// The incarnation of the group.
         pub epoch: GroupIncarnation,
-        /// The place in it.
+        /// The place of the server in the group.
         pub place: u32,
-        /// How many ranks the group has.
+        /// The number of ranks in the group.
         pub size: u32,
-        /// Whether the rank goes on with its group's passes.
+        /// Whether the rank takes part in its group's further passes.
         pub open: bool,
     }
 
-    /// Something that a backend server can answer.
+    /// A model or service that a backend server can answer for.
     #[derive(PartialOrd, Ord, Hash)]
     #[serde(tag = "kind", rename_all = "lowercase", deny_unknown_fields)]
     pub enum Offer {
@@ -47,7 +48,7 @@
             model: ModelId,
             /// The version of its weights.
             version: String,
-            /// The adapters loaded on top.
+            /// The adapters loaded on top of the model.
             #[serde(default)]
             adapters: Vec<AdapterId>,
         },
@@ -58,17 +59,17 @@
         },
     }
 
-    /// What a backend server's engine can do beyond answering.
+    /// The optional capabilities of a backend server's engine.
     #[derive(Copy, Default)]
     #[serde(deny_unknown_fields, default)]
     pub struct Capabilities {
-        /// It refuses orders with an old fencing number by itself.
+        /// It refuses orders with an old fencing number on its own.
         pub fencing: bool,
-        /// It continues an answer from tokens already delivered.
+        /// It can continue an answer after the tokens already delivered.
         pub resume: bool,
         /// It caches prompt prefixes and publishes what it caches.
         pub prefix: bool,
-        /// It honours priorities.
+        /// It respects the priorities of requests.
         pub priority: bool,
     }
 
@@ -76,29 +77,29 @@
     pub struct Rank {
         /// The group.
         pub group: GroupId,
-        /// The position, from 0.
+        /// The position in the group, starting at 0.
         pub number: u32,
     }
 
-    /// A backend server's load, as of some time ago.
+    /// The load of a backend server at some time in the past.
     #[derive(Copy, Default)]
     #[serde(deny_unknown_fields, default)]
     pub struct LoadReport {
-        /// Requests that run.
+        /// The number of requests that run.
         pub running: u32,
-        /// Requests that wait.
+        /// The number of requests that wait.
         pub waiting: u32,
-        /// The mean time of a step, or zero where there are no steps.
+        /// The mean time of a step, or zero if the server has no steps.
         pub step: Span,
-        /// How old the report was when it was read.
+        /// The age of the report when it was read.
         pub age: Span,
-        /// Dead starts: how often the engine came up again since the agent began.
+        /// How often the engine has started again since the agent started.
         pub restarts: u32,
     }
 }
 
 impl LoadReport {
-    /// Requests that run or wait.
+    /// Returns the number of requests that run or wait.
     pub const fn total(&self) -> u32 {
         self.running + self.waiting
     }
--- a/crates/core/src/starts.rs
+++ b/crates/core/src/starts.rs
@@ -1,13 +1,15 @@
-//! What is known of single starts of servers, which may start again under their ids.
+//! A map of values by backend server and start.
+//!
+//! A server that starts again keeps its id, so several starts of it can be known at once.
 
 use std::collections::HashMap;
 
 use crate::ids::{Incarnation, ServerId};
 
-/// A value for each start of a server.
+/// A map with one value for each known start of a backend server.
 #[derive(Debug, Clone)]
 pub struct StartMap<T> {
-    /// Few starts of one server are known at once.
+    /// The starts of each server in a list, because only a few are known at once.
     servers: HashMap<ServerId, Vec<(Incarnation, T)>>,
 }
 
@@ -20,24 +22,24 @@
 }
 
 impl<T> StartMap<T> {
-    /// Nothing is known.
+    /// Creates an empty map.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// What is known of a start.
+    /// Returns the value of a start.
     pub fn get(&self, server: &ServerId, start: Incarnation) -> Option<&T> {
         let mut starts = self.servers.get(server)?.iter();
         starts.find(|(s, _)| *s == start).map(|(_, value)| value)
     }
 
-    /// The same, to be changed.
+    /// Returns the value of a start for a change.
     pub fn get_mut(&mut self, server: &ServerId, start: Incarnation) -> Option<&mut T> {
         let mut starts = self.servers.get_mut(server)?.iter_mut();
         starts.find(|(s, _)| *s == start).map(|(_, value)| value)
     }
 
-    /// Sets what is known of a start.
+    /// Sets the value of a start.
     pub fn insert(&mut self, server: &ServerId, start: Incarnation, value: T) {
         match self.get_mut(server, start) {
             Some(known) => *known = value,
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Forgets a start.
+    /// Removes a start.
     pub fn remove(&mut self, server: &ServerId, start: Incarnation) {
         let Some(starts) = self.servers.get_mut(server) else {
             return;
@@ -59,15 +61,15 @@
         }
     }
 
-    /// Keeps the starts for which a condition holds.
-    pub fn retain(&mut self, holds: impl Fn(&ServerId, Incarnation, &T) -> bool) {
+    /// Keeps only the starts that the predicate accepts.
+    pub fn retain(&mut self, keep: impl Fn(&ServerId, Incarnation, &T) -> bool) {
         self.servers.retain(|server, starts| {
-            starts.retain(|(start, value)| holds(server, *start, value));
+            starts.retain(|(start, value)| keep(server, *start, value));
             !starts.is_empty()
         });
     }
 
-    /// All that is known.
+    /// Returns all starts with their values.
     pub fn iter(&self) -> impl Iterator<Item = (&ServerId, Incarnation, &T)> {
         self.servers.iter().flat_map(|(server, starts)| {
             let starts = starts.iter();
@@ -75,11 +77,11 @@
         })
     }
 
-    /// Forgets the starts whose values are the least, until no more than so many are known.
-    pub fn evict_lowest<K: Ord>(&mut self, most: usize, key: impl Fn(&T) -> K) {
-        while self.count() > most {
-            let least = self.iter().min_by_key(|(_, _, value)| key(value));
-            let Some((server, start)) = least.map(|(server, start, _)| (server.clone(), start))
+    /// Removes the starts with the lowest keys until at most `limit` are left.
+    pub fn evict_lowest<K: Ord>(&mut self, limit: usize, key: impl Fn(&T) -> K) {
+        while self.count() > limit {
+            let lowest = self.iter().min_by_key(|(_, _, value)| key(value));
+            let Some((server, start)) = lowest.map(|(server, start, _)| (server.clone(), start))
             else {
                 return;
             };
@@ -87,6 +89,7 @@
         }
     }
 
+    /// Returns the number of known starts.
     fn count(&self) -> usize {
         self.servers.values().map(Vec::len).sum()
     }
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic moments, passed into the decision packages from outside.
+//! Points in monotonic time, which callers pass into the packages that make decisions.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -8,10 +8,10 @@
 
 use crate::units::Span;
 
-/// A point on one process's monotonic clock, in microseconds since that clock's start.
+/// A point in time on the monotonic clock of a process, in microseconds since the clock's start.
 ///
-/// Moments of two processes are never compared; what crosses the wire is a [`Span`] that is
-/// left. A jump of the wall clock does not show here.
+/// Moments of different processes are never compared: messages carry the remaining [`Span`]
+/// instead. A jump of the wall clock has no effect here.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,30 +21,30 @@
 impl Moment {
     /// The start of the clock.
     pub const ZERO: Self = Self(0);
-    /// A moment that never comes.
+    /// A moment that never arrives.
     pub const NEVER: Self = Self(u64::MAX);
 
-    /// The moment this many microseconds after the start.
+    /// Returns the moment this many microseconds after the start.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// The moment this many milliseconds after the start.
+    /// Returns the moment this many milliseconds after the start.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Microseconds since the start.
+    /// Returns the microseconds since the start.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The span since an earlier moment, or zero.
+    /// Returns the span since an earlier moment, or zero if it is later.
     pub const fn since(self, earlier: Self) -> Span {
         Span::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The span until a later moment, or zero.
+    /// Returns the span until a later moment, or zero if it is earlier.
     pub const fn until(self, later: Self) -> Span {
         later.since(self)
     }
@@ -72,21 +72,21 @@
     }
 }
 
-/// A process's real monotonic clock.
+/// The monotonic clock of a process.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// Starts the clock now.
+    /// Creates a clock that starts now.
     pub fn new() -> Self {
         Self {
             start: Instant::now(),
         }
     }
 
-    /// The present moment.
+    /// Returns the current moment.
     pub fn now(&self) -> Moment {
         Moment(self.start.elapsed().as_micros() as u64)
     }
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -1,4 +1,4 @@
-//! Sizes, durations and rates, with the text forms that settings use.
+//! Sizes, durations and rates, and how settings write them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,12 +9,12 @@
 /// The result of parsing a quantity.
 pub type Result<T> = std::result::Result<T, UnitError>;
 
-/// Why a text is not a quantity.
+/// A text that is not a valid quantity.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnitError {
-    /// The text that was refused.
+    /// The rejected text.
     pub text: String,
-    /// What would have been accepted.
+    /// A description of the expected text.
     pub expected: &'static str,
 }
 
@@ -34,51 +34,51 @@
 pub struct Span(u64);
 
 impl Span {
-    /// A span of whole microseconds.
+    /// Creates a span from microseconds.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// A span of whole milliseconds.
+    /// Creates a span from milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// A span of whole seconds.
+    /// Creates a span from seconds.
     pub const fn from_secs(secs: u64) -> Self {
         Self(secs * 1_000_000)
     }
 
-    /// The span in microseconds.
+    /// Returns the span in microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The span in whole milliseconds, rounded down.
+    /// Returns the span in milliseconds, rounded down.
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// The span in seconds.
+    /// Returns the span in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// The span as the standard library's type.
+    /// Converts the span to the standard library's type.
     pub const fn as_duration(self) -> Duration {
         Duration::from_micros(self.0)
     }
 
-    /// The span times a whole number, at most the longest span.
+    /// Multiplies the span by a whole number, up to the longest span.
     #[must_use]
     pub const fn times(self, factor: u64) -> Self {
         Self(self.0.saturating_mul(factor))
     }
 
-    /// A mean that follows what is seen: one of so many parts of it is replaced.
+    /// Returns the moving average after a new sample, which gets a weight of `1 / parts`.
     #[must_use]
-    pub const fn smoothed(self, seen: Self, parts: u64) -> Self {
-        Self((self.0 * (parts - 1) + seen.0) / parts)
+    pub const fn smoothed(self, sample: Self, parts: u64) -> Self {
+        Self((self.0 * (parts - 1) + sample.0) / parts)
     }
 }
 
@@ -88,7 +88,7 @@
     }
 }
 
-/// Largest unit first, so that the shortest text is found first.
+/// The units of a span, largest first, so that a span is written in its largest unit.
 const SPAN_UNITS: [(&str, u64); 5] = [
     ("h", 3_600_000_000),
     ("m", 60_000_000),
@@ -119,22 +119,23 @@
 pub struct Size(u64);
 
 impl Size {
-    /// A size of this many bytes.
+    /// Creates a size from bytes.
     pub const fn from_bytes(bytes: u64) -> Self {
         Self(bytes)
     }
 
-    /// A size of this many MiB.
+    /// Creates a size from MiB.
     pub const fn from_mib(mib: u64) -> Self {
         Self(mib << 20)
     }
 
-    /// The size in bytes.
+    /// Returns the size in bytes.
     pub const fn as_bytes(self) -> u64 {
         self.0
     }
 }
 
+/// The units of a size, largest first.
 const SIZE_UNITS: [(&str, u64); 4] = [
     ("GiB", 1 << 30),
     ("MiB", 1 << 20),
@@ -156,9 +157,9 @@
     }
 }
 
-/// A number of events a second, written like `100/s` or `60/m`.
+/// A number of events per second, written like `100/s` or `60/m`.
 ///
-/// Kept in thousandths of an event a second.
+/// It is stored in thousandths of an event per second.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -166,29 +167,30 @@
 pub struct Rate(u64);
 
 impl Rate {
-    /// A rate of whole events a second.
+    /// Creates a rate from whole events per second.
     pub const fn per_second(count: u64) -> Self {
         Self(count * 1_000)
     }
 
-    /// A rate in thousandths of an event a second.
+    /// Creates a rate from thousandths of an event per second.
     pub const fn from_millis(thousandths: u64) -> Self {
         Self(thousandths)
     }
 
-    /// A rate of events a second, rounded to thousandths; nothing where that is no rate.
+    /// Creates a rate from events per second, rounded to thousandths. Returns none if the number is
+    /// negative, too large or not a number.
     pub fn from_per_second(rate: f64) -> Option<Self> {
         let scaled = (rate * 1e3).round();
         let fits = scaled >= 0.0 && scaled <= u32::MAX.into();
         fits.then_some(Self(scaled as u64))
     }
 
-    /// The rate in thousandths of an event a second.
+    /// Returns the rate in thousandths of an event per second.
     pub const fn as_millis(self) -> u64 {
         self.0
     }
 
-    /// The rate in events a second.
+    /// Returns the rate in events per second.
     pub fn as_per_second(self) -> f64 {
         self.0 as f64 / 1e3
     }
@@ -205,7 +207,7 @@
         if self.0.is_multiple_of(1_000) {
             write!(f, "{}/s", self.0 / 1_000)
         } else {
-            // Rounded up: a rate that is read rounds down, and must come back as it was.
+            // Rounded up, because parsing rounds down and must return the same rate.
             write!(f, "{}/h", (self.0 * 3_600).div_ceil(1_000))
         }
     }
@@ -216,19 +218,19 @@
 
     fn from_str(text: &str) -> Result<Self> {
         let expected = "a rate like \"100/s\", \"60/m\" or \"10/h\"";
-        let refused = || UnitError {
+        let invalid = || UnitError {
             text: text.into(),
             expected,
         };
-        let (count, unit) = text.trim().split_once('/').ok_or_else(refused)?;
-        let count: u64 = count.trim().parse().map_err(|_| refused())?;
+        let (count, unit) = text.trim().split_once('/').ok_or_else(invalid)?;
+        let count: u64 = count.trim().parse().map_err(|_| invalid())?;
         let seconds = match unit.trim() {
             "s" => 1,
             "m" => 60,
             "h" => 3_600,
-            _ => return Err(refused()),
+            _ => return Err(invalid()),
         };
-        let scaled = count.checked_mul(1_000).ok_or_else(refused)?;
+        let scaled = count.checked_mul(1_000).ok_or_else(invalid)?;
         Ok(Self(scaled / seconds))
     }
 }
@@ -255,7 +257,7 @@
 
 text_form!(Span Size Rate);
 
-/// Writes the value in the largest unit that divides it.
+/// Writes a value in the largest unit that divides it.
 fn write_scaled(
     f: &mut fmt::Formatter<'_>,
     value: u64,
@@ -272,21 +274,21 @@
     write!(f, "{}{unit}", value / scale)
 }
 
-/// Reads a whole number with one of the units.
+/// Parses a whole number with one of the units.
 fn parse_scaled(text: &str, units: &[(&str, u64)], expected: &'static str) -> Result<u64> {
-    let refused = || UnitError {
+    let invalid = || UnitError {
         text: text.into(),
         expected,
     };
     let text = text.trim();
     let end = text
         .find(|c: char| !c.is_ascii_digit())
-        .ok_or_else(refused)?;
+        .ok_or_else(invalid)?;
     let (number, unit) = text.split_at(end);
     let (_, scale) = units
         .iter()
         .find(|(u, _)| *u == unit.trim())
-        .ok_or_else(refused)?;
-    let number: u64 = number.parse().map_err(|_| refused())?;
-    number.checked_mul(*scale).ok_or_else(refused)
+        .ok_or_else(invalid)?;
+    let number: u64 = number.parse().map_err(|_| invalid())?;
+    number.checked_mul(*scale).ok_or_else(invalid)
 }
