--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Messages to bytes and back, by rmp-serde.
+//! Encoding and decoding of messages with rmp-serde.
 
 use std::fmt;
 
@@ -13,7 +13,7 @@
 pub struct CodecError {
     /// The message that was expected.
     pub expected: &'static str,
-    /// What the decoder met.
+    /// The error of the decoder.
     pub reason: String,
 }
 
@@ -25,12 +25,13 @@
 
 impl std::error::Error for CodecError {}
 
-/// Encodes a message, fields by name, so that processes of two releases understand each other.
+/// Encodes a message with its fields by name, so that processes of different releases understand
+/// each other.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     rmp_serde::to_vec_named(message).expect("messages hold nothing that MessagePack can't")
 }
 
-/// Encodes a message behind bytes that are already there.
+/// Encodes a message and appends it to `bytes`.
 pub fn encode_into<T: Serialize>(message: &T, bytes: &mut Vec<u8>) {
     rmp_serde::encode::write_named(bytes, message)
         .expect("messages hold nothing that MessagePack can't");
--- a/crates/wire/src/config.rs
+++ b/crates/wire/src/config.rs
@@ -1,40 +1,40 @@
-//! The messages that spread the configuration.
+//! The messages that distribute the configuration.
 
 use snipemast_config::{Ask, Census, ProcessVersion, Verdict};
 use snipemast_control::machine::Submission;
 use snipemast_core::prelude::*;
 
 data! {
-    /// A question about the configuration, and how the asker stands; the answer is a
-    /// [`Reply`](snipemast_config::Reply).
+    /// A question about the configuration, with the versions that its sender has in force; the
+    /// answer is a [`Reply`](snipemast_config::Reply).
     pub struct ConfigPoll {
         /// The question.
         pub ask: Ask,
-        /// What the asker has in force.
+        /// The version that the sender has in force.
         pub standing: ProcessVersion,
-        /// What those that ask the asker have in force.
+        /// The versions that the processes polling the sender have in force.
         pub below: Census,
     }
 }
 
 data! {
-    /// An operator's patch on its way to the control leader, passed on from host to host.
+    /// An operator's patch, which hosts forward to the control leader.
     pub struct PatchAsk {
         /// The patch, its author and its time.
         pub submission: Submission,
-        /// How many hosts may still pass it on.
+        /// How many hosts may still forward it.
         pub hops: u8,
     }
 
-    /// What became of a [`PatchAsk`].
+    /// The answer to a [`PatchAsk`].
     pub enum PatchAnswer {
-        /// It has its verdict.
+        /// The leader has decided on the patch.
         Verdict(Verdict),
-        /// No majority is in reach; nothing was accepted.
+        /// No majority can be reached; nothing was accepted.
         Minority,
-        /// No control host is in reach; nothing was accepted.
+        /// No control host can be reached; nothing was accepted.
         Unreachable,
-        /// It may have been accepted; a resend learns.
+        /// The patch may have been accepted; a resend returns what became of it.
         Unknown,
     }
 }
--- a/crates/wire/src/connect.rs
+++ b/crates/wire/src/connect.rs
@@ -1,9 +1,9 @@
-//! Connections that send a request's body right behind its head.
+//! Connections that send a request's body directly after its head.
 //!
-//! The HTTP library's client asks for `100-continue` before each body and waits for the word, which
-//! costs one round trip a call and two more packets. RFC 9110 (10.1.1) lets a client go on without
-//! waiting. [`Eager`] takes the header out of the head, gives the client the word itself, and sends
-//! head and body together.
+//! The HTTP library's client asks for `100-continue` before each body and waits for the response,
+//! which costs one round-trip and two more packets per call. RFC 9110 (10.1.1) lets a client continue
+//! without waiting. [`EagerTransport`] removes the header from the head, gives the client the interim
+//! response itself, and sends head and body together.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,32 +18,32 @@
 use trillium_smol::async_net::TcpStream;
 use trillium_smol::{ClientConfig, SmolTransport};
 
-/// The header line that is taken out, with the end of the line before it.
-const EXPECT: &[u8] = b"\r\nExpect: 100-continue\r\n";
-/// The length of what stays of [`EXPECT`]: the end of the line before it.
-const KEPT: usize = 2;
-/// What the client reads in place of the server's word.
-const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-/// A body is sent together with its head where both fit into this many bytes.
-const TOGETHER: usize = 16 << 10;
-
-/// The clients of one peer, and so the pools of 16 connections.
-const CLIENTS: usize = 16;
-/// The exchanges that share one client: fewer than its pool holds.
-const WIDTH: usize = 12;
-
-/// An HTTP client with a pool of connections that never wait for `100-continue`.
+/// The header line that is removed, with the end of the line before it.
+const EXPECT_LINE: &[u8] = b"\r\nExpect: 100-continue\r\n";
+/// The length of the part of [`EXPECT_LINE`] that stays: the end of the line before it.
+const LINE_END_BYTES: usize = 2;
+/// The interim response that the client reads instead of the server's.
+const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+/// A body is sent together with its head if both fit into this many bytes.
+const COMBINED_BYTES: usize = 16 << 10;
+
+/// The number of clients for one peer, each with a pool of 16 connections.
+const CLIENTS_PER_PEER: usize = 16;
+/// The number of exchanges that share one client, which is less than the size of its pool.
+const EXCHANGES_PER_CLIENT: usize = 12;
+
+/// Creates an HTTP client with a pool of connections that never wait for `100-continue`.
 pub fn client() -> Client {
-    Client::new(EagerConfig::default()).with_default_pool()
+    Client::new(EagerConnector::default()).with_default_pool()
 }
 
-/// Opens [`Eager`] connections.
+/// Opens connections with an [`EagerTransport`].
 #[derive(Debug, Clone, Copy)]
-pub struct EagerConfig {
+pub struct EagerConnector {
     tcp: ClientConfig,
 }
 
-impl Default for EagerConfig {
+impl Default for EagerConnector {
     fn default() -> Self {
         Self {
             tcp: ClientConfig::default().with_nodelay(true),
@@ -52,11 +52,11 @@
 }
 
 #[async_trait]
-impl Connector for EagerConfig {
-    type Transport = Eager<SmolTransport<TcpStream>>;
+impl Connector for EagerConnector {
+    type Transport = EagerTransport<SmolTransport<TcpStream>>;
 
     async fn connect(&self, url: &Url) -> io::Result<Self::Transport> {
-        self.tcp.connect(url).await.map(Eager::new)
+        self.tcp.connect(url).await.map(EagerTransport::new)
     }
 
     fn spawn<F: std::future::Future<Output = ()> + Send + 'static>(&self, work: F) {
@@ -64,113 +64,118 @@
     }
 }
 
-/// A connection that sends a request's body without waiting for the server's word.
+/// A connection that sends a request's body without waiting for the server's interim response.
 #[derive(Debug)]
-pub struct Eager<T> {
+pub struct EagerTransport<T> {
     inner: T,
     phase: Phase,
-    held: Vec<u8>,
+    /// Bytes that the client has written but that are not sent yet.
+    unsent: Vec<u8>,
 }
 
-/// Where a connection stands in the exchange.
+/// The phase of the exchange on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// The next bytes written are a request's head.
+    /// The next bytes that the client writes are a request's head.
     Head,
-    /// The client waits for the word; this many bytes of it were read.
-    Word(usize),
-    /// The bytes written are a body, until the answer is read.
+    /// The client waits for the interim response and has read this many bytes of it.
+    Continue(usize),
+    /// The bytes that the client writes are a body, until it reads the answer.
     Body,
 }
 
-impl<T: AsyncWrite + Unpin> Eager<T> {
-    /// Wraps a fresh connection.
+impl<T: AsyncWrite + Unpin> EagerTransport<T> {
+    /// Wraps a new connection.
     pub fn new(inner: T) -> Self {
         Self {
             inner,
             phase: Phase::Head,
-            held: Vec::new(),
+            unsent: Vec::new(),
         }
     }
 
-    /// Sends what is held back.
-    fn poll_held(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        while !self.held.is_empty() {
-            let count = ready!(Pin::new(&mut self.inner).poll_write(cx, &self.held))?;
+    /// Sends the unsent bytes.
+    fn poll_unsent(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        while !self.unsent.is_empty() {
+            let count = ready!(Pin::new(&mut self.inner).poll_write(cx, &self.unsent))?;
             if count == 0 {
                 return Poll::Ready(Err(io::ErrorKind::WriteZero.into()));
             }
-            self.held.drain(..count);
+            self.unsent.drain(..count);
         }
         Poll::Ready(Ok(()))
     }
 
-    /// Holds back a head that asks for the word; false where it asks for none.
-    fn hold_head(&mut self, head: &[u8]) -> bool {
-        let Some(at) = head.windows(EXPECT.len()).position(|w| w == EXPECT) else {
+    /// Buffers a head that asks for `100-continue`, or returns false if it does not.
+    fn buffer_head(&mut self, head: &[u8]) -> bool {
+        let Some(at) = head
+            .windows(EXPECT_LINE.len())
+            .position(|w| w == EXPECT_LINE)
+        else {
             return false;
         };
-        self.held.extend_from_slice(&head[..at + KEPT]);
-        self.held.extend_from_slice(&head[at + EXPECT.len()..]);
-        self.phase = Phase::Word(0);
+        self.unsent.extend_from_slice(&head[..at + LINE_END_BYTES]);
+        self.unsent
+            .extend_from_slice(&head[at + EXPECT_LINE.len()..]);
+        self.phase = Phase::Continue(0);
         true
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for Eager<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for EagerTransport<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.phase == Phase::Head && self.hold_head(bytes) {
+        if self.phase == Phase::Head && self.buffer_head(bytes) {
             return Poll::Ready(Ok(bytes.len()));
         }
-        if !self.held.is_empty() && self.held.len() + bytes.len() <= TOGETHER {
-            self.held.extend_from_slice(bytes);
+        if !self.unsent.is_empty() && self.unsent.len() + bytes.len() <= COMBINED_BYTES {
+            self.unsent.extend_from_slice(bytes);
             return Poll::Ready(Ok(bytes.len()));
         }
-        ready!(self.poll_held(cx))?;
+        ready!(self.poll_unsent(cx))?;
         Pin::new(&mut self.inner).poll_write(cx, bytes)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        ready!(self.poll_held(cx))?;
+        ready!(self.poll_unsent(cx))?;
         Pin::new(&mut self.inner).poll_flush(cx)
     }
 
     fn poll_close(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        ready!(self.poll_held(cx))?;
+        ready!(self.poll_unsent(cx))?;
         Pin::new(&mut self.inner).poll_close(cx)
     }
 }
 
-impl<T: AsyncRead + AsyncWrite + Unpin> AsyncRead for Eager<T> {
+impl<T: AsyncRead + AsyncWrite + Unpin> AsyncRead for EagerTransport<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        if let Phase::Word(read) = self.phase {
-            let rest = &CONTINUE[read..];
+        if let Phase::Continue(read) = self.phase {
+            let rest = &CONTINUE_RESPONSE[read..];
             let count = rest.len().min(buffer.len());
             buffer[..count].copy_from_slice(&rest[..count]);
             let whole = count == rest.len();
             self.phase = if whole {
                 Phase::Body
             } else {
-                Phase::Word(read + count)
+                Phase::Continue(read + count)
             };
             return Poll::Ready(Ok(count));
         }
-        ready!(self.poll_held(cx))?;
-        // Whoever reads on has sent the whole body: what is written next is another head.
+        ready!(self.poll_unsent(cx))?;
+        // A client that reads the answer has sent its whole body, so it writes a head next.
         self.phase = Phase::Head;
         Pin::new(&mut self.inner).poll_read(cx, buffer)
     }
 }
 
-impl<T: Transport> Transport for Eager<T> {
+impl<T: Transport> Transport for EagerTransport<T> {
     fn peer_addr(&self) -> io::Result<Option<SocketAddr>> {
         self.inner.peer_addr()
     }
@@ -184,43 +189,47 @@
     }
 }
 
-/// The clients of one peer, each with a pool of its own.
+/// The HTTP clients for one peer, each with its own pool of connections.
 ///
-/// The HTTP library's pool keeps 16 idle connections for an address. A peer with 64 requests in
-/// flight lost the others after each burst and opened them again for the next one. Requests fill
-/// the first client up before they use the second, so that a quiet peer keeps few connections.
+/// The HTTP library's pool keeps 16 idle connections for an address. With a single pool, a peer with
+/// 64 requests in flight would lose the other connections after each burst and open them again for
+/// the next one. Requests fill the first client before they use the second, so that a quiet peer
+/// keeps few connections.
 #[derive(Debug, Clone)]
 pub struct Clients {
-    slots: Arc<[Slot; CLIENTS]>,
+    slots: Arc<[Slot; CLIENTS_PER_PEER]>,
 }
 
+/// One client.
 #[derive(Debug)]
 struct Slot {
     client: Client,
-    busy: AtomicUsize,
+    /// The number of exchanges that use the client.
+    exchanges: AtomicUsize,
 }
 
 impl Clients {
-    /// Clients without connections.
+    /// Creates clients that have no connections yet.
     pub fn new() -> Self {
         let slot = |_| Slot {
             client: client(),
-            busy: AtomicUsize::new(0),
+            exchanges: AtomicUsize::new(0),
         };
         Self {
             slots: Arc::new(std::array::from_fn(slot)),
         }
     }
 
-    /// A client for one exchange, held until the answer has been read.
+    /// Returns a client for one exchange; it is held until the answer has been read.
     pub fn hold(&self) -> Held {
         let mut slots = self.slots.iter();
-        let free = slots.position(|slot| slot.busy.load(Ordering::Relaxed) < WIDTH);
-        let place = free.unwrap_or(CLIENTS - 1);
-        self.slots[place].busy.fetch_add(1, Ordering::Relaxed);
+        let free =
+            slots.position(|slot| slot.exchanges.load(Ordering::Relaxed) < EXCHANGES_PER_CLIENT);
+        let index = free.unwrap_or(CLIENTS_PER_PEER - 1);
+        self.slots[index].exchanges.fetch_add(1, Ordering::Relaxed);
         Held {
             slots: Arc::clone(&self.slots),
-            place,
+            index,
         }
     }
 }
@@ -231,22 +240,24 @@
     }
 }
 
-/// A client in use by one exchange.
+/// A client that one exchange uses.
 #[derive(Debug)]
 pub struct Held {
-    slots: Arc<[Slot; CLIENTS]>,
-    place: usize,
+    slots: Arc<[Slot; CLIENTS_PER_PEER]>,
+    index: usize,
 }
 
 impl Held {
-    /// The client.
+    /// Returns the client.
     pub fn client(&self) -> &Client {
-        &self.slots[self.place].client
+        &self.slots[self.index].client
     }
 }
 
 impl Drop for Held {
     fn drop(&mut self) {
-        self.slots[self.place].busy.fetch_sub(1, Ordering::Relaxed);
+        self.slots[self.index]
+            .exchanges
+            .fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -1,4 +1,4 @@
-//! Messages between voters, and from other hosts to the control leader.
+//! The messages between voters, and from other hosts to the control leader.
 
 pub use snipemast_control::forming::{ControlHost, Hello};
 use snipemast_control::{Envelope, Refusal, VoterChange, VoterId, Voters};
@@ -7,22 +7,23 @@
 
 /// Paths of the messages between control hosts.
 pub mod path {
-    /// A control host asks another who it is: [`Hello`](super::Hello).
+    /// A control host asks another for its identity: [`Hello`](super::Hello).
     pub const HELLO: &str = "/own/control/hello";
-    /// A voter speaks to another: [`Batch`](super::Batch), answered by another.
+    /// A voter sends messages to another: [`Batch`](super::Batch), answered by another batch.
     pub const MESSAGES: &str = "/own/control/messages";
-    /// A command for the leader: [`Submit`](super::Submit).
+    /// A command is submitted to the leader: [`Submit`](super::Submit).
     pub const SUBMIT: &str = "/own/control/submit";
-    /// A change of the voters for the leader: [`Change`](super::Change).
+    /// A change of the voters is submitted to the leader: [`Change`](super::Change).
     pub const CHANGE: &str = "/own/control/change";
-    /// What a control host knows of the log: answered by [`VoterStatus`](super::VoterStatus).
+    /// A control host is asked for its view of the log; it answers with
+    /// [`VoterStatus`](super::VoterStatus).
     pub const STATUS: &str = "/own/control/status";
 }
 
 data! {
-    /// Messages to one voter, or its answers.
+    /// The messages to one voter, or its answers.
     pub struct Batch {
-        /// Who sends them.
+        /// The voter that sends them.
         pub from: VoterId,
         /// The messages, oldest first.
         pub envelopes: Vec<Envelope>,
@@ -33,7 +34,7 @@
         /// The command.
         #[serde(with = "serde_bytes")]
         pub command: Vec<u8>,
-        /// The time left to its deadline when it was sent.
+        /// The time left until its deadline when it was sent.
         pub left: Span,
     }
 
@@ -41,41 +42,41 @@
     pub struct Change {
         /// The change.
         pub change: VoterChange,
-        /// The time left to its deadline when it was sent.
+        /// The time left until its deadline when it was sent.
         pub left: Span,
     }
 
-    /// The leader's answer.
+    /// The leader's answer to a [`Submit`] or a [`Change`].
     pub enum Submitted {
-        /// The verdict of the state machine.
+        /// The result from the state machine.
         Verdict(#[serde(with = "serde_bytes")] Vec<u8>),
-        /// Why there is none.
+        /// The reason why the leader refused.
         Refused(Refusal),
-        /// The control role has ended on that host.
+        /// The control role on that host has ended.
         Ended,
     }
 
-    /// What a control host knows of the log.
+    /// A control host's view of the log.
     pub struct VoterStatus {
-        /// Its id.
+        /// The id of the voter.
         pub voter: VoterId,
-        /// Its term.
+        /// The current term of the voter.
         pub term: Term,
-        /// The leader, as far as it knows.
+        /// The leader, if the voter knows one.
         pub leader: Option<VoterId>,
-        /// The last place of its log.
+        /// The index of the last entry in its log.
         pub last: Index,
-        /// How far its own disk is synced.
+        /// The index up to which its log is synced to its disk.
         pub durable: Index,
-        /// How far the log is committed, as far as it knows.
+        /// The highest index that it knows to be committed.
         pub commit: Index,
-        /// How far it is applied.
+        /// The index up to which it has applied the log.
         pub applied: Index,
         /// The highest fencing number in the committed log.
         pub fence: Fence,
         /// The voters in force.
         pub voters: Voters,
-        /// Whether the role has ended on this host, because its disk failed.
+        /// Whether the control role on this host has ended because its disk failed.
         pub ended: bool,
     }
 }
--- a/crates/wire/src/follow.rs
+++ b/crates/wire/src/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps a process at the newest configuration: the [`Follower`] over the wire.
+//! Keeps the configuration of a process up to date with a [`Follower`] that polls other processes.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,23 +12,23 @@
 use crate::message::path;
 use crate::peer::Peer;
 
-/// A process that a follower feeds.
+/// A process that receives its configuration from a follower.
 pub trait ConfigSink: Send + Sync {
-    /// The clock that the follower runs on.
+    /// Returns the clock that the follower uses.
     fn clock(&self) -> &Clock;
 
-    /// What the process has in force, and those that ask it.
+    /// Returns the version that the process has in force, and those of the processes that poll it.
     fn versions(&self) -> (ProcessVersion, Census);
 
-    /// Brings a later version into force.
+    /// Brings a later version of the configuration into force.
     fn apply_config(&self, config: Arc<Config>, delta: Option<Delta>);
 
-    /// Notes whether a source answers, how old its news is, and the highest fencing number
-    /// that was heard of.
+    /// Updates whether a source answers, the age of its latest answer, and the highest known
+    /// fencing number.
     fn update_link(&self, linked: bool, age: Option<Span>, fence: Fence);
 }
 
-/// Follows the sources, the preferred one first, for as long as the process lives.
+/// Polls the sources, the preferred one first, until the process ends.
 pub async fn follow_forever<S: ConfigSink>(sink: &S, sources: &[SocketAddr], follower: Follower) {
     let peers: Vec<Peer> = sources.iter().copied().map(Peer::new).collect();
     let mut follower = follower;
@@ -44,12 +44,12 @@
             let now = sink.clock().now();
             sink.update_link(follower.is_linked(), follower.age(now), follower.fence());
         }
-        let rest = sink.clock().now().until(follower.wake());
-        smol::Timer::after(rest.as_duration()).await;
+        let delay = sink.clock().now().until(follower.wake());
+        smol::Timer::after(delay.as_duration()).await;
     }
 }
 
-/// Does what the follower wants; a question comes back with its answer or its loss.
+/// Carries out an output of the follower. A question returns its answer, or that it was lost.
 async fn perform<S: ConfigSink>(sink: &S, peers: &[Peer], output: Output) -> Option<Input> {
     match output {
         Output::Send {
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,7 +1,7 @@
-//! The answer stream from agent to entry: frames that name their dispatch and offset.
+//! The answer stream from an agent to an entry, in frames that name their dispatch and offset.
 //!
-//! Each frame is a four-byte big-endian length and one MessagePack [`Frame`]. A stream that
-//! ends without [`Part::End`], [`Part::Failed`] or [`Part::Refused`] was cut.
+//! A frame is a four-byte big-endian length, followed by one MessagePack [`Frame`]. A stream that
+//! ends without [`Part::End`], [`Part::Failed`] or [`Part::Refused`] was cut off.
 
 use std::fmt;
 
@@ -19,32 +19,32 @@
 /// The largest frame that a reader accepts, in bytes.
 pub const MAX_FRAME: usize = 1 << 20;
 
-/// The bytes of a frame's length.
-const PREFIX: usize = 4;
+/// The size of the length before each frame, in bytes.
+const LENGTH_BYTES: usize = 4;
 
-/// Room for a frame without data.
-const SMALL_FRAME: usize = 96;
+/// The capacity reserved for a frame in addition to its data, in bytes.
+const FRAME_OVERHEAD: usize = 96;
 
-/// How much is read from a stream at once.
+/// How many bytes are read from a stream at once.
 ///
 /// The HTTP library can't read a chunked body into buffers of a few bytes.
-const READ_BUFFER: usize = 8 << 10;
+const READ_BYTES: usize = 8 << 10;
 
-/// How long the end of the body is waited for behind the last frame.
-const READ_OUT: Span = Span::from_millis(20);
+/// How long a reader waits for the end of the body after the last frame.
+const BODY_END_TIMEOUT: Span = Span::from_millis(20);
 
-/// The length of the padding in a stream's first frame.
+/// The length of the padding in the first frame of a stream, in bytes.
 ///
-/// The HTTP library holds back a response's first bytes until about this many have come;
-/// without the padding an entry would not hear that its dispatch was accepted.
+/// The HTTP library buffers the first bytes of a response until it has about this many. Without the
+/// padding, an entry would not learn that its dispatch was accepted.
 pub const PADDING: usize = 1_024;
 
-/// Why a frame could not be read.
+/// The reason why a frame could not be read.
 #[derive(Debug)]
 pub enum FrameError {
-    /// The stream was cut between or within frames.
+    /// The stream was cut off between or within frames.
     Cut(std::io::Error),
-    /// The length is over [`MAX_FRAME`].
+    /// The length exceeds [`MAX_FRAME`].
     Oversized(usize),
     /// The bytes are not a frame.
     Malformed(CodecError),
@@ -62,28 +62,28 @@
 
 impl std::error::Error for FrameError {}
 
-/// Turns frames into bytes.
+/// Encodes frames.
 #[derive(Debug, Default)]
 pub struct FrameWriter;
 
 impl FrameWriter {
-    /// The bytes of a frame.
+    /// Returns the bytes of a frame.
     pub fn encode(frame: &Frame) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(capacity(&frame.part));
         Self::append(frame, &mut bytes);
         bytes
     }
 
-    /// Adds the bytes of a frame to those of others.
+    /// Appends the bytes of a frame to `bytes`.
     pub fn append(frame: &Frame, bytes: &mut Vec<u8>) {
         let start = bytes.len();
-        bytes.extend_from_slice(&[0; PREFIX]);
+        bytes.extend_from_slice(&[0; LENGTH_BYTES]);
         encode_into(frame, bytes);
-        let length = (bytes.len() - start - PREFIX) as u32;
-        bytes[start..start + PREFIX].copy_from_slice(&length.to_be_bytes());
+        let length = (bytes.len() - start - LENGTH_BYTES) as u32;
+        bytes[start..start + LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
     }
 
-    /// The bytes of a stream's first frame.
+    /// Returns the bytes of the first frame of a stream, which says that the dispatch was accepted.
     pub fn accepted(id: &DispatchId) -> Vec<u8> {
         let padding = vec![0; PADDING];
         Self::encode(&Frame::new(
@@ -93,16 +93,16 @@
     }
 }
 
-/// About how many bytes a frame takes.
+/// Returns about how many bytes a frame takes.
 fn capacity(part: &Part) -> usize {
     match part {
-        Part::Data { bytes, .. } => bytes.len() + SMALL_FRAME,
-        Part::Accepted { padding } => padding.len() + SMALL_FRAME,
-        _ => SMALL_FRAME,
+        Part::Data { bytes, .. } => bytes.len() + FRAME_OVERHEAD,
+        Part::Accepted { padding } => padding.len() + FRAME_OVERHEAD,
+        _ => FRAME_OVERHEAD,
     }
 }
 
-/// Whether nothing follows.
+/// Whether a frame with this part is the last one of its stream.
 fn is_last(part: &Part) -> bool {
     matches!(
         part,
@@ -110,32 +110,35 @@
     )
 }
 
-/// Reads frames off a byte stream.
+/// Reads frames from a byte stream.
 ///
-/// [`FrameReader::next`] may be dropped at any moment without losing a byte: what has come
-/// stays in the reader's own buffer, so it can be raced with a timer.
+/// [`FrameReader::next`] is cancel-safe: received bytes stay in the buffer of the reader, so the
+/// future can be raced with a timer and dropped without losing a byte.
 #[derive(Debug)]
 pub struct FrameReader<R> {
     input: R,
     buffer: Vec<u8>,
+    /// The start of the unread bytes in the buffer.
     start: usize,
+    /// The end of the unread bytes in the buffer.
     end: usize,
+    /// The last frame, while the end of the body is read.
     last: Option<Frame>,
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
-    /// Reads frames from this stream.
+    /// Creates a reader of this stream.
     pub fn new(input: R) -> Self {
         Self {
             input,
-            buffer: vec![0; READ_BUFFER],
+            buffer: vec![0; READ_BYTES],
             start: 0,
             end: 0,
             last: None,
         }
     }
 
-    /// The next frame.
+    /// Waits for the next frame and returns it.
     pub async fn next(&mut self) -> Result<Frame> {
         loop {
             if let Some(last) = self.last.take() {
@@ -145,9 +148,9 @@
                 if !is_last(&frame.part) {
                     return Ok(frame);
                 }
-                // Kept until the reading is done, so that no frame is lost where it is dropped.
+                // Kept while the end is read, so that the frame is not lost if this future is dropped.
                 self.last = Some(frame);
-                self.read_out().await;
+                self.read_body_end().await;
                 continue;
             }
             self.make_room();
@@ -160,7 +163,7 @@
         }
     }
 
-    /// The next frame, where it has come already.
+    /// Returns the next frame if it has already been received.
     pub fn try_next(&mut self) -> Result<Option<Frame>> {
         let Some(length) = self.length() else {
             return Ok(None);
@@ -168,7 +171,7 @@
         if length > MAX_FRAME {
             return Err(FrameError::Oversized(length));
         }
-        let from = self.start + PREFIX;
+        let from = self.start + LENGTH_BYTES;
         let to = from + length;
         if self.end < to {
             return Ok(None);
@@ -178,12 +181,13 @@
         Ok(Some(frame))
     }
 
-    /// Reads the end of the body behind the last frame, so that the connection can be used again.
+    /// Reads the end of the body after the last frame, so that the connection can be used again.
     ///
-    /// Without it every answer left its connection to a task that drains it later; meanwhile the
-    /// next request opened a new one, and a busy peer's connections came and went by the hundred.
-    /// An end that does not come soon is not waited for: the answer is whole without it.
-    async fn read_out(&mut self) {
+    /// Without this, every answer would leave its connection to a task that drains it later.
+    /// Meanwhile the next request would open a new connection, so that a busy peer would open and
+    /// close hundreds of them. After a timeout the end is not awaited any longer, because the answer
+    /// is complete without it.
+    async fn read_body_end(&mut self) {
         let end = async {
             let mut rest = [0; 64];
             while matches!(self.input.read(&mut rest).await, Ok(count) if count > 0) {}
@@ -191,30 +195,30 @@
         let mut end = std::pin::pin!(end);
         if futures_lite::future::poll_once(&mut end).await.is_none() {
             let late = async {
-                smol::Timer::after(READ_OUT.as_duration()).await;
+                smol::Timer::after(BODY_END_TIMEOUT.as_duration()).await;
             };
             end.or(late).await;
         }
     }
 
-    /// The stream below; frames that were read ahead are lost.
+    /// Returns the underlying stream; frames in the buffer are lost.
     pub fn into_inner(self) -> R {
         self.input
     }
 
-    /// The length of the next frame, once its prefix has come.
+    /// Returns the length of the next frame, once it has been received.
     fn length(&self) -> Option<usize> {
         let prefix = self.buffer[self.start..self.end].first_chunk()?;
         Some(u32::from_be_bytes(*prefix) as usize)
     }
 
-    /// Moves the rest to the front and makes room for the frame that it begins.
+    /// Moves the unread bytes to the front and makes room for the rest of their frame.
     fn make_room(&mut self) {
         self.buffer.copy_within(self.start..self.end, 0);
         self.end -= self.start;
         self.start = 0;
-        let wanted = self.length().map_or(0, |length| length + PREFIX);
-        let room = wanted.max(self.end) + READ_BUFFER;
+        let wanted = self.length().map_or(0, |length| length + LENGTH_BYTES);
+        let room = wanted.max(self.end) + READ_BYTES;
         if self.buffer.len() < room {
             self.buffer.resize(room, 0);
         }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,22 +1,19 @@
-//! Messages and transport between the system's own processes: HTTP and rmp-serde.
+//! Messages and transport between the system's own processes, over HTTP and MessagePack.
 //!
-//! - [`message`]: the typed messages.
-//! - [`config`]: the messages that spread the configuration.
-//! - [`follow`]: keeps a process at the newest configuration, over the wire.
-//! - [`control`]: the messages between voters.
+//! - [`message`]: the messages between entries and agents.
+//! - [`config`]: the messages that distribute the configuration.
+//! - [`follow`]: keeps the configuration of a process up to date.
+//! - [`control`]: the messages between voters, and to the control leader.
 //! - [`frame`]: the framed, offset-addressed answer stream from agent to entry.
-//! - [`group`]: messages between the agents of a group and towards their engines.
-//! - [`gossip`]: how membership travels.
+//! - [`group`]: the messages between the agents of a group, and to their engines.
+//! - [`gossip`]: the paths and the compact encoding of membership messages.
 //! - [`order`]: orders to backend servers, and the fencing numbers that they carry.
-//! - [`gossip`]: how membership travels.
-//! - [`gossip`]: how membership travels.
-//! - [`group`]: messages between the agents of a group and towards their engines.
-//! - [`codec`]: messages to bytes and back.
-//! - [`connect`]: connections that send a body without waiting for `100-continue`.
-//! - [`peer`]: calls to another process, each with a deadline, and retirement of connections.
-//! - [`serve`]: the server side: bind, read a message, write one.
-//! - [`stamp`]: stamps of the hybrid logical clock on messages.
-//! - [`mod@pipe`]: a bounded byte pipe, which feeds a streaming HTTP body.
+//! - [`codec`]: encoding and decoding of messages.
+//! - [`connect`]: HTTP clients that send a body without waiting for `100-continue`.
+//! - [`peer`]: calls to another process, each with a timeout, over connections that can be retired.
+//! - [`serve`]: the HTTP server, which reads messages and replies to them.
+//! - [`stamp`]: stamps of the hybrid logical clock in a header of each message.
+//! - [`mod@pipe`]: a bounded byte pipe for a streaming HTTP body.
 
 pub mod codec;
 pub mod config;
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,4 +1,4 @@
-//! The typed messages between the system's own processes.
+//! The messages between entries and agents, and the paths of the common messages.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 pub use snipemast_requests::suspicion::{KnownFacts, SuspicionEntry};
 pub use snipemast_requests::{AttemptStatus, Header};
 
-/// Paths of the messages on each process's HTTP server.
+/// Paths of the messages on the HTTP server of each process.
 pub mod path {
     /// An entry sends a request to an agent: [`Dispatch`](super::Dispatch).
     pub const DISPATCH: &str = "/own/dispatch";
@@ -20,42 +20,42 @@
     pub const CANCEL: &str = "/own/cancel";
     /// A process polls for the configuration: [`ConfigPoll`](crate::config::ConfigPoll).
     pub const CONFIG: &str = "/own/config";
-    /// An operator's patch on its way to the leader: [`PatchAsk`](crate::config::PatchAsk).
+    /// A host forwards an operator's patch to the leader: [`PatchAsk`](crate::config::PatchAsk).
     pub const PATCH: &str = "/own/patch";
-    /// A keeper of keys is asked: [`KeeperAsk`](snipemast_requests::KeeperAsk).
+    /// An entry asks a keeper of request keys: [`KeeperAsk`](snipemast_requests::KeeperAsk).
     pub const KEEPER: &str = "/own/keeper";
-    /// An entry tells another what it suspects: [`Suspected`](super::Suspected).
+    /// An entry tells another which requests it suspects: [`Suspected`](super::Suspected).
     pub const SUSPECTED: &str = "/own/suspected";
-    /// A process is asked for its events: a [`Stamp`](snipemast_core::hlc::Stamp).
+    /// A process is asked for its events since a [`Stamp`](snipemast_core::hlc::Stamp).
     pub const EVENTS: &str = "/own/events";
 }
 
 data! {
-    /// An agent's word about itself and its backend server.
+    /// An agent's announcement of itself and its backend server.
     pub struct Announce {
         /// The agent.
         pub agent: ProcessId,
-        /// Where the agent listens.
+        /// The address where the agent listens.
         pub address: SocketAddr,
-        /// Its availability zone.
+        /// The availability zone of the agent.
         pub zone: ZoneId,
-        /// Its region.
+        /// The region of the agent.
         pub region: RegionId,
-        /// What its backend server offers.
+        /// The description of its backend server.
         pub info: ServerInfo,
-        /// The backend server's load.
+        /// The load of its backend server.
         pub load: LoadReport,
-        /// Whether it refuses new dispatches.
+        /// Whether the agent is draining and refuses new dispatches.
         pub draining: bool,
     }
 
-    /// What the backend server is asked.
+    /// An HTTP request to a backend server.
     pub struct Call {
         /// The HTTP method.
         pub method: String,
         /// The path and query on the backend server.
         pub path: String,
-        /// The headers to pass on.
+        /// The headers to forward.
         pub headers: Vec<Header>,
         /// The body.
         #[serde(with = "serde_bytes")]
@@ -66,69 +66,69 @@
     pub struct Dispatch {
         /// The attempt.
         pub id: DispatchId,
-        /// The request that it is for.
+        /// The request that the attempt belongs to.
         pub request: RequestId,
-        /// The agent it is meant for: another incarnation refuses it.
+        /// The agent that it is addressed to; another incarnation refuses it.
         pub agent: ProcessId,
-        /// The time left to its deadline when it was sent.
+        /// The time left until its deadline when it was sent.
         pub left: Span,
-        /// The workspace that pays.
+        /// The workspace that the request is billed to.
         pub workspace: WorkspaceId,
-        /// How long the agent must remember it at least.
+        /// The minimum time for which the agent must remember the attempt.
         pub keep: Span,
-        /// Whether it may run more than once.
+        /// Whether the request may run more than once.
         pub idempotent: bool,
-        /// Whether a resend may come for the answer after the caller left.
+        /// Whether a resend may ask for the answer after the caller has gone.
         pub keyed: bool,
         /// Whether the request is suspected of crashing backend servers.
         pub suspect: bool,
-        /// What to ask.
+        /// The request to the backend server.
         pub call: Call,
     }
 
-    /// Continue the answer of a dispatch from an offset.
+    /// Asks for the rest of an answer from an offset.
     pub struct ResumeFrom {
         /// The attempt.
         pub id: DispatchId,
-        /// The agent that took it.
+        /// The agent that accepted the attempt.
         pub agent: ProcessId,
-        /// The bytes of the answer's body that have arrived.
+        /// How many bytes of the answer's body have arrived.
         pub offset: u64,
     }
 
-    /// What became of an attempt? An id that never arrived is barred before the answer.
+    /// Asks what became of an attempt. If it never arrived, its id is barred before the answer is sent.
     pub struct Settle {
         /// The attempt.
         pub id: DispatchId,
-        /// The agent it was sent to.
+        /// The agent that the attempt was sent to.
         pub agent: ProcessId,
-        /// How long its sender may still use the id.
+        /// How long the sender may still use the id.
         pub keep: Span,
     }
 
-    /// The agent's word on an attempt.
+    /// The agent's answer about an attempt.
     pub struct Settlement {
         /// The attempt.
         pub id: DispatchId,
-        /// What became of it.
+        /// What became of the attempt.
         pub settled: AttemptStatus,
     }
 
-    /// What an entry knows of requests that crash servers, and what it tells another.
+    /// What an entry knows about requests that crash servers, and the facts that it sends to another.
     pub struct Suspected {
-        /// How much of each source it knows.
+        /// How much the entry knows from each source.
         pub known: KnownFacts,
-        /// What it tells.
+        /// The facts that the other entry lacks.
         pub delta: Vec<SuspicionEntry>,
     }
 
-    /// Stop an attempt: nobody reads its answer. One that never arrived is barred.
+    /// Stops an attempt because nobody reads its answer. If it never arrived, its id is barred.
     pub struct Cancel {
         /// The attempt.
         pub id: DispatchId,
-        /// The agent it was sent to.
+        /// The agent that the attempt was sent to.
         pub agent: ProcessId,
-        /// How long its sender may still use the id.
+        /// How long the sender may still use the id.
         pub keep: Span,
     }
 }
--- a/crates/wire/src/order.rs
+++ b/crates/wire/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to backend servers, and the fencing numbers that they carry.
+//! Orders to backend servers, and the fencing numbers in them.
 
 use std::fmt;
 
@@ -7,89 +7,89 @@
 
 /// Paths of the messages.
 pub mod path {
-    /// The control leader orders something: [`Order`](super::Order).
+    /// The control leader sends an order: [`Order`](super::Order).
     pub const ORDER: &str = "/own/order";
     /// An agent asks which fencing numbers the control hosts know: [`FenceAsk`](super::FenceAsk).
     pub const FENCES: &str = "/own/fences";
 }
 
 snipemast_core::name_ids! {
-    /// An order's id, by which a resend is known.
+    /// An id of an order, which identifies a resend.
     OrderId;
 }
 
 data! {
     /// An order to one backend server, through one incarnation of its agent.
     pub struct Order {
-        /// The order.
+        /// The id of the order.
         pub id: OrderId,
-        /// The agent it is meant for: another incarnation refuses it.
+        /// The agent that it is addressed to; another incarnation refuses it.
         pub agent: ProcessId,
-        /// The fencing number of the leader's term of office.
+        /// The fencing number of the leader's term.
         pub fence: Fence,
-        /// The time left to its deadline when it was sent.
+        /// The time left until its deadline when it was sent.
         pub left: Span,
-        /// What to do.
+        /// The action to carry out.
         pub action: Action,
     }
 
     /// What became of an order.
     pub enum OrderAnswer {
-        /// The backend server has carried it out, now or before.
+        /// The backend server has carried out the order, now or before.
         Done,
-        /// The backend server failed at it.
+        /// The backend server failed to carry out the order.
         Failed,
-        /// It was not passed on.
+        /// The agent did not pass the order on.
         Refused(OrderRefusal),
     }
 
-    /// Why an agent does not pass an order on.
+    /// The reason why an agent does not pass an order on.
     #[derive(Copy)]
     pub enum OrderRefusal {
-        /// It was addressed to another incarnation.
+        /// The order was addressed to another incarnation.
         Incarnation,
-        /// Its deadline has passed.
+        /// The deadline of the order has passed.
         Late,
-        /// Its fencing number is lower than one that was seen.
+        /// The fencing number of the order is lower than one already seen.
         Old {
-            /// The highest that was seen.
+            /// The highest fencing number seen.
             current: Fence,
         },
         /// The agent has started and does not know the current fencing number yet.
         Learning {
-            /// How long that lasts at most.
+            /// The longest time until the agent knows it.
             left: Span,
         },
-        /// Another order is being carried out, or the weight store's rate is used up.
+        /// Another order is being carried out, or the rate limit of the weight store is reached.
         Busy {
-            /// When to come back.
+            /// The time after which to retry.
             left: Span,
         },
         /// The id was used for another order.
         Reused,
     }
 
-    /// Which fencing numbers do the control hosts know?
+    /// Asks which fencing numbers the control hosts know.
     #[derive(Copy)]
     pub struct FenceAsk {
-        /// How many hosts may still pass the question on.
+        /// How many hosts may still forward the question.
         pub hops: u8,
     }
 
-    /// What the control hosts that could be reached know.
+    /// The fencing numbers that the reachable control hosts know.
     #[derive(Default)]
     pub struct FenceReport {
-        /// How many voters there are.
+        /// The number of voters.
         pub voters: u32,
-        /// Each voter's word.
+        /// The answer of each reachable voter.
         pub told: Vec<VoterFence>,
     }
 
-    /// One voter's word.
+    /// The fencing number that one voter knows.
     pub struct VoterFence {
         /// The voter's host.
         pub host: HostId,
-        /// No leader with a lower number can still be in office with this voter's help.
+        /// The voter no longer helps a leader with a lower number to stay in office.
         pub fence: Fence,
     }
 }
@@ -110,12 +110,12 @@
 }
 
 impl FenceReport {
-    /// Adds what other hosts said.
+    /// Adds the answers in another report; for a known host, the first answer stays.
     pub fn extend(&mut self, other: Self) {
         self.voters = self.voters.max(other.voters);
-        for told in other.told {
-            if !self.told.iter().any(|t| t.host == told.host) {
-                self.told.push(told);
+        for answer in other.told {
+            if !self.told.iter().any(|t| t.host == answer.host) {
+                self.told.push(answer);
             }
         }
     }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,8 +1,8 @@
-//! Calls to another process, each with a deadline.
+//! Calls to another process, each with a timeout.
 //!
-//! Failure guarded against: a pooled connection that went silent for good while new ones
-//! work. It shows as a call that gets no byte until its deadline. [`Peer::retire`] drops the
-//! whole pool of that peer, so that the next call opens a new connection.
+//! A pooled connection can fall silent for good while new connections work. A call on it gets no
+//! byte until its timeout. [`Peer::retire`] drops the whole pool of that peer, so that the next call
+//! opens a new connection.
 
 use std::fmt;
 use std::future::Future;
@@ -22,33 +22,33 @@
 use snipemast_core::prelude::*;
 
 use crate::codec::{decode, encode};
-use crate::connect::{Clients, EagerConfig, Held};
+use crate::connect::{Clients, EagerConnector, Held};
 use crate::stamp;
 
 /// The result of a call.
 pub type Result<T> = std::result::Result<T, Report<PeerError>>;
 
-/// A call to a process that brought no answer.
+/// A call to a process that returned no valid answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerError {
-    /// Where the process listens.
+    /// The address where the process listens.
     pub address: SocketAddr,
-    /// The path that was called.
+    /// The path of the call.
     pub path: String,
-    /// What went wrong.
+    /// The kind of failure.
     pub kind: PeerErrorKind,
 }
 
-/// What went wrong with a call.
+/// The kind of failure of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerErrorKind {
-    /// The process could not be reached: no byte was sent.
+    /// The process could not be reached, so no byte was sent.
     Unreachable,
-    /// The process broke the connection off.
+    /// The connection broke before the answer was complete.
     Broken,
-    /// The deadline passed.
+    /// The timeout passed.
     Timeout,
-    /// The process answered with this HTTP status.
+    /// The process answered with this HTTP status instead of a message.
     Status(u16),
     /// The answer is not the expected message.
     Malformed,
@@ -92,7 +92,7 @@
 }
 
 impl Peer {
-    /// The process that listens at this address.
+    /// Creates a peer for the process that listens at this address.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -101,19 +101,19 @@
         }
     }
 
-    /// Stamps the calls by the clock of this ring, and follows the stamps of the answers.
+    /// Stamps the calls with the clock of this ring, and moves the clock past the stamps of answers.
     #[must_use]
     pub fn with_ring(mut self, ring: Arc<Ring>) -> Self {
         self.ring = Some(ring);
         self
     }
 
-    /// Where the process listens.
+    /// Returns the address where the process listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Drops every pooled connection; the next call opens a new one.
+    /// Drops all pooled connections, so that the next call opens a new one.
     pub fn retire(&self) {
         self.clients.store(Arc::new(Clients::new()));
     }
@@ -125,19 +125,20 @@
         A: DeserializeOwned,
     {
         let held = self.clients.load().hold();
-        self.call_over(held.client(), path, message, timeout).await
+        self.call_with(held.client(), path, message, timeout).await
     }
 
-    /// Sends a message on a connection of its own and waits for its answer.
+    /// Sends a message on a new connection that is used once, and waits for its answer.
     pub async fn call_fresh<Q, A>(&self, path: &str, message: &Q, timeout: Span) -> Result<A>
     where
         Q: Serialize,
         A: DeserializeOwned,
     {
-        self.call_over(&lone_client(), path, message, timeout).await
+        self.call_with(&single_use_client(), path, message, timeout)
+            .await
     }
 
-    async fn call_over<Q, A>(
+    async fn call_with<Q, A>(
         &self,
         client: &Client,
         path: &str,
@@ -149,7 +150,7 @@
         A: DeserializeOwned,
     {
         let bytes = self
-            .within(path, timeout, self.exchange(client, path, encode(message)))
+            .with_timeout(path, timeout, self.exchange(client, path, encode(message)))
             .await?;
         decode(&bytes).map_err(|e| {
             self.error(path, PeerErrorKind::Malformed)
@@ -157,7 +158,7 @@
         })
     }
 
-    /// Sends a message and returns the answer's body as a stream, once its head has come.
+    /// Sends a message and returns the answer's body as a stream, once its head has arrived.
     pub async fn open<Q: Serialize>(
         &self,
         path: &str,
@@ -165,21 +166,23 @@
         timeout: Span,
     ) -> Result<Stream> {
         let held = self.clients.load().hold();
-        let stream = self.open_over(held.client(), path, message, timeout);
+        let stream = self.open_with(held.client(), path, message, timeout);
         Ok(stream.await?.with_held(held))
     }
 
-    /// Sends a message on a connection of its own and returns the answer's body as a stream.
+    /// Sends a message on a new connection that is used once, and returns the answer's body as a
+    /// stream.
     pub async fn open_fresh<Q: Serialize>(
         &self,
         path: &str,
         message: &Q,
         timeout: Span,
     ) -> Result<Stream> {
-        self.open_over(&lone_client(), path, message, timeout).await
+        self.open_with(&single_use_client(), path, message, timeout)
+            .await
     }
 
-    async fn open_over<Q: Serialize>(
+    async fn open_with<Q: Serialize>(
         &self,
         client: &Client,
         path: &str,
@@ -187,11 +190,12 @@
         timeout: Span,
     ) -> Result<Stream> {
         let conn = self
-            .within(path, timeout, self.send(client, path, encode(message)))
+            .with_timeout(path, timeout, self.send(client, path, encode(message)))
             .await?;
         Ok(Stream { conn, _held: None })
     }
 
+    /// Sends a request and reads the whole body of its answer.
     async fn exchange(&self, client: &Client, path: &str, body: Vec<u8>) -> Result<Vec<u8>> {
         let mut conn = self.send(client, path, body).await?;
         let bytes = conn.response_body().read_bytes().await;
@@ -201,6 +205,7 @@
         })
     }
 
+    /// Sends a request and waits for the head of a successful answer.
     async fn send(&self, client: &Client, path: &str, body: Vec<u8>) -> Result<Conn> {
         let url = format!("http://{}{path}", self.address);
         let mut conn = client.post(url.as_str()).with_body(body);
@@ -209,7 +214,7 @@
             conn = conn.with_request_header(stamp::HEADER, stamp.to_string());
         }
         let conn = conn.await;
-        let conn = conn.map_err(|e| self.error(path, kind(&e)).attach(e.to_string()))?;
+        let conn = conn.map_err(|e| self.error(path, error_kind(&e)).attach(e.to_string()))?;
         if let Some(ring) = &self.ring {
             stamp::observe(ring, conn.response_headers().get_str(stamp::HEADER));
         }
@@ -222,7 +227,8 @@
         }
     }
 
-    async fn within<T>(
+    /// Runs `work` and fails with [`PeerErrorKind::Timeout`] if it takes longer than `timeout`.
+    async fn with_timeout<T>(
         &self,
         path: &str,
         timeout: Span,
@@ -244,8 +250,8 @@
     }
 }
 
-/// Whether an error came before the first byte was sent.
-fn kind(error: &trillium_client::Error) -> PeerErrorKind {
+/// Tells an error before the first byte was sent from one after it.
+fn error_kind(error: &trillium_client::Error) -> PeerErrorKind {
     match error {
         trillium_client::Error::Io(e) if e.kind() == io::ErrorKind::ConnectionRefused => {
             PeerErrorKind::Unreachable
@@ -254,12 +260,12 @@
     }
 }
 
-/// A client whose connections are used once.
-fn lone_client() -> Client {
-    Client::new(EagerConfig::default())
+/// Creates a client whose connections are used once.
+fn single_use_client() -> Client {
+    Client::new(EagerConnector::default())
 }
 
-/// The body of an answer that is still coming.
+/// The body of an answer that is still being received.
 #[derive(Debug)]
 pub struct Stream {
     conn: Conn,
@@ -267,7 +273,7 @@
 }
 
 impl Stream {
-    /// Counts the stream among its client's exchanges until it is dropped.
+    /// Keeps the client held, so that the stream counts as an exchange of its client until it is dropped.
     fn with_held(mut self, held: Held) -> Self {
         self._held = Some(held);
         self
@@ -275,10 +281,10 @@
 
     /// Closes the connection under the stream instead of keeping it for another call.
     ///
-    /// The HTTP library would read an abandoned body to its end to save the connection, which
-    /// for a stream of tokens means that nobody learns it was abandoned.
+    /// The HTTP library would read an abandoned body to its end to keep the connection. The sender
+    /// of a stream of tokens would then not learn that the stream was abandoned.
     pub fn abort(mut self) {
-        // The library looks at the answer's headers when it decides about the connection.
+        // The library checks the headers of the answer to decide whether to keep the connection.
         self.conn
             .response_headers_mut()
             .insert(KnownHeaderName::Connection, "close");
@@ -291,7 +297,7 @@
         cx: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        // The state of the body lives in the connection, so a new reader goes on where the
+        // The state of the body is kept in the connection, so a new reader continues where the
         // last one stopped.
         Pin::new(&mut self.conn.response_body()).poll_read(cx, buffer)
     }
--- a/crates/wire/src/serve.rs
+++ b/crates/wire/src/serve.rs
@@ -1,4 +1,4 @@
-//! The server side: bind, read a message, write one.
+//! The HTTP server of a process, which reads messages and replies to them.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -15,10 +15,10 @@
 use crate::codec::{decode, encode};
 use crate::pipe::PipeReader;
 
-/// The largest message that a process reads, in bytes.
+/// The size of the largest message that a process reads, in bytes.
 pub const MAX_MESSAGE: u64 = 32 << 20;
 
-/// A server that listens: its address, and the handle that stops it.
+/// A running server, with its address and the means to stop it.
 #[derive(Debug)]
 pub struct ServerHandle {
     address: SocketAddr,
@@ -27,15 +27,15 @@
 }
 
 impl ServerHandle {
-    /// The address that was bound.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Like [`stop`](Self::stop), but ends at the bound at the latest; false where it passed.
+    /// Like [`stop`](Self::stop), but waits for `timeout` at most and returns false if it passed.
     ///
-    /// The address is free again afterwards in either case.
-    pub async fn stop_within(self, bound: Span) -> bool {
+    /// The address is free afterwards in either case.
+    pub async fn stop_within(self, timeout: Span) -> bool {
         self.stopper.stop();
         let mut task = self.task;
         let ended = async {
@@ -43,7 +43,7 @@
             true
         };
         let late = async {
-            smol::Timer::after(bound.as_duration()).await;
+            smol::Timer::after(timeout.as_duration()).await;
             false
         };
         let in_time = ended.or(late).await;
@@ -53,14 +53,14 @@
         in_time
     }
 
-    /// Takes no new connection and ends once every request has its answer.
+    /// Accepts no new connection and returns once every request has been answered.
     pub async fn stop(self) {
         self.stopper.stop();
         self.task.await;
     }
 }
 
-/// Binds the address, port 0 for any, and serves it in the background.
+/// Binds an address and serves it in the background; port 0 selects any free port.
 pub async fn listen(address: SocketAddr, handler: impl Handler) -> std::io::Result<ServerHandle> {
     let listener = std::net::TcpListener::bind(address)?;
     let address = listener.local_addr()?;
@@ -81,9 +81,9 @@
     })
 }
 
-/// Sets how many threads run the process's tasks; 0 for one a core.
+/// Sets how many threads run the tasks of the process; 0 means one per core.
 ///
-/// Only what is said before the first task counts; later words change nothing.
+/// Only a call before the first task has an effect.
 pub fn set_threads(threads: u32) {
     if threads > 0 {
         let threads = threads as usize;
@@ -94,12 +94,12 @@
     }
 }
 
-/// Runs a task on the executor that the HTTP servers run on.
+/// Runs a task on the executor of the HTTP servers.
 pub fn spawn<T: Send + 'static>(work: impl Future<Output = T> + Send + 'static) -> Task<T> {
     trillium_smol::async_global_executor::spawn(work)
 }
 
-/// Reads the message of a request, or nothing where it is not one.
+/// Reads the message of a request, or returns none if the request is not a valid message.
 pub async fn read_message<T: DeserializeOwned>(conn: &mut Conn) -> Option<T> {
     let bytes = conn.request_body().await.read_bytes().await.ok()?;
     decode(&bytes).ok()
@@ -113,7 +113,7 @@
         .halt()
 }
 
-/// Says that the connection can be used again; the client keeps it in its pool only then.
+/// Sets the header without which the client does not keep the connection in its pool.
 fn keep_alive(conn: Conn) -> Conn {
     conn.with_response_header(KnownHeaderName::Connection, "keep-alive")
 }
--- a/crates/wire/src/stamp.rs
+++ b/crates/wire/src/stamp.rs
@@ -1,8 +1,7 @@
 //! Stamps of the hybrid logical clock on the system's own messages.
 //!
-//! A request carries its sender's stamp and an answer that of its sender, so that what a message
-//! causes sorts after it on every process. The stamp goes in a header, which leaves the messages
-//! themselves alone.
+//! Each request and each answer carries the stamp of its sender, so that the effects of a message
+//! sort after it on every process. The stamp is in a header, so the messages need no field for it.
 
 use std::sync::Arc;
 
@@ -10,10 +9,10 @@
 
 use snipemast_core::prelude::*;
 
-/// The header that carries the stamp.
+/// The name of the header that carries the stamp.
 pub const HEADER: &str = "stamp";
 
-/// Serves with a handler, and keeps the process's clock in step with its callers'.
+/// A handler that stamps the answers of another one, and moves the clock past its callers' stamps.
 #[derive(Debug)]
 pub struct Stamped<H> {
     ring: Arc<Ring>,
@@ -21,7 +20,7 @@
 }
 
 impl<H: Handler> Stamped<H> {
-    /// Serves with this handler and the clock of this ring.
+    /// Wraps a handler, with the clock of this ring.
     pub fn new(ring: Arc<Ring>, inner: H) -> Self {
         Self { ring, inner }
     }
@@ -37,7 +36,7 @@
     }
 }
 
-/// Moves a process's clock past the stamp of a header; what is no stamp is passed over.
+/// Moves a process's clock past the stamp of a header; an invalid stamp is ignored.
 pub fn observe(ring: &Ring, header: Option<&str>) {
     if let Some(stamp) = header.and_then(|text| text.parse().ok()) {
         ring.observe(stamp);
--- a/crates/wire/tests/connect.rs
+++ b/crates/wire/tests/connect.rs
@@ -1,11 +1,11 @@
-//! Bodies go out right behind their heads, and nothing of a body is mistaken for a head.
+//! Tests that a body is sent directly after its head, and that no part of it is taken for a head.
 
 use trillium::{async_trait, Conn, Handler};
 
 use snipemast_wire::connect::client;
 use snipemast_wire::{listen, ServerHandle};
 
-/// Answers with the body it got, unless the path asks for less.
+/// Answers with the body that it received, except at `/expects` and `/unread`.
 struct Echo;
 
 #[async_trait]
@@ -13,8 +13,8 @@
     async fn run(&self, mut conn: Conn) -> Conn {
         match conn.path() {
             "/expects" => {
-                let asked = conn.request_headers().has_header("expect");
-                conn.ok(asked.to_string())
+                let expects = conn.request_headers().has_header("expect");
+                conn.ok(expects.to_string())
             }
             "/unread" => conn.ok("unread"),
             _ => {
@@ -25,14 +25,15 @@
     }
 }
 
-async fn echo() -> ServerHandle {
+async fn serve_echo() -> ServerHandle {
     let any = "127.0.0.1:0".parse().expect("an address");
     listen(any, Echo).await.expect("port 0 binds")
 }
 
-fn check(sent: Vec<(&'static str, Vec<u8>, Vec<u8>)>) {
+/// Sends bodies to paths, one after another, and compares the answers with the expected ones.
+fn check_answers(sent: Vec<(&'static str, Vec<u8>, Vec<u8>)>) {
     smol::block_on(async {
-        let server = echo().await;
+        let server = serve_echo().await;
         let client = client();
         for (path, body, expected) in sent {
             let url = format!("http://{}{path}", server.address());
@@ -51,37 +52,39 @@
     });
 }
 
+/// Guards against a client that still asks for `100-continue` and waits for it.
 #[test]
 fn no_expectation() {
-    check(vec![("/expects", b"body".to_vec(), b"false".to_vec())]);
+    check_answers(vec![("/expects", b"body".to_vec(), b"false".to_vec())]);
 }
 
+/// Guards against a body that arrives damaged because it does not fit into one write with its head.
 #[test]
 fn large_body() {
     let body: Vec<u8> = (0..300_000u32).map(|n| n as u8).collect();
-    check(vec![("/", body.clone(), body)]);
+    check_answers(vec![("/", body.clone(), body)]);
 }
 
-// A caller sees another request's answer, or an error. A body that looks like a head reaches a
-// pooled connection; were it taken for one, a line of it would be lost, and the connection would
-// stand in the wrong phase for the next request.
+/// Guards against a caller that receives an error or the answer of another request. If a body that
+/// looks like a head were taken for one, a line of it would be lost, and its pooled connection would
+/// be in the wrong phase for the next request.
 #[test]
 fn body_like_head() {
     let body = b"POST / HTTP/1.1\r\nExpect: 100-continue\r\n\r\n".to_vec();
     let large = body.repeat(2_000);
-    check(vec![
+    check_answers(vec![
         ("/", body.clone(), body.clone()),
         ("/", large.clone(), large),
         ("/", body.clone(), body),
     ]);
 }
 
-// A caller sees a malformed answer. The server answers without reading the body, which was sent
-// all the same and lies in front of the next request on that connection.
+/// Guards against a caller that receives a malformed answer. The server answers without reading a
+/// body that was sent nevertheless and precedes the next request on that connection.
 #[test]
 fn unread_body() {
     let body = b"GET /other HTTP/1.1\r\n\r\n".repeat(3);
-    check(vec![
+    check_answers(vec![
         ("/unread", body.clone(), b"unread".to_vec()),
         ("/", b"next".to_vec(), b"next".to_vec()),
         ("/unread", body, b"unread".to_vec()),
