--- a/crates/fakes/src/cache.rs
+++ b/crates/fakes/src/cache.rs
@@ -1,18 +1,18 @@
-//! The cache events of a model engine: numbered, and only the latest are kept.
+//! The cache events of a fake model engine. They are numbered, and only the latest are kept.
 
 use std::collections::VecDeque;
 
 use parking_lot::Mutex;
 use serde_json::{json, Value};
 
-/// The prefixes that fit into the cache.
-const PREFIXES: usize = 64;
-/// The events that are kept for whoever asks.
-const EVENTS: usize = 256;
-/// The bytes of a prompt that count as its prefix.
-const PREFIX: usize = 256;
+/// The number of prefixes that fit into the cache.
+const MAX_PREFIXES: usize = 64;
+/// The number of events that are kept.
+const MAX_EVENTS: usize = 256;
+/// The number of bytes of a prompt that form its prefix.
+const PREFIX_BYTES: usize = 256;
 
-/// What was cached and dropped.
+/// The cached prefixes, and the events about them.
 #[derive(Debug, Default)]
 pub(crate) struct Cache {
     state: Mutex<State>,
@@ -20,32 +20,34 @@
 
 #[derive(Debug, Default)]
 struct State {
-    held: VecDeque<String>,
+    /// The cached prefixes, least recently used first.
+    prefixes: VecDeque<String>,
     events: VecDeque<(u64, &'static str, String)>,
+    /// The number of the last event.
     last: u64,
 }
 
 impl Cache {
-    /// Caches the prefix of a prompt; the prefix used longest ago makes room.
+    /// Caches the prefix of a prompt; if the cache is full, the least recently used prefix is dropped.
     pub(crate) fn store(&self, prompt: &str) {
-        let cut = prompt.len().min(PREFIX);
-        let prefix = blake3::hash(&prompt.as_bytes()[..cut]).to_hex()[..16].to_string();
+        let length = prompt.len().min(PREFIX_BYTES);
+        let prefix = blake3::hash(&prompt.as_bytes()[..length]).to_hex()[..16].to_string();
         let mut state = self.state.lock();
-        if let Some(place) = state.held.iter().position(|p| *p == prefix) {
-            state.held.remove(place);
-            state.held.push_back(prefix);
+        if let Some(place) = state.prefixes.iter().position(|p| *p == prefix) {
+            state.prefixes.remove(place);
+            state.prefixes.push_back(prefix);
             return;
         }
-        state.note("stored", prefix.clone());
-        state.held.push_back(prefix);
-        if state.held.len() > PREFIXES {
-            if let Some(dropped) = state.held.pop_front() {
-                state.note("dropped", dropped);
+        state.record("stored", prefix.clone());
+        state.prefixes.push_back(prefix);
+        if state.prefixes.len() > MAX_PREFIXES {
+            if let Some(dropped) = state.prefixes.pop_front() {
+                state.record("dropped", dropped);
             }
         }
     }
 
-    /// The events behind a number.
+    /// Returns the events after a number.
     pub(crate) fn after(&self, number: u64) -> Value {
         let state = self.state.lock();
         let events: Vec<Value> = state
@@ -60,10 +62,11 @@
 }
 
 impl State {
-    fn note(&mut self, kind: &'static str, prefix: String) {
+    /// Adds an event and drops the oldest if there are too many.
+    fn record(&mut self, kind: &'static str, prefix: String) {
         self.last += 1;
         self.events.push_back((self.last, kind, prefix));
-        if self.events.len() > EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine that speaks the protocol of `docs/SERVERS.md`.
+//! A model engine that implements the protocol of `docs/SERVERS.md`.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Arc;
@@ -15,7 +15,8 @@
 use crate::orders::Orders;
 use crate::shape::{Range, Shape};
 
-/// Filler behind the first event: the HTTP library holds a response's first bytes back.
+/// The length of the padding after the first event, in bytes. The HTTP library buffers the first bytes
+/// of a response until it has about this many.
 const PADDING: usize = 1_024;
 
 /// A fake model engine.
@@ -23,14 +24,17 @@
 pub struct FakeEngine {
     info: ServerInfo,
     orders: Orders,
+    /// The number of tokens of an answer, unless the request sets another.
     tokens: u32,
+    /// The delay before each token.
     pace: Span,
+    /// The number of requests that run or wait.
     running: Arc<AtomicU32>,
     cache: Arc<Cache>,
 }
 
 impl FakeEngine {
-    /// An engine that describes itself so.
+    /// Creates an engine with this description.
     pub fn new(info: ServerInfo) -> Self {
         Self {
             orders: Orders::new(info.clone()),
@@ -42,38 +46,40 @@
         }
     }
 
-    /// Answers with this many tokens.
+    /// Sets the number of tokens of each answer.
     #[must_use]
     pub fn with_tokens(mut self, tokens: u32) -> Self {
         self.tokens = tokens;
         self
     }
 
-    /// Waits this long before each token.
+    /// Sets the delay before each token.
     #[must_use]
     pub fn with_pace(mut self, pace: Span) -> Self {
         self.pace = pace;
         self
     }
 
-    /// The orders that it carries out.
+    /// Returns the orders that the engine carries out.
     pub fn orders(&self) -> &Orders {
         &self.orders
     }
 
-    async fn order(&self, mut conn: Conn) -> Conn {
+    /// Carries out the order of a request.
+    async fn handle_order(&self, mut conn: Conn) -> Conn {
         let body = conn.request_body().await.read_bytes().await;
         let order = serde_json::from_slice(&body.unwrap_or_default());
         let Ok(order) = order else {
             return conn.with_status(Status::BadRequest).halt();
         };
-        match self.orders.take(order) {
+        match self.orders.execute(order) {
             OrderOutcome::Done => conn.with_status(Status::Ok).halt(),
             OrderOutcome::Old => conn.with_status(Status::Conflict).halt(),
             OrderOutcome::Failed => conn.with_status(Status::InternalServerError).halt(),
         }
     }
 
+    /// Returns the load; requests beyond the slots count as waiting.
     fn load(&self) -> LoadReport {
         let running = self.running.load(Ordering::Relaxed);
         let slots = self.info.slots.max(1);
@@ -85,6 +91,7 @@
         }
     }
 
+    /// Answers a completion request, as a stream if the request asks for one.
     async fn complete(&self, mut conn: Conn, shape: Shape) -> Conn {
         let body = conn
             .request_body()
@@ -96,17 +103,17 @@
             return conn.with_status(Status::BadRequest).halt();
         };
         if self.info.capabilities.prefix {
-            self.cache.store(&prompt(&request));
+            self.cache.store(&prompt_text(&request));
         }
         let tokens = self.tokens(&request);
         if request["stream"].as_bool().unwrap_or(false) {
-            self.stream(conn, shape, tokens)
+            self.answer_stream(conn, shape, tokens)
         } else {
-            self.whole(conn, shape, &request, tokens).await
+            self.answer_whole(conn, shape, &request, tokens).await
         }
     }
 
-    /// The tokens to answer: those behind the text that was delivered already.
+    /// Returns the tokens of the answer, which follow the text that was already delivered.
     fn tokens(&self, request: &Value) -> Range {
         let asked = request["max_tokens"].as_u64();
         let count = asked.map_or(self.tokens, |n| n as u32);
@@ -115,8 +122,15 @@
         start.min(count)..count
     }
 
-    async fn whole(&self, mut conn: Conn, shape: Shape, request: &Value, tokens: Range) -> Conn {
-        let _running = Running::new(&self.running);
+    /// Answers with one JSON document once all tokens are ready.
+    async fn answer_whole(
+        &self,
+        mut conn: Conn,
+        shape: Shape,
+        request: &Value,
+        tokens: Range,
+    ) -> Conn {
+        let _running = RunningGuard::new(&self.running);
         let work = self.wait(tokens.len() as u64);
         if conn.cancel_on_disconnect(work).await.is_none() {
             return conn.halt();
@@ -126,21 +140,23 @@
             .ok(answer.to_string())
     }
 
-    fn stream(&self, conn: Conn, shape: Shape, tokens: Range) -> Conn {
+    /// Answers with one event per token.
+    fn answer_stream(&self, conn: Conn, shape: Shape, tokens: Range) -> Conn {
         let (writer, reader) = pipe(64);
         let engine = self.clone();
         spawn(async move { engine.write_events(writer, shape, tokens).await }).detach();
         let body = trillium::Body::new_streaming(reader, None);
         conn.with_response_header("content-type", "text/event-stream")
-            // Many engines say so, and a client may then wish to keep the connection.
+            // Many engines send this header, and a client may then try to keep the connection.
             .with_response_header("connection", "keep-alive")
             .with_status(Status::Ok)
             .with_body(body)
             .halt()
     }
 
+    /// Writes the events of a stream until its reader is gone.
     async fn write_events(&self, writer: PipeWriter, shape: Shape, tokens: Range) {
-        let _running = Running::new(&self.running);
+        let _running = RunningGuard::new(&self.running);
         let first = tokens.start;
         for n in tokens {
             self.wait(1).await;
@@ -152,11 +168,12 @@
                 return;
             }
         }
-        // A reader that left before the end needs no end.
+        // A reader that has already gone does not need the end.
         let _ = writer.send(b"data: [DONE]\n\n".to_vec()).await;
     }
 
-    fn cached(&self, conn: Conn) -> Conn {
+    /// Answers with the cache events after the number in the query.
+    fn answer_cache(&self, conn: Conn) -> Conn {
         if !self.info.capabilities.prefix {
             return conn.with_status(Status::NotFound).halt();
         }
@@ -166,6 +183,7 @@
         answer_json(conn, &events)
     }
 
+    /// Waits for the delay of this many tokens.
     async fn wait(&self, tokens: u64) {
         if self.pace > Span::default() {
             smol::Timer::after(self.pace.times(tokens).as_duration()).await;
@@ -178,10 +196,10 @@
     async fn run(&self, conn: Conn) -> Conn {
         match conn.path() {
             protocol::INFO => answer_json(conn, &self.orders.info()),
-            protocol::ORDERS => self.order(conn).await,
+            protocol::ORDERS => self.handle_order(conn).await,
             protocol::LOAD => answer_json(conn, &self.load()),
-            protocol::CACHE => self.cached(conn),
-            path => match Shape::of(path) {
+            protocol::CACHE => self.answer_cache(conn),
+            path => match Shape::from_path(path) {
                 Some(shape) => self.complete(conn, shape).await,
                 None => conn.with_status(Status::NotFound).halt(),
             },
@@ -196,20 +214,20 @@
         .ok(text)
 }
 
-/// The text that a prompt's prefix is taken from.
-fn prompt(request: &Value) -> String {
+/// Returns the text whose prefix is cached.
+fn prompt_text(request: &Value) -> String {
     match &request["prompt"] {
         Value::String(text) => text.clone(),
         _ => request["messages"].to_string(),
     }
 }
 
-/// Counts a request while it runs, also when its reader leaves early.
-struct Running {
+/// Counts a request while it runs, even if its reader leaves early.
+struct RunningGuard {
     count: Arc<AtomicU32>,
 }
 
-impl Running {
+impl RunningGuard {
     fn new(count: &Arc<AtomicU32>) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self {
@@ -218,7 +236,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.count.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -1,7 +1,7 @@
-//! Many entries' and agents' membership in one process, over a virtual wire and clock.
+//! The membership of many entries and agents in one process, on a simulated network and clock.
 //!
-//! The state machines are those of production, and every message is encoded and decoded as it
-//! would be. One queue of jobs, by time, is all there is besides.
+//! The state machines are those of production, and every message is encoded and decoded as in
+//! production. A single queue of jobs, ordered by time, drives the simulation.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
@@ -20,10 +20,10 @@
 
 use crate::links::{Links, Place};
 
-/// A process of the fleet, by its place in [`Fleet::processes`].
+/// The index of a process in [`Fleet::processes`].
 pub type ProcessIndex = usize;
 
-/// What runs in a process.
+/// The role of a process.
 #[derive(Debug)]
 pub enum Role {
     /// An entry.
@@ -32,59 +32,67 @@
     Agent(Box<Announcer>),
 }
 
-/// One process.
+/// A process of the fleet.
 #[derive(Debug)]
 pub struct Process {
-    /// Where it stands.
+    /// The host, zone and region of the process.
     pub place: Place,
-    /// Where it listens.
+    /// The address where the process listens.
     pub address: SocketAddr,
-    /// What runs in it, or nothing after a crash.
+    /// The role that runs in the process, or none after a crash.
     pub role: Option<Role>,
-    /// What it has used.
+    /// The resources that the process has used.
     pub meter: Meter,
+    /// Counts the starts and crashes, so that jobs of an earlier start are ignored.
     start: u32,
-    asleep: Moment,
+    /// The process does not run until this moment.
+    stalled_until: Moment,
 }
 
-/// What a process has used.
+/// The resources that a process has used.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Meter {
-    /// Bytes of messages sent.
+    /// The bytes of messages sent.
     pub sent: u64,
-    /// Bytes of messages received.
+    /// The bytes of messages received.
     pub received: u64,
-    /// Exchanges and calls that it began.
+    /// The number of exchanges and calls that the process started.
     pub begun: u64,
-    /// Exchanges and calls that it answered.
+    /// The number of exchanges and calls that the process answered.
     pub answered: u64,
-    /// Time in its state machine and codec, in nanoseconds.
+    /// The time spent in the state machine and the codec, in nanoseconds.
     pub work_nanos: u64,
 }
 
 /// An event that a process recorded.
 #[derive(Debug, Clone)]
 pub struct RecordedEvent {
-    /// When.
+    /// The time of the event.
     pub at: Moment,
-    /// Which process.
+    /// The process that recorded it.
     pub process: ProcessIndex,
-    /// What.
+    /// The kind of event.
     pub event: Event,
-    /// Whom it is about.
+    /// The subject of the event.
     pub subject: String,
-    /// In words.
+    /// Further facts as text.
     pub detail: String,
 }
 
+/// A job in the queue; those of one process hold its start.
 #[derive(Debug)]
 enum Job {
+    /// A process has a tick due at this moment.
     Wake(ProcessIndex, u32, Moment),
+    /// A call arrives at its target.
     Arrive(Call),
-    Back(ProcessIndex, u32, Token, Packed),
-    Late(ProcessIndex, u32, Token),
+    /// The answer to a call arrives at its caller.
+    Answer(ProcessIndex, u32, Token, Packed),
+    /// The timeout of a call passes.
+    Timeout(ProcessIndex, u32, Token),
 }
 
+/// A message from one process to another.
 #[derive(Debug)]
 struct Call {
     from: ProcessIndex,
@@ -92,12 +100,15 @@
     token: Token,
     to: SocketAddr,
     bytes: Packed,
+    /// Whether the caller is an agent.
     agent: bool,
 }
 
+/// A job with its time.
 #[derive(Debug)]
 struct Queued {
     at: Moment,
+    /// The order among jobs of the same moment.
     order: u64,
     job: Job,
 }
@@ -122,35 +133,38 @@
     }
 }
 
-/// All processes, the wire between them, and the clock.
+/// All processes, the network between them, and the clock.
 #[derive(Debug)]
 pub struct Fleet {
     /// The processes.
     pub processes: Vec<Process>,
-    /// The wire.
+    /// The links of the network.
     pub links: Links,
-    /// What was recorded.
+    /// The events that processes recorded.
     pub recorded: Vec<RecordedEvent>,
-    /// Changes of views since they were last taken: when, at which entry, of which agent.
+    /// Changes in the views of entries since the test last took them: the time, the entry and the
+    /// changed agent.
     pub changed: Vec<(Moment, ProcessIndex, HostId)>,
-    /// Living and connected agents that fell out of an entry's view: when, where, which.
+    /// Running and connected agents that an entry's view lost: the time, the entry and the agent.
     pub drops: Vec<(Moment, ProcessIndex, HostId)>,
-    /// How entries are set up.
+    /// The tuning of entries.
     pub tuning: Tuning,
-    /// How agents are set up.
+    /// The tuning of agents.
     pub announce: AnnounceTuning,
     now: Moment,
     queue: BinaryHeap<Reverse<Queued>>,
     order: u64,
     addresses: HashMap<SocketAddr, ProcessIndex>,
     hosts: HashMap<HostId, ProcessIndex>,
+    /// The calls that wait for an answer or a timeout.
     open: HashSet<(ProcessIndex, u32, Token)>,
+    /// The next tick of each process in the queue.
     wakes: HashMap<ProcessIndex, Moment>,
-    dice: StdRng,
+    rng: StdRng,
 }
 
 impl Fleet {
-    /// No processes yet.
+    /// Creates a fleet without processes.
     pub fn new(seed: u64) -> Self {
         Self {
             processes: Vec::new(),
@@ -167,18 +181,18 @@
             addresses: HashMap::new(),
             open: HashSet::new(),
             wakes: HashMap::new(),
-            dice: StdRng::seed_from_u64(seed ^ 0x5eed),
+            rng: StdRng::seed_from_u64(seed ^ 0x5eed),
         }
     }
 
-    /// The virtual time.
+    /// Returns the simulated time.
     pub fn now(&self) -> Moment {
         self.now
     }
 
     /// Adds an entry, which starts now.
     pub fn add_entry(&mut self, place: Place, seeds: Vec<SocketAddr>) -> ProcessIndex {
-        let index = self.add(place, 0);
+        let index = self.add_process(place, 0);
         self.start_entry(index, seeds, Incarnation::new(1));
         index
     }
@@ -190,12 +204,12 @@
         info: ServerInfo,
         seeds: Vec<SocketAddr>,
     ) -> ProcessIndex {
-        let index = self.add(place, 1);
+        let index = self.add_process(place, 1);
         self.start_agent(index, info, seeds, Incarnation::new(1));
         index
     }
 
-    /// Starts an entry's process, anew where one ran.
+    /// Starts an entry in a process, in place of the role that ran there.
     pub fn start_entry(&mut self, index: ProcessIndex, seeds: Vec<SocketAddr>, start: Incarnation) {
         let process = &self.processes[index];
         let card = NodeCard {
@@ -205,12 +219,12 @@
             region: process.place.region.clone(),
             draining: false,
         };
-        let seed = self.dice.random();
+        let seed = self.rng.random();
         let node = Node::new(self.now, card, seeds, self.tuning.clone(), seed);
         self.run_role(index, Role::Entry(Box::new(node)));
     }
 
-    /// Starts an agent's process, anew where one ran.
+    /// Starts an agent in a process, in place of the role that ran there.
     pub fn start_agent(
         &mut self,
         index: ProcessIndex,
@@ -228,24 +242,24 @@
             draining: false,
             info,
         };
-        let seed = self.dice.random();
+        let seed = self.rng.random();
         let tuning = self.announce.clone();
         let announcer = Announcer::new(self.now, card, seeds, tuning, seed);
         self.run_role(index, Role::Agent(Box::new(announcer)));
     }
 
-    /// Ends a process without a word.
+    /// Ends a process without a message to others.
     pub fn crash(&mut self, index: ProcessIndex) {
         self.processes[index].role = None;
         self.processes[index].start += 1;
     }
 
-    /// Keeps a process from running for a while; what reaches it waits.
+    /// Stops a process for a span of time; messages to it wait.
     pub fn stall(&mut self, index: ProcessIndex, span: Span) {
-        self.processes[index].asleep = self.now + span;
+        self.processes[index].stalled_until = self.now + span;
     }
 
-    /// Gives an entry an input.
+    /// Passes an input to an entry.
     pub fn send_input(&mut self, index: ProcessIndex, input: Input) {
         if let Some(Role::Entry(node)) = &mut self.processes[index].role {
             let outputs = node.handle(self.now, input);
@@ -254,7 +268,7 @@
         self.schedule(index);
     }
 
-    /// Gives an agent an input.
+    /// Passes an input to an agent.
     pub fn send_agent_input(&mut self, index: ProcessIndex, input: AnnounceInput) {
         if let Some(Role::Agent(announcer)) = &mut self.processes[index].role {
             let outputs = announcer.handle(self.now, input);
@@ -263,7 +277,7 @@
         self.schedule(index);
     }
 
-    /// An entry's membership, where it runs.
+    /// Returns the membership of an entry, if it runs.
     pub fn node(&self, index: ProcessIndex) -> Option<&Node> {
         match &self.processes[index].role {
             Some(Role::Entry(node)) => Some(node),
@@ -271,7 +285,7 @@
         }
     }
 
-    /// An agent's leases, where it runs.
+    /// Returns the announcer of an agent, if it runs.
     pub fn announcer(&self, index: ProcessIndex) -> Option<&Announcer> {
         match &self.processes[index].role {
             Some(Role::Agent(announcer)) => Some(announcer),
@@ -279,17 +293,17 @@
         }
     }
 
-    /// The entries that run.
+    /// Returns the entries that run.
     pub fn entries(&self) -> impl Iterator<Item = (ProcessIndex, &Node)> {
         (0..self.processes.len()).filter_map(|i| self.node(i).map(|n| (i, n)))
     }
 
-    /// The agents that run.
+    /// Returns the agents that run.
     pub fn agents(&self) -> impl Iterator<Item = (ProcessIndex, &Announcer)> {
         (0..self.processes.len()).filter_map(|i| self.announcer(i).map(|a| (i, a)))
     }
 
-    /// Runs for a span.
+    /// Runs the simulation for a span of time.
     pub fn run(&mut self, span: Span) {
         let end = self.now + span;
         while self.queue.peek().is_some_and(|Reverse(q)| q.at <= end) {
@@ -298,44 +312,52 @@
         self.now = end;
     }
 
+    /// Runs the next job.
     fn step(&mut self) {
         let Some(Reverse(queued)) = self.queue.pop() else {
             return;
         };
         self.now = self.now.max(queued.at);
-        let asleep = self.sleeper(&queued.job).map(|i| self.processes[i].asleep);
-        if let Some(until) = asleep.filter(|until| *until > self.now) {
+        let stalled = self
+            .job_process(&queued.job)
+            .map(|i| self.processes[i].stalled_until);
+        if let Some(until) = stalled.filter(|until| *until > self.now) {
             self.push(until, queued.job);
             return;
         }
         match queued.job {
             Job::Wake(index, start, due) => self.wake(index, start, due),
             Job::Arrive(call) => self.arrive(call),
-            Job::Back(index, start, token, bytes) => self.back(index, start, token, &bytes),
-            Job::Late(index, start, token) => self.late(index, start, token),
+            Job::Answer(index, start, token, bytes) => {
+                self.handle_answer(index, start, token, &bytes)
+            }
+            Job::Timeout(index, start, token) => self.handle_timeout(index, start, token),
         }
     }
 
-    fn sleeper(&self, job: &Job) -> Option<ProcessIndex> {
+    /// Returns the process that runs a job.
+    fn job_process(&self, job: &Job) -> Option<ProcessIndex> {
         match job {
-            Job::Wake(index, ..) | Job::Back(index, ..) | Job::Late(index, ..) => Some(*index),
+            Job::Wake(index, ..) | Job::Answer(index, ..) | Job::Timeout(index, ..) => Some(*index),
             Job::Arrive(call) => self.addresses.get(&call.to).copied(),
         }
     }
 
+    /// Passes a tick to a process, unless it has started again or its tick was moved.
     fn wake(&mut self, index: ProcessIndex, start: u32, due: Moment) {
         if self.processes[index].start != start || self.wakes.get(&index) != Some(&due) {
             return;
         }
         self.wakes.remove(&index);
-        self.work(index, |process, now| match &mut process.role {
-            Some(Role::Entry(node)) => Done::Entry(node.handle(now, Input::Tick)),
-            Some(Role::Agent(agent)) => Done::Agent(agent.handle(now, AnnounceInput::Tick)),
-            None => Done::Nothing,
+        self.run_metered(index, |process, now| match &mut process.role {
+            Some(Role::Entry(node)) => Outputs::Entry(node.handle(now, Input::Tick)),
+            Some(Role::Agent(agent)) => Outputs::Agent(agent.handle(now, AnnounceInput::Tick)),
+            None => Outputs::Nothing,
         });
         self.schedule(index);
     }
 
+    /// Passes a call to its target.
     fn arrive(&mut self, call: Call) {
         let Some(index) = self.addresses.get(&call.to).copied() else {
             return;
@@ -360,53 +382,61 @@
         self.schedule(index);
     }
 
-    fn back(&mut self, index: ProcessIndex, start: u32, token: Token, bytes: &Packed) {
+    /// Passes an answer to the caller, unless its call has timed out.
+    fn handle_answer(&mut self, index: ProcessIndex, start: u32, token: Token, bytes: &Packed) {
         if !self.open.remove(&(index, start, token)) || self.processes[index].start != start {
             return;
         }
         self.processes[index].meter.received += bytes.size() as u64;
-        self.work(index, |process, now| match &mut process.role {
+        self.run_metered(index, |process, now| match &mut process.role {
             Some(Role::Entry(node)) => {
                 let packet = bytes.unpack::<Packet>().expect("what was packed unpacks");
-                Done::Entry(node.handle(now, Input::Answered(token, Box::new(packet))))
+                Outputs::Entry(node.handle(now, Input::Answered(token, Box::new(packet))))
             }
             Some(Role::Agent(agent)) => {
                 let reply = bytes
                     .unpack::<LeaseReply>()
                     .expect("what was packed unpacks");
-                Done::Agent(agent.handle(now, AnnounceInput::Answered(token, reply)))
+                Outputs::Agent(agent.handle(now, AnnounceInput::Answered(token, reply)))
             }
-            None => Done::Nothing,
+            None => Outputs::Nothing,
         });
         self.schedule(index);
     }
 
-    fn late(&mut self, index: ProcessIndex, start: u32, token: Token) {
+    /// Passes a timeout to the caller, unless the answer has arrived.
+    fn handle_timeout(&mut self, index: ProcessIndex, start: u32, token: Token) {
         if !self.open.remove(&(index, start, token)) || self.processes[index].start != start {
             return;
         }
-        self.work(index, |process, now| match &mut process.role {
-            Some(Role::Entry(node)) => Done::Entry(node.handle(now, Input::TimedOut(token))),
+        self.run_metered(index, |process, now| match &mut process.role {
+            Some(Role::Entry(node)) => Outputs::Entry(node.handle(now, Input::TimedOut(token))),
             Some(Role::Agent(agent)) => {
-                Done::Agent(agent.handle(now, AnnounceInput::TimedOut(token)))
+                Outputs::Agent(agent.handle(now, AnnounceInput::TimedOut(token)))
             }
-            None => Done::Nothing,
+            None => Outputs::Nothing,
         });
         self.schedule(index);
     }
 
-    fn work(&mut self, index: ProcessIndex, handle: impl FnOnce(&mut Process, Moment) -> Done) {
+    /// Runs a state machine, meters its time and carries out its outputs.
+    fn run_metered(
+        &mut self,
+        index: ProcessIndex,
+        handle: impl FnOnce(&mut Process, Moment) -> Outputs,
+    ) {
         let now = self.now;
         let begun = Instant::now();
         let done = handle(&mut self.processes[index], now);
         self.processes[index].meter.work_nanos += begun.elapsed().as_nanos() as u64;
         match done {
-            Done::Entry(outputs) => self.entry_outputs(index, outputs, None),
-            Done::Agent(outputs) => self.agent_outputs(index, outputs),
-            Done::Nothing => {}
+            Outputs::Entry(outputs) => self.entry_outputs(index, outputs, None),
+            Outputs::Agent(outputs) => self.agent_outputs(index, outputs),
+            Outputs::Nothing => {}
         }
     }
 
+    /// Carries out the outputs of an entry; `call` is the call that it answers.
     fn entry_outputs(&mut self, index: ProcessIndex, outputs: Vec<Output>, call: Option<&Call>) {
         for output in outputs {
             match output {
@@ -417,15 +447,15 @@
                     timeout,
                 } => {
                     let bytes = self.pack(index, &packet);
-                    self.call(index, token, to, bytes, timeout, false);
+                    self.send_call(index, token, to, bytes, timeout, false);
                 }
                 Output::Reply(packet) => {
                     let bytes = self.pack(index, &packet);
-                    self.answer(index, call, bytes);
+                    self.send_answer(index, call, bytes);
                 }
                 Output::Lease(reply) => {
                     let bytes = self.pack(index, &reply);
-                    self.answer(index, call, bytes);
+                    self.send_answer(index, call, bytes);
                 }
                 Output::Event {
                     event,
@@ -438,13 +468,13 @@
                     subject,
                     detail,
                 }),
-                Output::Changed(hosts) => self.note_changed(index, hosts),
+                Output::Changed(hosts) => self.record_changes(index, hosts),
             }
         }
     }
 
-    /// Keeps what changed, and whether a living and connected agent fell out of the view.
-    fn note_changed(&mut self, index: ProcessIndex, hosts: Vec<HostId>) {
+    /// Records the changes in a view, and the running and connected agents that it lost.
+    fn record_changes(&mut self, index: ProcessIndex, hosts: Vec<HostId>) {
         for host in hosts {
             if self.is_dropped(index, &host) {
                 self.drops.push((self.now, index, host.clone()));
@@ -453,6 +483,7 @@
         }
     }
 
+    /// Whether an entry's view lacks an agent that runs and is connected.
     fn is_dropped(&self, index: ProcessIndex, host: &HostId) -> bool {
         let Some(agent) = self.hosts.get(host) else {
             return false;
@@ -460,11 +491,12 @@
         let places = (&self.processes[index].place, &self.processes[*agent].place);
         let connected = self.links.is_connected(places.0, places.1)
             && self.links.is_connected(places.1, places.0);
-        let lives = self.announcer(*agent).is_some_and(|a| !a.card().draining);
+        let running = self.announcer(*agent).is_some_and(|a| !a.card().draining);
         let seen = self.node(index).and_then(|n| n.agent_view(host));
-        connected && lives && seen.is_none_or(|a| !a.is_routable())
+        connected && running && seen.is_none_or(|a| !a.is_routable())
     }
 
+    /// Carries out the outputs of an agent.
     fn agent_outputs(&mut self, index: ProcessIndex, outputs: Vec<AnnounceOutput>) {
         for output in outputs {
             match output {
@@ -475,7 +507,7 @@
                     timeout,
                 } => {
                     let bytes = self.pack(index, &message);
-                    self.call(index, token, to, bytes, timeout, true);
+                    self.send_call(index, token, to, bytes, timeout, true);
                 }
                 AnnounceOutput::Superseded { by, address } => self.recorded.push(RecordedEvent {
                     at: self.now,
@@ -488,6 +520,7 @@
         }
     }
 
+    /// Encodes a message and meters it.
     fn pack<T: serde::Serialize>(&mut self, index: ProcessIndex, message: &T) -> Packed {
         let begun = Instant::now();
         let bytes = Packed::new(message);
@@ -497,7 +530,8 @@
         bytes
     }
 
-    fn call(
+    /// Sends a call, with its timeout.
+    fn send_call(
         &mut self,
         from: ProcessIndex,
         token: Token,
@@ -509,7 +543,7 @@
         let start = self.processes[from].start;
         self.processes[from].meter.begun += 1;
         self.open.insert((from, start, token));
-        self.push(self.now + timeout, Job::Late(from, start, token));
+        self.push(self.now + timeout, Job::Timeout(from, start, token));
         let Some(target) = self.addresses.get(&to).copied() else {
             return;
         };
@@ -527,7 +561,8 @@
         }
     }
 
-    fn answer(&mut self, index: ProcessIndex, call: Option<&Call>, bytes: Packed) {
+    /// Sends the answer to a call.
+    fn send_answer(&mut self, index: ProcessIndex, call: Option<&Call>, bytes: Packed) {
         let Some(call) = call else {
             return;
         };
@@ -536,12 +571,13 @@
             &self.processes[call.from].place,
         );
         if let Some(delay) = self.links.delay(places.0, places.1) {
-            let job = Job::Back(call.from, call.start, call.token, bytes);
+            let job = Job::Answer(call.from, call.start, call.token, bytes);
             self.push(self.now + delay, job);
         }
     }
 
-    fn add(&mut self, place: Place, kind: u8) -> ProcessIndex {
+    /// Adds a process without a role.
+    fn add_process(&mut self, place: Place, kind: u8) -> ProcessIndex {
         let index = self.processes.len();
         let number = index as u16;
         let address = SocketAddr::from(([10, kind, (number >> 8) as u8, number as u8], 7_000));
@@ -553,11 +589,12 @@
             role: None,
             meter: Meter::default(),
             start: 0,
-            asleep: Moment::ZERO,
+            stalled_until: Moment::ZERO,
         });
         index
     }
 
+    /// Starts a role in a process.
     fn run_role(&mut self, index: ProcessIndex, role: Role) {
         let process = &mut self.processes[index];
         process.role = Some(role);
@@ -566,7 +603,7 @@
         self.schedule(index);
     }
 
-    /// Sees to it that the process wakes when it wants to.
+    /// Queues the next tick of a process.
     fn schedule(&mut self, index: ProcessIndex) {
         let process = &self.processes[index];
         let due = match &process.role {
@@ -583,6 +620,7 @@
         self.push(due, Job::Wake(index, start, due));
     }
 
+    /// Adds a job to the queue.
     fn push(&mut self, at: Moment, job: Job) {
         self.order += 1;
         let order = self.order;
@@ -590,7 +628,8 @@
     }
 }
 
-enum Done {
+/// The outputs of a state machine.
+enum Outputs {
     Entry(Vec<Output>),
     Agent(Vec<AnnounceOutput>),
     Nothing,
--- a/crates/fakes/src/group.rs
+++ b/crates/fakes/src/group.rs
@@ -1,6 +1,6 @@
-//! The engines of a group, which step in lock-step and record the map of each step.
+//! The engines of a group, which run in lock-step and record the map of each step.
 //!
-//! The record is the check: one step that two ranks entered with two maps is a fault.
+//! Tests check the record: it is a fault if two ranks entered the same step with different maps.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,30 +15,34 @@
 use snipemast_wire::group::path;
 use snipemast_wire::serve::{read_message, reply, reply_malformed};
 
-/// Steps whose maps are remembered for the check.
-const RECORD: usize = 4_096;
+/// The number of steps whose maps are recorded.
+const RECORDED_STEPS: usize = 4_096;
 
-/// One step, entered with more than one map.
+/// A step that was entered with more than one map.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct MapConflict {
     /// The step.
     pub step: Step,
-    /// The map that a rank entered it with first.
+    /// The map with which the first rank entered the step.
     pub first: MapVersion,
-    /// The map that another rank entered it with.
+    /// The map with which another rank entered the step.
     pub second: MapVersion,
 }
 
-/// One rank's engine.
+/// The engine of one rank.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Seat {
+    /// Whether the engine rejects permits of earlier incarnations.
     checks: bool,
     stalled: bool,
     incarnation: GroupIncarnation,
+    /// The next step to enter.
     next: Step,
-    facts: BTreeMap<Step, MapVersion>,
+    /// The map of each permitted step.
+    permitted: BTreeMap<Step, MapVersion>,
     maps: BTreeMap<MapVersion, SharedMap>,
-    shown: Option<ActiveMap>,
+    /// The map of the last step that was entered.
+    last_map: Option<ActiveMap>,
 }
 
 /// The engines of all ranks of a group.
@@ -46,23 +50,23 @@
 pub struct LockStep {
     seats: Vec<Seat>,
     record: BTreeMap<Step, MapVersion>,
-    torn: Option<MapConflict>,
+    conflict: Option<MapConflict>,
     highest: MapVersion,
 }
 
 impl LockStep {
-    /// Engines that wait for their first permits.
+    /// Creates engines that wait for their first permits.
     pub fn new(ranks: u32) -> Self {
         let seat = Seat::new(true);
         Self {
             seats: vec![seat; ranks as usize],
             record: BTreeMap::new(),
-            torn: None,
+            conflict: None,
             highest: MapVersion::new(0),
         }
     }
 
-    /// Engines that take permits of any incarnation, and the last that came for a step.
+    /// Makes the engines accept permits of any incarnation, and for each step the last one received.
     #[must_use]
     pub fn with_unchecked(mut self) -> Self {
         for seat in &mut self.seats {
@@ -71,7 +75,7 @@
         self
     }
 
-    /// Gives a rank's engine the weights of a map.
+    /// Passes the weights of a map to a rank's engine.
     pub fn load(&mut self, rank: u32, version: MapVersion, map: SharedMap) {
         let seat = &mut self.seats[rank as usize];
         seat.maps.insert(version, map);
@@ -80,103 +84,107 @@
         }
     }
 
-    /// Gives a rank's engine a permit.
+    /// Passes a permit to a rank's engine.
     pub fn permit(&mut self, rank: u32, permit: Permit) {
         self.seats[rank as usize].permit(permit);
     }
 
-    /// Lets a rank enter its next step, where its permit and the other ranks allow it.
+    /// Lets a rank enter its next step if its permit and the other ranks allow it, and returns whether it
+    /// did.
     pub fn enter(&mut self, rank: u32) -> bool {
         let next = self.seats[rank as usize].next;
         let others_done = self.seats.iter().all(|s| s.next >= next);
         let seat = &mut self.seats[rank as usize];
-        let Some(&version) = seat.facts.get(&next).filter(|_| !seat.stalled) else {
+        let Some(&version) = seat.permitted.get(&next).filter(|_| !seat.stalled) else {
             return false;
         };
         if !others_done {
             return false;
         }
-        seat.take(version);
-        self.note(next, version);
+        seat.enter_step(version);
+        self.record_map(next, version);
         true
     }
 
-    /// Replaces a rank's engine by a fresh one.
+    /// Replaces a rank's engine by a new one.
     pub fn replace(&mut self, rank: u32) {
         let seat = &mut self.seats[rank as usize];
         *seat = Seat::new(seat.checks);
     }
 
-    /// Makes a rank stall, or go on.
+    /// Makes a rank stall or continue.
     pub fn stall(&mut self, rank: u32, stalled: bool) {
         self.seats[rank as usize].stalled = stalled;
     }
 
-    /// What a rank's engine shows of itself.
+    /// Returns the status of a rank's engine.
     pub fn status(&self, rank: u32) -> EngineStatus {
         let seat = &self.seats[rank as usize];
         let mut end = seat.next;
-        while seat.facts.contains_key(&end) {
+        while seat.permitted.contains_key(&end) {
             end = end.next();
         }
         EngineStatus {
             incarnation: seat.incarnation,
             step: seat.next,
             end,
-            last_map: seat.shown.clone(),
+            last_map: seat.last_map.clone(),
         }
     }
 
-    /// The first step that was entered with two maps.
+    /// Returns the first step that was entered with two maps.
     pub fn map_conflict(&self) -> Option<MapConflict> {
-        self.torn
+        self.conflict
     }
 
-    /// The highest version that any rank entered a step with.
+    /// Returns the highest map version with which any rank entered a step.
     pub fn highest(&self) -> MapVersion {
         self.highest
     }
 
-    /// The step that every rank has completed, at least.
+    /// Returns the last step that all ranks have completed.
     pub fn completed(&self) -> Step {
         let next = self.seats.iter().map(|s| s.next).min();
         Step::new(next.map_or(0, |s| s.get().saturating_sub(1)))
     }
 
-    /// The last step that any rank has entered, and its map.
+    /// Returns the last step that any rank has entered, and its map.
     pub fn last(&self) -> Option<(Step, MapVersion)> {
         self.record.last_key_value().map(|(s, v)| (*s, *v))
     }
 
-    fn note(&mut self, step: Step, version: MapVersion) {
+    /// Records the map of a step, and a conflict with the map recorded before.
+    fn record_map(&mut self, step: Step, version: MapVersion) {
         self.highest = self.highest.max(version);
         let first = *self.record.entry(step).or_insert(version);
-        if first != version && self.torn.is_none() {
-            self.torn = Some(MapConflict {
+        if first != version && self.conflict.is_none() {
+            self.conflict = Some(MapConflict {
                 step,
                 first,
                 second: version,
             });
         }
-        while self.record.len() > RECORD {
+        while self.record.len() > RECORDED_STEPS {
             self.record.pop_first();
         }
     }
 }
 
 impl Seat {
+    /// Creates an engine that has received no permit.
     fn new(checks: bool) -> Self {
         Self {
             checks,
             stalled: false,
             incarnation: GroupIncarnation::new(0),
             next: Step::new(0),
-            facts: BTreeMap::new(),
+            permitted: BTreeMap::new(),
             maps: BTreeMap::new(),
-            shown: None,
+            last_map: None,
         }
     }
 
+    /// Accepts a permit, unless it belongs to an earlier incarnation.
     fn permit(&mut self, permit: Permit) {
         let Permit {
             incarnation,
@@ -187,23 +195,24 @@
         if self.checks && incarnation < self.incarnation {
             return;
         }
-        // A later incarnation starts at its first permit; no engine goes back a step.
+        // A later incarnation starts at its first permit; no engine goes back to an earlier step.
         if incarnation > self.incarnation && from >= self.next {
             self.incarnation = incarnation;
             self.next = from;
-            self.facts.clear();
+            self.permitted.clear();
         }
         let steps = (from.get()..to.get()).map(Step::new);
         for step in steps.filter(|s| *s >= self.next) {
-            self.facts.insert(step, version);
+            self.permitted.insert(step, version);
         }
     }
 
-    fn take(&mut self, version: MapVersion) {
-        self.facts.remove(&self.next);
+    /// Enters the next step with a map.
+    fn enter_step(&mut self, version: MapVersion) {
+        self.permitted.remove(&self.next);
         self.next = self.next.next();
         let map = self.maps.get(&version).cloned().unwrap_or_default();
-        self.shown = Some(ActiveMap {
+        self.last_map = Some(ActiveMap {
             incarnation: self.incarnation,
             version,
             map,
@@ -211,26 +220,26 @@
     }
 }
 
-/// The engines of a group behind HTTP, one handler a rank.
+/// The engines of a group behind HTTP, with one handler per rank.
 #[derive(Debug, Clone)]
 pub struct FakeGroup {
     steps: Arc<Mutex<LockStep>>,
 }
 
 impl FakeGroup {
-    /// Engines that wait for their first permits.
+    /// Creates engines that wait for their first permits.
     pub fn new(ranks: u32) -> Self {
         Self {
             steps: Arc::new(Mutex::new(LockStep::new(ranks))),
         }
     }
 
-    /// The engines, to look at or to disturb.
+    /// Returns the engines, for checks and disturbances.
     pub fn steps(&self) -> &Arc<Mutex<LockStep>> {
         &self.steps
     }
 
-    /// Lets every rank enter a step where it can.
+    /// Lets every rank enter its next step if it can.
     pub fn advance(&self) {
         let mut steps = self.steps.lock();
         for rank in 0..steps.seats.len() as u32 {
@@ -238,7 +247,7 @@
         }
     }
 
-    /// The HTTP server of one rank's engine.
+    /// Returns the HTTP handler of one rank's engine.
     pub fn rank(&self, rank: u32, info: ServerInfo) -> FakeRank {
         FakeRank {
             rank,
@@ -248,7 +257,7 @@
     }
 }
 
-/// One rank's engine behind HTTP.
+/// The engine of one rank behind HTTP.
 #[derive(Debug, Clone)]
 pub struct FakeRank {
     rank: u32,
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,13 +1,16 @@
-//! Small stand-ins at the interfaces, which serve real HTTP on loopback.
+//! Test doubles at the interfaces of the system.
 //!
-//! - [`engine`]: a model engine that speaks the protocol of `docs/SERVERS.md`.
-//! - [`group`]: the engines of a group, which step in lock-step and record the map of each step.
-//! - [`orders`]: what a fake engine makes of orders.
-//! - [`wire`]: a TCP wire that goes silent, breaks, delays and doubles.
-//! - [`service`]: a plain service that counts what it ran.
-//! - [`weights`]: a weight store that is slow, fails or has gaps on demand.
-//! - [`fleet`]: the membership of many processes over a virtual wire and clock.
-//! - [`links`]: what that wire loses and delays.
+//! The engines, the service and the proxy serve real connections on loopback; the fleet runs on a
+//! simulated network and clock.
+//!
+//! - [`engine`]: a model engine that implements the protocol of `docs/SERVERS.md`.
+//! - [`group`]: the engines of a group, which run in lock-step and record the map of each step.
+//! - [`orders`]: how a fake engine carries out orders.
+//! - [`wire`]: a TCP proxy that falls silent, breaks connections, delays data and duplicates it.
+//! - [`service`]: a plain service that counts the calls it ran.
+//! - [`weights`]: a weight store that is slow or fails on demand.
+//! - [`fleet`]: the membership of many processes on a simulated network and clock.
+//! - [`links`]: what the simulated network loses and delays.
 
 mod cache;
 pub mod engine;
--- a/crates/fakes/src/links.rs
+++ b/crates/fakes/src/links.rs
@@ -1,11 +1,11 @@
-//! A virtual wire: what gets through between two processes, and when.
+//! A simulated network, which decides whether and when a message arrives.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
 use snipemast_core::prelude::*;
 
-/// Which processes a cut speaks of.
+/// The processes on one side of a cut.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Side {
     /// Every process.
@@ -18,38 +18,39 @@
     Host(HostId),
 }
 
-/// Messages from one side to the other get lost; the other direction is not touched.
+/// A cut in one direction: messages from one side to the other are lost.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cut {
-    /// Where they come from.
+    /// The senders.
     pub from: Side,
-    /// Where they go.
+    /// The receivers.
     pub to: Side,
 }
 
-/// Where a process stands.
+/// The location of a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Place {
-    /// Its host.
+    /// The host.
     pub host: HostId,
-    /// Its zone.
+    /// The availability zone.
     pub zone: ZoneId,
-    /// Its region.
+    /// The region.
     pub region: RegionId,
 }
 
 /// The links between all processes.
 #[derive(Debug)]
 pub struct Links {
-    /// The share of messages that get lost, each on its own.
+    /// The share of messages that are lost, each independently of the others.
     pub loss: f64,
-    /// What is cut.
+    /// The cuts in force.
     pub cuts: Vec<Cut>,
-    dice: StdRng,
+    rng: StdRng,
 }
 
 impl Side {
-    fn holds(&self, place: &Place) -> bool {
+    /// Whether a process is on this side.
+    fn includes(&self, place: &Place) -> bool {
         match self {
             Self::All => true,
             Self::Zone(zone) => place.zone == *zone,
@@ -60,12 +61,12 @@
 }
 
 impl Links {
-    /// Links that lose nothing.
+    /// Creates links that lose nothing.
     pub fn new(seed: u64) -> Self {
         Self {
             loss: 0.0,
             cuts: Vec::new(),
-            dice: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
         }
     }
 
@@ -75,37 +76,39 @@
         self.cut_one_way(other, one);
     }
 
-    /// Cuts one direction.
+    /// Cuts the direction from one side to the other.
     pub fn cut_one_way(&mut self, from: Side, to: Side) {
         self.cuts.push(Cut { from, to });
     }
 
-    /// Mends every cut.
+    /// Removes all cuts.
     pub fn heal(&mut self) {
         self.cuts.clear();
     }
 
-    /// Whether the wire carries messages from one process to the other at all.
+    /// Whether messages from one process can reach the other.
     pub fn is_connected(&self, from: &Place, to: &Place) -> bool {
         from.host == to.host
             || !self
                 .cuts
                 .iter()
-                .any(|c| c.from.holds(from) && c.to.holds(to))
+                .any(|c| c.from.includes(from) && c.to.includes(to))
     }
 
-    /// How long a message takes, or nothing where it gets lost.
+    /// Returns how long a message takes, or none if it is lost.
     pub fn delay(&mut self, from: &Place, to: &Place) -> Option<Span> {
-        if !self.is_connected(from, to) || self.dice.random::<f64>() < self.loss {
+        if !self.is_connected(from, to) || self.rng.random::<f64>() < self.loss {
             return None;
         }
-        let base = if from.zone == to.zone {
+        let base_micros = if from.zone == to.zone {
             250
         } else if from.region == to.region {
             1_500
         } else {
             15_000
         };
-        Some(Span::from_micros(base + self.dice.random_range(0..base)))
+        Some(Span::from_micros(
+            base_micros + self.rng.random_range(0..base_micros),
+        ))
     }
 }
--- a/crates/fakes/src/orders.rs
+++ b/crates/fakes/src/orders.rs
@@ -1,4 +1,4 @@
-//! What a fake engine makes of orders.
+//! How a fake engine carries out orders.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use snipemast_core::prelude::*;
 use snipemast_servers::orders::{EngineOrder, OrderOutcome};
 
-/// The orders that an engine carried out, and what it offers since.
+/// The orders that an engine carried out, and what it has offered since.
 #[derive(Debug, Clone)]
 pub struct Orders {
     inner: Arc<Mutex<Inner>>,
@@ -17,16 +17,18 @@
 #[derive(Debug)]
 struct Inner {
     info: ServerInfo,
-    seen: Fence,
+    /// The highest fencing number seen.
+    fence: Fence,
     carried: Vec<EngineOrder>,
 }
 
 impl Orders {
-    /// The orders of an engine that begins so; its capabilities say whether it checks.
+    /// Creates the state of an engine with this description. Its capabilities say whether it checks
+    /// fencing numbers.
     pub fn new(info: ServerInfo) -> Self {
         let inner = Inner {
             info,
-            seen: Fence::default(),
+            fence: Fence::default(),
             carried: Vec::new(),
         };
         Self {
@@ -34,23 +36,23 @@
         }
     }
 
-    /// What the engine offers now.
+    /// Returns the current description of the engine.
     pub fn info(&self) -> ServerInfo {
         self.inner.lock().info.clone()
     }
 
-    /// The orders that were carried out, in order.
+    /// Returns the orders that were carried out, oldest first.
     pub fn carried(&self) -> Vec<EngineOrder> {
         self.inner.lock().carried.clone()
     }
 
-    /// Carries an order out.
-    pub fn take(&self, order: EngineOrder) -> OrderOutcome {
+    /// Carries out an order.
+    pub fn execute(&self, order: EngineOrder) -> OrderOutcome {
         let mut inner = self.inner.lock();
-        if inner.info.capabilities.fencing && order.fence < inner.seen {
+        if inner.info.capabilities.fencing && order.fence < inner.fence {
             return OrderOutcome::Old;
         }
-        inner.seen = inner.seen.max(order.fence);
+        inner.fence = inner.fence.max(order.fence);
         if let Action::Load {
             model,
             version,
--- a/crates/fakes/src/service.rs
+++ b/crates/fakes/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts what it ran.
+//! A plain service that counts the calls it ran.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,12 +18,13 @@
 pub struct FakeService {
     info: ServerInfo,
     runs: Arc<AtomicU64>,
+    /// The number of calls with each body.
     bodies: Arc<Mutex<HashMap<String, u64>>>,
     pace: Span,
 }
 
 impl FakeService {
-    /// A service that describes itself so.
+    /// Creates a service with this description.
     pub fn new(info: ServerInfo) -> Self {
         Self {
             info,
@@ -33,23 +34,24 @@
         }
     }
 
-    /// Works this long at each call.
+    /// Sets how long each call takes.
     #[must_use]
     pub fn with_pace(mut self, pace: Span) -> Self {
         self.pace = pace;
         self
     }
 
-    /// How often a call with this body ran.
+    /// Returns how often a call with this body ran.
     pub fn runs_of(&self, body: &str) -> u64 {
         self.bodies.lock().get(body).copied().unwrap_or(0)
     }
 
-    /// How many calls ran.
+    /// Returns how many calls ran.
     pub fn runs(&self) -> u64 {
         self.runs.load(Ordering::SeqCst)
     }
 
+    /// Counts a call and answers with a description of it.
     async fn answer(&self, mut conn: Conn) -> Conn {
         let body = conn.request_body_string().await.unwrap_or_default();
         let run = self.runs.fetch_add(1, Ordering::SeqCst) + 1;
--- a/crates/fakes/src/shape.rs
+++ b/crates/fakes/src/shape.rs
@@ -1,10 +1,10 @@
-//! The two shapes of a completion: of a text, and of a conversation.
+//! The two formats of completions: text completions and chat completions.
 
 use serde_json::{json, Value};
 
 use snipemast_core::prelude::*;
 
-/// Which interface a completion was asked by.
+/// The format of a completion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Shape {
     Text,
@@ -12,8 +12,8 @@
 }
 
 impl Shape {
-    /// The shape that belongs to a path, where there is one.
-    pub(crate) fn of(path: &str) -> Option<Self> {
+    /// Returns the format of the completions at a path, if there is one.
+    pub(crate) fn from_path(path: &str) -> Option<Self> {
         match path {
             "/v1/completions" => Some(Self::Text),
             "/v1/chat/completions" => Some(Self::Chat),
@@ -21,9 +21,9 @@
         }
     }
 
-    /// A whole answer of these tokens.
+    /// Returns a complete answer with these tokens.
     pub(crate) fn whole(self, model: &Value, server: &ServerId, tokens: Range) -> Value {
-        let text: String = tokens.clone().map(word).collect();
+        let text: String = tokens.clone().map(token_text).collect();
         let (object, choice) = match self {
             Self::Text => ("text_completion", json!({ "index": 0, "text": text })),
             Self::Chat => {
@@ -42,20 +42,20 @@
         })
     }
 
-    /// The event of one token in a stream.
+    /// Returns the stream event of one token.
     pub(crate) fn event(self, number: u32) -> String {
         let choice = match self {
-            Self::Text => json!({ "index": 0, "text": word(number) }),
-            Self::Chat => json!({ "index": 0, "delta": { "content": word(number) } }),
+            Self::Text => json!({ "index": 0, "text": token_text(number) }),
+            Self::Chat => json!({ "index": 0, "delta": { "content": token_text(number) } }),
         };
         format!("data: {}\n\n", json!({ "choices": [choice] }))
     }
 }
 
-/// The tokens of an answer, by number.
+/// A range of token numbers in an answer.
 pub(crate) type Range = std::ops::Range<u32>;
 
-/// The text of a token.
-fn word(number: u32) -> String {
+/// Returns the text of a token.
+fn token_text(number: u32) -> String {
     format!("w{number} ")
 }
--- a/crates/fakes/src/weights.rs
+++ b/crates/fakes/src/weights.rs
@@ -1,4 +1,4 @@
-//! A weight store that is slow, fails or has gaps on demand.
+//! A weight store that is slow or fails on demand.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 }
 
 impl FakeStore {
-    /// A store whose weights have this size and are there at once.
+    /// Creates a store whose weights have this size and load immediately.
     pub fn new(size: Size) -> Self {
         Self {
             size,
@@ -28,19 +28,19 @@
         }
     }
 
-    /// Takes so long for each load.
+    /// Sets how long each load takes.
     #[must_use]
     pub fn with_pace(mut self, pace: Span) -> Self {
         self.pace = pace;
         self
     }
 
-    /// Fails every load from now on, or no longer.
+    /// Sets whether loads fail.
     pub fn set_broken(&self, broken: bool) {
         self.broken.store(broken, Ordering::SeqCst);
     }
 
-    /// How many loads were finished.
+    /// Returns how many loads have succeeded.
     pub fn loads(&self) -> u64 {
         self.loads.load(Ordering::SeqCst)
     }
--- a/crates/fakes/src/wire.rs
+++ b/crates/fakes/src/wire.rs
@@ -1,7 +1,7 @@
-//! A TCP wire that goes silent, breaks, delays and doubles.
+//! A TCP proxy that falls silent, breaks connections, delays data and duplicates it.
 //!
-//! It stands between two real processes on loopback and passes bytes on. What it does to a
-//! connection is decided by the mode in force, piece by piece.
+//! It connects two real processes on loopback and forwards bytes between them. The mode in force
+//! decides for each chunk what happens to it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,24 +16,24 @@
 use snipemast_core::prelude::*;
 use snipemast_wire::spawn;
 
-/// The bytes that are passed on at once.
-const PIECE: usize = 4 << 10;
-/// How often a silent connection looks whether it may go on.
-const LOOK: Span = Span::from_millis(10);
+/// How many bytes are forwarded at once.
+const CHUNK_BYTES: usize = 4 << 10;
+/// How often a connection checks whether it is broken off.
+const CHECK_INTERVAL: Span = Span::from_millis(10);
 
-/// What a wire does.
+/// How a proxy treats data.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ProxyMode {
-    /// It passes everything on.
+    /// It forwards everything.
     #[default]
     Forward,
-    /// It delays each piece.
+    /// It delays each chunk.
     Delay(Span),
-    /// It sends what comes from the near side to the far side twice, on two connections.
+    /// It forwards the data of the near side to the far side twice, on two connections.
     Duplicate,
 }
 
-/// A TCP wire to one address.
+/// A TCP proxy to one address.
 #[derive(Debug)]
 pub struct FakeProxy {
     address: SocketAddr,
@@ -45,16 +45,18 @@
 struct State {
     target: Mutex<Option<SocketAddr>>,
     mode: Mutex<ProxyMode>,
-    /// Connections opened up to this number are silent for good.
+    /// Connections up to this number are silent for good.
     silent: AtomicU64,
-    /// Connections opened up to this number are broken off.
+    /// Connections up to this number are broken off.
     broken: AtomicU64,
+    /// The number of connections that were opened.
     opened: AtomicU64,
+    /// The bytes that came back from the far side.
     carried: AtomicU64,
 }
 
 impl FakeProxy {
-    /// A wire that listens on loopback and leads nowhere yet.
+    /// Starts a proxy that listens on loopback and has no target yet.
     pub async fn start() -> io::Result<Self> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let address = listener.local_addr()?;
@@ -67,44 +69,44 @@
         })
     }
 
-    /// Where the wire listens.
+    /// Returns the address where the proxy listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Leads to this address from now on.
+    /// Sets the address that new connections lead to.
     pub fn set_target(&self, target: SocketAddr) {
         *self.state.target.lock() = Some(target);
     }
 
-    /// Does this from now on.
+    /// Sets the mode.
     pub fn set_mode(&self, mode: ProxyMode) {
         *self.state.mode.lock() = mode;
     }
 
-    /// Passes nothing on over the connections that are open now, for good; new ones work.
+    /// Stops forwarding on all open connections for good; new connections work.
     pub fn silence(&self) {
         let opened = self.state.opened.load(Ordering::SeqCst);
         self.state.silent.store(opened, Ordering::SeqCst);
     }
 
-    /// Breaks the connections off that are open now; new ones work.
+    /// Breaks off all open connections; new connections work.
     pub fn reset(&self) {
         let opened = self.state.opened.load(Ordering::SeqCst);
         self.state.broken.store(opened, Ordering::SeqCst);
     }
 
-    /// How many bytes came back from the far side.
+    /// Returns how many bytes came back from the far side.
     pub fn carried(&self) -> u64 {
         self.state.carried.load(Ordering::SeqCst)
     }
 
-    /// How many connections were opened.
+    /// Returns how many connections were opened.
     pub fn opened(&self) -> u64 {
         self.state.opened.load(Ordering::SeqCst)
     }
 
-    /// Breaks everything off and takes no new connection.
+    /// Breaks off all connections and accepts no new one.
     pub async fn stop(self) {
         self.reset();
         self.task.cancel().await;
@@ -115,14 +117,15 @@
     while let Ok((near, _)) = listener.accept().await {
         let state = Arc::clone(&state);
         spawn(async move {
-            // A connection that ends in an error is one that ended.
-            let _ = carry(near, &state).await;
+            // An error only means that the connection has ended.
+            let _ = forward_connection(near, &state).await;
         })
         .detach();
     }
 }
 
-async fn carry(near: TcpStream, state: &State) -> io::Result<()> {
+/// Forwards one connection in both directions until it ends.
+async fn forward_connection(near: TcpStream, state: &State) -> io::Result<()> {
     let number = state.opened.fetch_add(1, Ordering::SeqCst) + 1;
     let Some(target) = *state.target.lock() else {
         return Ok(());
@@ -138,7 +141,7 @@
         true => Some(TcpStream::connect(target).await?),
         false => None,
     };
-    let there = pass(
+    let there = forward(
         number,
         near.clone(),
         far.clone(),
@@ -146,10 +149,10 @@
         state,
         None,
     );
-    let back = pass(number, far, near, None, state, Some(&state.carried));
+    let back = forward(number, far, near, None, state, Some(&state.carried));
     let drained = async {
         if let Some(second) = second {
-            // What the far side answers to the second copy reaches nobody.
+            // The answer of the far side to the second copy is discarded.
             futures_lite::io::copy(second, futures_lite::io::sink()).await?;
         }
         futures_lite::future::pending::<io::Result<()>>().await
@@ -157,7 +160,8 @@
     there.or(back).or(drained).await
 }
 
-async fn pass(
+/// Forwards the data of one direction until it ends or the connection is broken off.
+async fn forward(
     number: u64,
     mut from: TcpStream,
     mut to: TcpStream,
@@ -165,7 +169,7 @@
     state: &State,
     count: Option<&AtomicU64>,
 ) -> io::Result<()> {
-    let mut buffer = vec![0; PIECE];
+    let mut buffer = vec![0; CHUNK_BYTES];
     loop {
         let read = from.read(&mut buffer);
         let broken = async {
@@ -181,7 +185,7 @@
             smol::Timer::after(span.as_duration()).await;
         }
         if number <= state.silent.load(Ordering::SeqCst) {
-            // Only a break ends the silence.
+            // A silent connection ends only when it is broken off.
             wait_until(|| number <= state.broken.load(Ordering::SeqCst)).await;
             return Err(io::ErrorKind::ConnectionReset.into());
         }
@@ -195,8 +199,9 @@
     }
 }
 
+/// Waits until a condition holds.
 async fn wait_until(ready: impl Fn() -> bool) {
     while !ready() {
-        smol::Timer::after(LOOK.as_duration()).await;
+        smol::Timer::after(CHECK_INTERVAL.as_duration()).await;
     }
 }
--- a/crates/fakes/tests/engine.rs
+++ b/crates/fakes/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The fake engine does what `docs/SERVERS.md` promises of engines.
+//! Tests that the fake engine implements the protocol of `docs/SERVERS.md`.
 
 use serde_json::{json, Value};
 
@@ -7,7 +7,7 @@
 use snipemast_wire::connect::client;
 use snipemast_wire::{listen, ServerHandle};
 
-async fn engine(pace: Span) -> ServerHandle {
+async fn serve_engine(pace: Span) -> ServerHandle {
     let info = ServerInfo {
         server: "engine-0".parse().expect("a valid name"),
         offers: Vec::new(),
@@ -45,10 +45,11 @@
     serde_json::from_str(&text).expect("JSON")
 }
 
+/// Guards against a resumed answer that repeats tokens which were already delivered.
 #[test]
-fn continues_text() {
+fn text_continued() {
     smol::block_on(async {
-        let server = engine(Span::default()).await;
+        let server = serve_engine(Span::default()).await;
         let body = json!({ "model": "m", "prompt": "p", "continue_text": "w0 w1 w2 " });
         let answer: Value =
             serde_json::from_str(&post(&server, "/v1/completions", &body).await).expect("JSON");
@@ -56,10 +57,11 @@
     });
 }
 
+/// Guards against a chat completion in the format of a text completion, whole or as a stream.
 #[test]
-fn chats() {
+fn chat_format() {
     smol::block_on(async {
-        let server = engine(Span::default()).await;
+        let server = serve_engine(Span::default()).await;
         let body = json!({ "model": "m", "messages": [{ "role": "user", "content": "p" }] });
         let answer: Value =
             serde_json::from_str(&post(&server, "/v1/chat/completions", &body).await)
@@ -74,36 +76,38 @@
     });
 }
 
+/// Guards against wrong numbers of cache events: a cached prefix is not stored again, the cache drops
+/// old prefixes, and only the latest events are kept.
 #[test]
-fn cache_told() {
+fn cache_events() {
     smol::block_on(async {
-        let server = engine(Span::default()).await;
+        let server = serve_engine(Span::default()).await;
         for n in [0, 0, 1, 2] {
             let body = json!({ "model": "m", "prompt": format!("prompt {n}") });
             post(&server, "/v1/completions", &body).await;
         }
-        let news = get(&server, "/engine/cache?after=1").await;
+        let cache = get(&server, "/engine/cache?after=1").await;
         assert_eq!(
-            (news["oldest"].clone(), news["next"].clone()),
+            (cache["oldest"].clone(), cache["next"].clone()),
             (json!(1), json!(4))
         );
-        assert_eq!(news["events"].as_array().map(Vec::len), Some(2));
+        assert_eq!(cache["events"].as_array().map(Vec::len), Some(2));
         for n in 3..200 {
             let body = json!({ "model": "m", "prompt": format!("prompt {n}") });
             post(&server, "/v1/completions", &body).await;
         }
-        // The cache holds 64 prefixes, so that the others were dropped, and not every event is kept.
-        let news = get(&server, "/engine/cache?after=1").await;
-        assert_eq!(news["next"], 1 + 200 + (200 - 64));
-        assert_eq!(news["events"].as_array().map(Vec::len), Some(256));
+        // The cache holds 64 prefixes, so the others were dropped, and not all events are kept.
+        let cache = get(&server, "/engine/cache?after=1").await;
+        assert_eq!(cache["next"], 1 + 200 + (200 - 64));
+        assert_eq!(cache["events"].as_array().map(Vec::len), Some(256));
     });
 }
 
-// A slot stays taken by a request that nobody waits for. Its caller closed the connection.
+/// Guards against a slot that stays in use by a request whose caller has closed its connection.
 #[test]
 fn close_cancels() {
     smol::block_on(async {
-        let server = engine(Span::from_secs(60)).await;
+        let server = serve_engine(Span::from_secs(60)).await;
         let body = r#"{"model":"m","prompt":"p"}"#;
         let mut caller = std::net::TcpStream::connect(server.address()).expect("it listens");
         let length = body.len();
