--- a/crates/benches/benches/decisions.rs
+++ b/crates/benches/benches/decisions.rs
@@ -2,7 +2,7 @@
 //!
 //! Virtual time; all ways get the same arrivals.
 
-use snipemast_benches::placing::{play, Outcome, Setup};
+use snipemast_benches::placing::{simulate, Outcome, Setup};
 use snipemast_benches::plots::{draw, Line, Scale};
 use snipemast_benches::report::{BenchArgs, Figures};
 use snipemast_core::prelude::*;
@@ -12,9 +12,9 @@
 type Way = (&'static str, fn(&Setup) -> Outcome);
 
 const WAYS: [Way; 3] = [
-    ("least", play::<Least>),
-    ("sampled", play::<Sampled>),
-    ("expected", play::<Expected>),
+    ("least", simulate::<Least>),
+    ("sampled", simulate::<Sampled>),
+    ("expected", simulate::<Expected>),
 ];
 
 fn main() {
@@ -43,8 +43,8 @@
 fn compare(args: BenchArgs, load: f64, setup: &Setup, figures: &mut Figures) {
     let name = setup.gateways;
     let wait = setup.wait.as_micros() / 1_000;
-    for (way, play) in WAYS {
-        let seen = play(setup);
+    for (way, simulate) in WAYS {
+        let seen = simulate(setup);
         if !args.json {
             println!(
                 "{name:>4} gateways, load {load}, counts each {wait:>3} ms, {way:>8}: late {:.4}, waited {:.4}, refused {:.4}, failed {:.4}, fullest {:.2}, mean in flight {:.2}",
@@ -61,14 +61,14 @@
 
 fn plot(length: Span) {
     let gateways = [3, 7, 15, 30, 60, 100, 150];
-    let lines = WAYS.map(|(way, play)| {
+    let lines = WAYS.map(|(way, simulate)| {
         let points = gateways.map(|gateways| {
             let setup = Setup {
                 gateways,
                 length,
                 ..Setup::middle()
             };
-            (gateways as f64, 100.0 * play(&setup).late)
+            (gateways as f64, 100.0 * simulate(&setup).late)
         });
         Line::new(way, points.to_vec())
     });
--- a/crates/benches/benches/membership/main.rs
+++ b/crates/benches/benches/membership/main.rs
@@ -89,7 +89,7 @@
 fn settled(name: &str, shape: Shape, figures: &mut Figures) -> Members {
     let begun = Instant::now();
     let mut members = Members::start(shape, 1);
-    let took = members.until_settled(300);
+    let took = members.run_until_settled(300);
     let secs = took.map_or(f64::NAN, Span::as_secs_f64);
     figures.add(&format!("{name}_settled_s"), secs + 10.0);
     eprintln!(
--- a/crates/benches/benches/membership/scenes.rs
+++ b/crates/benches/benches/membership/scenes.rs
@@ -134,7 +134,7 @@
     for index in &lost {
         members.fleet.crash(*index);
     }
-    let took = members.until_settled(60);
+    let took = members.run_until_settled(60);
     figures.add("rack_known_s", took.map_or(f64::NAN, Span::as_secs_f64));
     let span = took.unwrap_or(Span::from_secs(60));
     let used = members.used(&members.entries, span, calls.heads);
@@ -152,7 +152,7 @@
     }
     members.clear();
     let away = zone.clone();
-    let took = members.until(60, move |fleet| cut_off(fleet, &away));
+    let took = members.run_until(60, move |fleet| cut_off(fleet, &away));
     figures.add("zone_cut_known_s", took.map_or(f64::NAN, Span::as_secs_f64));
     let cut_drops = members.fleet.drops.len();
     for number in 0..8 {
@@ -164,7 +164,7 @@
     members.run(10);
     members.clear();
     members.fleet.links.heal();
-    let took = members.until_settled(120);
+    let took = members.run_until_settled(120);
     figures.add("zone_heal_s", took.map_or(f64::NAN, Span::as_secs_f64));
     let span = took.unwrap_or(Span::from_secs(120));
     let used = members.used(&members.entries, span, calls.heads);
@@ -175,7 +175,7 @@
 /// Alive nodes that were dropped at the middle size while a share of messages gets lost.
 pub(crate) fn larger_loss(secs: u64, figures: &mut Figures) -> f64 {
     let mut members = Members::start(Shape::MIDDLE, 5);
-    members.until_settled(120);
+    members.run_until_settled(120);
     members.clear();
     members.fleet.links.loss = 0.05;
     members.run(secs);
@@ -214,7 +214,7 @@
     holds: impl Fn(&Fleet, &HostId) -> bool,
 ) {
     let host = members.host(index);
-    let took = members.until(30, |fleet| holds(fleet, &host));
+    let took = members.run_until(30, |fleet| holds(fleet, &host));
     into.push(took.map_or(30.0, Span::as_secs_f64));
 }
 
--- a/crates/benches/benches/path.rs
+++ b/crates/benches/benches/path.rs
@@ -11,7 +11,7 @@
 use trillium_client::KnownHeaderName;
 
 use snipemast_benches::load::{
-    ask, closed_loops, keep_alive_client, run_apart, LoadError, Outcome, Target,
+    ask, closed_loops, keep_alive_client, run_on_threads, LoadError, Outcome, Target,
 };
 use snipemast_benches::report::{BenchArgs, Figures};
 use snipemast_core::prelude::*;
@@ -178,7 +178,7 @@
                 async move { ask(&keep_alive_client(), &target).await }
             });
             let mut total = 0;
-            for found in run_apart(streams.collect()) {
+            for found in run_on_threads(streams.collect()) {
                 total += found?;
             }
             rates.push(total as f64 / start.elapsed().as_secs_f64());
@@ -223,7 +223,7 @@
             open_one(&target, opened).await
         }
     });
-    let results = run_apart(streams.collect());
+    let results = run_on_threads(streams.collect());
     drop(opened);
     let peak = reading.join().unwrap_or(f64::NAN);
     for result in results {
--- a/crates/benches/benches/requests.rs
+++ b/crates/benches/benches/requests.rs
@@ -128,13 +128,13 @@
 
 /// Every disturbance, on the system and on a plain proxy with blind retry.
 async fn faults(time: Duration, figures: &mut Figures) {
-    let ours = Arc::new(Side::ours().await);
+    let ours = Arc::new(Side::system().await);
     let plain = Arc::new(Side::plain().await);
     let (mut all_ours, mut all_plain) = (Tally::default(), Tally::default());
     for disturbance in ALL {
         let (one, other) = futures_lite::future::zip(
-            ours.endure(disturbance, time),
-            plain.endure(disturbance, time),
+            ours.run_disturbed(disturbance, time),
+            plain.run_disturbed(disturbance, time),
         )
         .await;
         let name = format!("{disturbance:?}").to_lowercase();
--- a/crates/benches/benches/routing.rs
+++ b/crates/benches/benches/routing.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use snipemast_benches::plots::{draw, Line, Scale};
-use snipemast_benches::policies::{facts, name, wanted, Baseline, Options, Ours, Rule};
+use snipemast_benches::policies::{facts, name, wanted, Baseline, Options, RouterPolicy, Rule};
 use snipemast_benches::queue::{run, Fault, Micros, Outcome, Setup};
 use snipemast_benches::report::{BenchArgs, Figures};
 use snipemast_benches::splits;
@@ -51,7 +51,7 @@
         lag: SECOND / 2,
         pace: SECOND / 10,
         deadline: 10 * SECOND,
-        again: 0,
+        retries: 0,
         workspaces: zipf(10),
         prefixes: 400,
         faults: Vec::new(),
@@ -94,7 +94,7 @@
 
 fn ours(setup: &Setup, options: &Options) -> Outcome {
     let count = setup.workspaces.len();
-    let entry = |n| Ours::new(n, setup.servers, setup.slots, count, options.clone());
+    let entry = |n| RouterPolicy::new(n, setup.servers, setup.slots, count, options.clone());
     run(setup, (0..setup.entries).map(entry).collect())
 }
 
@@ -118,7 +118,7 @@
         rates: vec![(0, rate)],
         deadline: 10_000 * SECOND,
         faults: Vec::new(),
-        again: 0,
+        retries: 0,
         ..setup.clone()
     };
     // With prefixes followed into full servers: the most that caches can give.
@@ -350,7 +350,7 @@
     let mut means = Vec::new();
     for seed in 1..=seeds {
         let setup = Setup {
-            again: 3,
+            retries: 3,
             seed,
             ..at_load(small, full, 2.0)
         };
@@ -431,7 +431,7 @@
     workspaces.push(2.0);
     let flooded = Setup {
         workspaces,
-        again: 3,
+        retries: 3,
         ..at_load(small, full, 2.5)
     };
     let others = |o: &Outcome| quantile(&o.wholes[..10].concat(), 0.99);
@@ -452,7 +452,7 @@
     let rates = vec![(0, usual), (20 * SECOND, 3.0 * usual), (30 * SECOND, usual)];
     Setup {
         rates,
-        again: 5,
+        retries: 5,
         deadline: 4 * SECOND,
         length: 100 * SECOND,
         ..small.clone()
--- a/crates/benches/src/capacity.rs
+++ b/crates/benches/src/capacity.rs
@@ -1,8 +1,8 @@
-//! What each role costs at the size of two years, from the benches' figures.
+//! What each role costs at the fleet size planned for two years from now, from the benches' figures.
 //!
-//! The figures are the lines that the benches printed, kept in `docs/figures/`. The page
-//! `docs/CAPACITY.md` holds the table that [`table`] makes of them; a test holds the two
-//! together, so that the page can't go stale unnoticed.
+//! The figures are the JSON lines that the benches print, kept in `docs/figures/`. The page
+//! `docs/CAPACITY.md` holds the table that [`table`] makes of them; a test compares the two, so
+//! that the page can't go stale unnoticed.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,7 +10,7 @@
 
 use crate::report::Figures;
 
-/// The benches whose figures the table is made of.
+/// The benches whose figures the table uses.
 pub const BENCHES: [&str; 6] = [
     "path",
     "requests",
@@ -20,7 +20,7 @@
     "membership",
 ];
 
-/// The size that is planned for.
+/// The fleet size that the table is made for.
 pub mod size {
     /// Entry hosts.
     pub const ENTRIES: f64 = 350.0;
@@ -38,12 +38,12 @@
     pub const PATCHES: f64 = 430.0;
     /// Seconds of a day.
     pub const DAY: f64 = 86_400.0;
-    /// Seconds for which an agent remembers a dispatch: the default deadline twice over.
+    /// Seconds for which an agent remembers a dispatch: twice the default deadline.
     pub const REMEMBERED: f64 = 240.0;
-    /// The share of requests that is assumed to be keyed and non-idempotent.
+    /// Assumed share of requests that carry an idempotency key and are not idempotent.
     pub const KEYED: f64 = 0.1;
 
-    /// Streams that are open at once over the whole fleet.
+    /// Returns the number of streams open at once over the whole fleet.
     pub fn streams() -> f64 {
         REQUESTS * (FIRST_TOKEN + TOKENS / REQUESTS * NEXT_TOKEN)
     }
@@ -56,7 +56,7 @@
     Entry,
     /// An agent.
     Agent,
-    /// A control host, beyond what it does as an entry host.
+    /// A control host, without what it does as an entry host.
     Control,
 }
 
@@ -70,22 +70,22 @@
     }
 }
 
-/// One line of the table: what one matter costs one process of a role.
+/// One row of the table: what one subject costs one process of a role.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Row {
     /// The role.
     pub role: Role,
-    /// What is carried.
+    /// The subject, such as requests or membership.
     pub matter: &'static str,
     /// Memory in MB.
     pub state: Option<f64>,
-    /// Bytes a second over the network, for control only.
+    /// Control traffic over the network, in bytes a second.
     pub bytes: Option<f64>,
-    /// The share of one core.
+    /// CPU time as a share of one core.
     pub cpu: Option<f64>,
-    /// What carries it.
+    /// The mechanism that does the work.
     pub mechanism: &'static str,
-    /// The figures it is worked out from.
+    /// The benches' figures from which the row is calculated.
     pub source: &'static str,
 }
 
@@ -96,7 +96,7 @@
 }
 
 impl Measured {
-    /// Reads `NAME.json` of each bench out of a folder; a missing one leaves its rows open.
+    /// Reads `NAME.json` of each bench from a folder; values that need a missing file stay empty.
     pub fn read(folder: &Path) -> Self {
         let read = |name: &&str| {
             let text = std::fs::read_to_string(folder.join(format!("{name}.json"))).ok()?;
@@ -107,13 +107,13 @@
         }
     }
 
-    /// A figure of a bench.
+    /// Returns a figure of a bench.
     pub fn get(&self, bench: &str, key: &str) -> Option<f64> {
         self.benches.get(bench)?.get(key)
     }
 }
 
-/// Every row, by role.
+/// Returns all rows, ordered by role.
 pub fn rows(measured: &Measured) -> Vec<Row> {
     let mut rows = entry_rows(measured);
     rows.extend(agent_rows(measured));
@@ -237,7 +237,7 @@
         Row {
             cpu: m
                 .get("rebalance", "decision_58_ms")
-                .map(|ms| ms / 1e3 / DECISION_PAUSE),
+                .map(|ms| ms / 1e3 / DECISION_INTERVAL),
             ..row(
                 Role::Agent,
                 "expert maps (lead)",
@@ -249,7 +249,7 @@
 }
 
 /// Seconds between two decisions about a group's expert map.
-const DECISION_PAUSE: f64 = 10.0;
+const DECISION_INTERVAL: f64 = 10.0;
 
 fn control_rows(m: &Measured) -> Vec<Row> {
     let patches = size::PATCHES / size::DAY;
@@ -304,22 +304,22 @@
     }
 }
 
-/// Core seconds of one request, over caller, entry, agent and fake together: an upper bound.
+/// Returns an upper bound of the core seconds of one request: caller, entry, agent and fake together.
 fn request_cpu(m: &Measured) -> Option<f64> {
     Some(m.get("path", "cores")? / m.get("path", "whole_per_second")?)
 }
 
-/// Core seconds of one streamed token, over all four together: an upper bound.
+/// Returns an upper bound of the core seconds of one streamed token: all four processes together.
 fn token_cpu(m: &Measured) -> Option<f64> {
     Some(m.get("path", "cores")? / m.get("path", "tokens_per_second")?)
 }
 
-/// Memory of one open stream, over all four together: an upper bound.
+/// Returns an upper bound of the memory of one open stream in MB: all four processes together.
 fn stream_mb(m: &Measured) -> Option<f64> {
     Some((m.get("path", "rss_mb_1000_streams")? - m.get("path", "rss_mb_before")?) / 1e3)
 }
 
-/// The table as it stands in the page.
+/// Returns the table as the capacity page contains it.
 pub fn table(measured: &Measured) -> String {
     let mut text = String::from(
         "| Role | Matter | State, MB | Control, bytes/s | CPU, % of a core | Mechanism | Source |\n\
--- a/crates/benches/src/config_costs.rs
+++ b/crates/benches/src/config_costs.rs
@@ -1,4 +1,4 @@
-//! What the configuration costs: to apply a patch, to catch up, and to keep up.
+//! What the configuration costs: applying patches, catch-up after a restart, and traffic.
 
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -21,20 +21,20 @@
 
 use crate::report::Figures;
 
-/// Workspaces of the fleet in two years.
+/// Number of workspaces in the fleet planned for two years from now.
 const WORKSPACES: usize = 2_000;
-/// Models of the fleet in two years.
+/// Number of models in the fleet planned for two years from now.
 const MODELS: usize = 25;
-/// Changes of the configuration a day.
-const CHANGES: f64 = 430.0;
+/// Patches of the configuration a day.
+const PATCHES_PER_DAY: f64 = 430.0;
 /// Seconds of a day.
 const DAY: f64 = 86_400.0;
-/// Agents for each entry host, 600 for 350.
-const AGENTS: f64 = 600.0 / 350.0;
-/// Entries behind each relay: 8 zones with 3 relays each.
-const BEHIND: f64 = 350.0 / 24.0;
+/// Agents for each entry host: 600 agents for 350 hosts.
+const AGENTS_PER_ENTRY: f64 = 600.0 / 350.0;
+/// Entries behind each relay: 350 entries in 8 zones with 3 relays each.
+const ENTRIES_PER_RELAY: f64 = 350.0 / 24.0;
 
-/// Measures all of it.
+/// Measures all costs of the configuration.
 pub fn measure(figures: &mut Figures, quick: bool) {
     measure_apply(figures, if quick { 50 } else { 500 });
     smol::block_on(async {
@@ -43,8 +43,9 @@
     });
 }
 
-/// The patch that makes the configuration of two years, and one that changes every workspace.
-fn whole(weight: usize) -> Value {
+/// Returns a patch of all workspaces, models and services of the planned fleet, which creates
+/// them or sets another weight for every workspace.
+fn full_patch(weight: usize) -> Value {
     let workspaces: Map<String, Value> = (0..WORKSPACES)
         .map(|n| {
             let keys = [
@@ -68,8 +69,8 @@
     json!({ "workspaces": workspaces, "models": models, "services": services })
 }
 
-/// A patch of one workspace.
-fn single(n: usize) -> Value {
+/// Returns a patch of one workspace.
+fn workspace_patch(n: usize) -> Value {
     let name = format!("workspace-{}", n % WORKSPACES);
     json!({ "workspaces": { name: { "weight": n + 2 } } })
 }
@@ -92,16 +93,20 @@
         let took = start.elapsed().as_secs_f64() * 1e3;
         assert!(matches!(verdict, Verdict::Accepted { .. }), "{verdict:?}");
         let config = Arc::clone(machine.config());
-        // Requests look keys up in each version, as in a process that serves.
+        // Looks a key up in each version, as requests do in a process that serves.
         black_box(config.workspace_of(&KeyHash::from_key("a0")));
         (took, config)
     };
-    submit(0, whole(1));
-    let single_ms = median((1..=rounds).map(|n| submit(n, single(n)).0).collect());
-    let all = |n: usize| submit(rounds + n, whole(n + 1)).0;
+    submit(0, full_patch(1));
+    let single_ms = median(
+        (1..=rounds)
+            .map(|n| submit(n, workspace_patch(n)).0)
+            .collect(),
+    );
+    let all = |n: usize| submit(rounds + n, full_patch(n + 1)).0;
     let all_ms = median((1..=11).map(all).collect());
-    let (_, config) = submit(rounds + 12, single(0));
-    let baseline = (0..11).map(|n| apply_whole(&config, &single(n)));
+    let (_, config) = submit(rounds + 12, workspace_patch(0));
+    let baseline = (0..11).map(|n| apply_whole(&config, &workspace_patch(n)));
     let baseline_ms = median(baseline.collect());
     figures.add("apply_ms", single_ms);
     figures.add("apply_all_workspaces_ms", all_ms);
@@ -110,12 +115,14 @@
     measure_lookup(figures, &config);
 }
 
-/// The baseline: the whole document is patched, parsed and checked.
+/// Applies a patch as the baseline does: the whole document is patched, parsed and checked.
+/// Returns the time in milliseconds.
 fn apply_whole(config: &Config, set: &Value) -> f64 {
     let start = Instant::now();
-    let mut document = serde_json::to_value(config).expect("plain data");
+    let mut document = serde_json::to_value(config).expect("a configuration is plain data");
     merge(&mut document, set);
-    let config: Config = serde_json::from_value(document).expect("a configuration");
+    let config: Config =
+        serde_json::from_value(document).expect("the patched document is a configuration");
     assert!(check(&config).is_empty());
     start.elapsed().as_secs_f64() * 1e3
 }
@@ -146,7 +153,7 @@
     entry.expect("an entry starts on port 0")
 }
 
-fn following(host: &str, source: SocketAddr) -> EntrySettings {
+fn follower_settings(host: &str, source: SocketAddr) -> EntrySettings {
     EntrySettings {
         seeds: vec![source],
         control: None,
@@ -158,11 +165,11 @@
     let base = control.shared().config().version;
     match control.shared().submit(&patch(n, base, set)) {
         Some(Verdict::Accepted { version }) => version,
-        other => panic!("not accepted: {other:?}"),
+        other => panic!("the patch was not accepted: {other:?}"),
     }
 }
 
-async fn reach(entry: &Entry, version: Version) {
+async fn wait_version(entry: &Entry, version: Version) {
     while entry.shared().config().version < version {
         smol::Timer::after(Span::from_micros(200).as_duration()).await;
     }
@@ -170,33 +177,33 @@
 
 async fn measure_catch_up(figures: &mut Figures) {
     let control = start(entry_settings("control-0")).await;
-    let version = submit(&control, 0, whole(1));
+    let version = submit(&control, 0, full_patch(1));
     let folder = std::env::temp_dir().join(format!("snipemast-bench-{}", std::process::id()));
-    let mut settings = following("edge-0", control.own());
+    let mut settings = follower_settings("edge-0", control.own());
     settings.data = Some(folder.clone());
     let edge = start(settings.clone()).await;
-    reach(&edge, version).await;
+    wait_version(&edge, version).await;
     wait_copy(&folder).await;
     edge.stop().await;
     let mut version = version;
     let begin = Instant::now();
     for n in 1..=1_000 {
-        version = submit(&control, n, single(n));
+        version = submit(&control, n, workspace_patch(n));
     }
     let each = begin.elapsed().as_secs_f64();
     figures.add("patches_per_s_in_memory", 1_000.0 / each);
     let begin = Instant::now();
     let edge = start(settings).await;
-    reach(&edge, version).await;
+    wait_version(&edge, version).await;
     figures.add("catchup_1000_s", begin.elapsed().as_secs_f64());
     edge.stop().await;
     let begin = Instant::now();
-    let fresh = start(following("fresh-0", control.own())).await;
-    reach(&fresh, version).await;
+    let fresh = start(follower_settings("fresh-0", control.own())).await;
+    wait_version(&fresh, version).await;
     figures.add("catchup_snapshot_s", begin.elapsed().as_secs_f64());
     fresh.stop().await;
     control.stop().await;
-    // A folder that stays behind in the system's temporary folder does no harm.
+    // A folder that can't be removed stays in the system's temporary folder and does no harm.
     let _ = std::fs::remove_dir_all(folder);
 }
 
@@ -208,10 +215,10 @@
 
 async fn measure_traffic(figures: &mut Figures, quick: bool) {
     let control = start(entry_settings("control-0")).await;
-    let version = submit(&control, 0, whole(1));
+    let version = submit(&control, 0, full_patch(1));
     let meter = Meter::start(control.own()).await;
-    let edge = start(following("edge-0", meter.address)).await;
-    reach(&edge, version).await;
+    let edge = start(follower_settings("edge-0", meter.address)).await;
+    wait_version(&edge, version).await;
     let idle = if quick { 10 } else { 30 };
     pause(1_000).await;
     let before = meter.bytes();
@@ -220,19 +227,25 @@
     let patches = 100;
     let before = meter.bytes();
     for n in 1..=patches {
-        let version = submit(&control, n, single(n));
-        reach(&edge, version).await;
+        let version = submit(&control, n, workspace_patch(n));
+        wait_version(&edge, version).await;
     }
     let each = (meter.bytes() - before) as f64 / patches as f64;
-    let link = idle_rate + each * CHANGES / DAY;
+    let link = idle_rate + each * PATCHES_PER_DAY / DAY;
     let snapshot = Snapshot::new(&control.shared().config());
-    // The baseline asks as often and gets the whole document each time.
+    // The baseline polls as often and receives the whole document each time.
     let baseline = idle_rate + snapshot.bytes().len() as f64 / 5.0;
     figures.add("bytes_per_link_s", link);
     figures.add("bytes_per_patch", each);
-    figures.add("bytes_per_node_s", link * (1.0 + AGENTS));
-    figures.add("bytes_per_relay_s", link * (1.0 + AGENTS + BEHIND));
-    figures.add("baseline_bytes_per_node_s", baseline * (1.0 + AGENTS));
+    figures.add("bytes_per_node_s", link * (1.0 + AGENTS_PER_ENTRY));
+    figures.add(
+        "bytes_per_relay_s",
+        link * (1.0 + AGENTS_PER_ENTRY + ENTRIES_PER_RELAY),
+    );
+    figures.add(
+        "baseline_bytes_per_node_s",
+        baseline * (1.0 + AGENTS_PER_ENTRY),
+    );
     figures.add("snapshot_bytes", snapshot.bytes().len() as f64);
     edge.stop().await;
     control.stop().await;
@@ -243,7 +256,7 @@
     figures[figures.len() / 2]
 }
 
-/// Passes connections on and counts their bytes.
+/// A relay that forwards connections and counts their bytes.
 struct Meter {
     address: SocketAddr,
     bytes: Arc<AtomicU64>,
@@ -252,7 +265,7 @@
 
 impl Meter {
     async fn start(to: SocketAddr) -> Self {
-        let listener = TcpListener::bind(loopback()).await.expect("port 0");
+        let listener = TcpListener::bind(loopback()).await.expect("port 0 binds");
         let address = listener.local_addr().expect("a bound address");
         let bytes = Arc::new(AtomicU64::new(0));
         let count = Arc::clone(&bytes);
@@ -262,8 +275,8 @@
                     continue;
                 };
                 let (up, down) = (Arc::clone(&count), Arc::clone(&count));
-                smol::spawn(pass(caller.clone(), server.clone(), up)).detach();
-                smol::spawn(pass(server, caller, down)).detach();
+                smol::spawn(forward_bytes(caller.clone(), server.clone(), up)).detach();
+                smol::spawn(forward_bytes(server, caller, down)).detach();
             }
         });
         Self {
@@ -278,7 +291,7 @@
     }
 }
 
-async fn pass(mut from: TcpStream, mut to: TcpStream, count: Arc<AtomicU64>) {
+async fn forward_bytes(mut from: TcpStream, mut to: TcpStream, count: Arc<AtomicU64>) {
     use futures_lite::{AsyncReadExt, AsyncWriteExt};
     let mut buffer = vec![0; 64 << 10];
     while let Ok(read) = from.read(&mut buffer).await {
@@ -287,6 +300,6 @@
             break;
         }
     }
-    // The other side may be closed already.
+    // The connection may be closed already.
     let _ = to.shutdown(std::net::Shutdown::Both);
 }
--- a/crates/benches/src/faults.rs
+++ b/crates/benches/src/faults.rs
@@ -1,7 +1,7 @@
-//! Orders and streams while wires misbehave: through the system, and through a plain proxy.
+//! Orders and streams over faulty connections, through the system and through a plain proxy.
 //!
-//! The baseline is what many callers have today: each request goes to a backend server over a
-//! plain connection, and whatever fails is sent again, blindly, up to three times.
+//! The baseline is a proxy as many callers have it: each request goes to a backend server over a
+//! plain connection and is sent up to three times, without regard to whether it ran before.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -19,31 +19,31 @@
 use snipemast_tests::{id, info, loopback};
 use snipemast_wire::{listen, spawn, Listening};
 
-/// The tokens of one stream.
+/// Number of tokens of one stream.
 const TOKENS: u32 = 12;
-/// How often a blind proxy sends a request.
-const TRIES: usize = 3;
-/// How long a blind proxy waits for the next byte: as long as the system does.
-const SILENCE: Duration = Duration::from_secs(2);
-/// The callers of each kind at once.
+/// How often the plain proxy sends a request at most.
+const MAX_SENDS: usize = 3;
+/// How long the plain proxy waits for an answer or its next bytes, the same as the system.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
+/// Number of concurrent callers for orders, and for streams.
 const CALLERS: usize = 6;
-/// How often the wires are disturbed.
+/// Interval between disturbances.
 const PERIOD: Duration = Duration::from_millis(900);
 
-/// What is done to the wires.
+/// A fault of connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disturbance {
-    /// Open connections go silent for good.
+    /// Open connections pass nothing on any more, but stay open.
     Silence,
     /// Open connections break.
     Reset,
-    /// Everything sent is sent twice.
+    /// All bytes are sent twice.
     Double,
-    /// Every piece is late.
+    /// All bytes are delayed.
     Delay,
 }
 
-/// Every disturbance.
+/// All disturbances.
 pub const ALL: [Disturbance; 4] = [
     Disturbance::Silence,
     Disturbance::Reset,
@@ -51,18 +51,18 @@
     Disturbance::Delay,
 ];
 
-/// What became of the requests.
+/// Counts of requests by their outcome.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Tally {
-    /// Orders that were sent.
+    /// Orders sent.
     pub orders: u64,
     /// Orders that ran more than once.
     pub doubled: u64,
-    /// Orders whose caller got neither an answer nor the word that they did not run.
+    /// Orders whose caller got neither an answer nor a refusal that says the order did not run.
     pub lost: u64,
-    /// Streams that were asked for.
+    /// Streams requested.
     pub streams: u64,
-    /// Streams that ended before their end.
+    /// Streams that ended early.
     pub cut: u64,
 }
 
@@ -76,22 +76,22 @@
         self.cut += other.cut;
     }
 
-    /// The share of streams that were answered in whole.
+    /// Returns the share of complete streams.
     pub fn whole_share(&self) -> f64 {
         1.0 - self.cut as f64 / self.streams.max(1) as f64
     }
 }
 
-/// The system, or the plain proxy, before two engines and two services behind wires.
+/// The system or the plain proxy, connected to two engines and two services by fake wires.
 #[derive(Debug)]
 pub enum Side {
     /// The system.
-    Ours(Box<Wired>),
+    System(Box<Wired>),
     /// The plain proxy.
     Plain(Box<Plain>),
 }
 
-/// Engines and services behind wires, without the system.
+/// Engines and services behind fake wires, without the system.
 #[derive(Debug)]
 pub struct Plain {
     engines: Vec<FakeWire>,
@@ -101,17 +101,17 @@
 }
 
 impl Side {
-    /// The system over loopback.
-    pub async fn ours() -> Self {
+    /// Starts the system over loopback.
+    pub async fn system() -> Self {
         let mut wired = Wired::start().await;
         for n in 0..2 {
             wired.add_engine(&format!("engine-{n}")).await;
             wired.add_service(&format!("desk-{n}")).await;
         }
-        Self::Ours(Box::new(wired))
+        Self::System(Box::new(wired))
     }
 
-    /// The plain proxy over loopback.
+    /// Starts the plain proxy over loopback.
     pub async fn plain() -> Self {
         let service = Offer::Service {
             service: id("mesa"),
@@ -130,18 +130,26 @@
             _fakes: Vec::new(),
         };
         for _ in 0..2 {
-            let fake = listen(loopback(), engine.clone()).await.expect("port 0");
-            plain.engines.push(wire_to(fake.address()).await);
+            let fake = listen(loopback(), engine.clone())
+                .await
+                .expect("port 0 binds");
+            plain.engines.push(start_wire(fake.address()).await);
             plain._fakes.push(fake);
-            let fake = listen(loopback(), service.clone()).await.expect("port 0");
-            plain.services.push(wire_to(fake.address()).await);
+            let fake = listen(loopback(), service.clone())
+                .await
+                .expect("port 0 binds");
+            plain.services.push(start_wire(fake.address()).await);
             plain._fakes.push(fake);
         }
         Self::Plain(Box::new(plain))
     }
 
-    /// Sends orders and streams while the wires are disturbed.
-    pub async fn endure(self: &Arc<Self>, disturbance: Disturbance, time: Duration) -> Tally {
+    /// Sends orders and streams while the connections are disturbed, and returns their outcomes.
+    pub async fn run_disturbed(
+        self: &Arc<Self>,
+        disturbance: Disturbance,
+        time: Duration,
+    ) -> Tally {
         let end = Instant::now() + time;
         let callers: Vec<_> = (0..CALLERS * 2)
             .map(|number| {
@@ -175,7 +183,7 @@
 
     fn wires(&self) -> Box<dyn Iterator<Item = &FakeWire> + '_> {
         match self {
-            Self::Ours(wired) => Box::new(wired.agents.iter().map(|a| &a.wire)),
+            Self::System(wired) => Box::new(wired.agents.iter().map(|a| &a.wire)),
             Self::Plain(plain) => Box::new(plain.engines.iter().chain(&plain.services)),
         }
     }
@@ -192,30 +200,30 @@
     }
 
     async fn order(&self, body: &str) -> Tally {
-        let (answered, denied) = match self {
-            Self::Ours(wired) => answered(wired.order(body)).await,
-            Self::Plain(plain) => (blind(&plain.services, "/orders", body).await, false),
+        let (answered, refused) = match self {
+            Self::System(wired) => answered(wired.order(body)).await,
+            Self::Plain(plain) => (send_blindly(&plain.services, "/orders", body).await, false),
         };
         let runs = match self {
-            Self::Ours(wired) => wired.runs_of(body),
+            Self::System(wired) => wired.runs_of(body),
             Self::Plain(plain) => plain.service.runs_of(body),
         };
         Tally {
             orders: 1,
             doubled: u64::from(runs > 1),
-            lost: u64::from(!answered && !denied),
+            lost: u64::from(!answered && !refused),
             ..Tally::default()
         }
     }
 
     async fn stream(&self) -> Tally {
         let whole = match self {
-            Self::Ours(wired) => read(wired.stream(TOKENS))
+            Self::System(wired) => read_answer(wired.stream(TOKENS))
                 .await
                 .is_some_and(|b| is_whole(&b)),
             Self::Plain(plain) => {
                 let body = json!({ "model": "lector-1", "max_tokens": TOKENS, "stream": true });
-                stream(&plain.engines, &body.to_string()).await
+                stream_blindly(&plain.engines, &body.to_string()).await
             }
         };
         Tally {
@@ -226,12 +234,12 @@
     }
 }
 
-/// Milliseconds from the moment that a stream's connection goes silent to its next byte.
+/// Returns the milliseconds from the moment that a stream's connection goes silent to its next byte.
 pub async fn silent_resumes(wired: &Wired, streams: usize) -> Vec<f64> {
     let mut open = Vec::new();
     for _ in 0..streams {
         let mut conn = wired.stream(400).await.expect("the entry answers");
-        next(&mut conn).await;
+        read_some(&mut conn).await;
         open.push(conn);
     }
     smol::Timer::after(Duration::from_millis(300)).await;
@@ -239,15 +247,15 @@
     let silenced = Instant::now();
     let waits = open.into_iter().map(|mut conn| {
         spawn(async move {
-            // What was under way before the silence is read first.
+            // Bytes sent before the silence are read first.
             let mut last = Instant::now();
-            while next(&mut conn).await > 0 {
+            while read_some(&mut conn).await > 0 {
                 if last.elapsed() > Duration::from_millis(500) {
                     return Some(silenced.elapsed().as_secs_f64() * 1e3);
                 }
                 last = Instant::now();
             }
-            // It ended before it felt the silence, or was cut: there is no resume to time.
+            // The stream ended before the silence reached it, or was cut, so there is no resume to time.
             None
         })
     });
@@ -259,31 +267,31 @@
     times
 }
 
-async fn next(conn: &mut Conn) -> usize {
+async fn read_some(conn: &mut Conn) -> usize {
     let mut buffer = [0; 4_096];
     let read = conn.response_body().read(&mut buffer).await;
     read.unwrap_or(0)
 }
 
-async fn wire_to(address: SocketAddr) -> FakeWire {
-    let wire = FakeWire::start().await.expect("port 0");
+async fn start_wire(address: SocketAddr) -> FakeWire {
+    let wire = FakeWire::start().await.expect("port 0 binds");
     wire.aim(address);
     wire
 }
 
-/// Whether an order was answered, and whether it was refused as not run.
+/// Returns whether an order was answered, and whether it was refused as not run.
 async fn answered(conn: Conn) -> (bool, bool) {
     let Ok(mut conn) = conn.await else {
         return (false, false);
     };
     let status = conn.status().map_or(0, |s| s as u16);
     let outcome = conn.response_headers().get_str("snipemast-outcome");
-    let denied = outcome == Some("not-run");
+    let refused = outcome == Some("not-run");
     let whole = conn.response_body().read_bytes().await.is_ok();
-    (whole && status == 200, denied)
+    (whole && status == 200, refused)
 }
 
-async fn read(conn: Conn) -> Option<String> {
+async fn read_answer(conn: Conn) -> Option<String> {
     let mut conn = conn.await.ok()?;
     conn.response_body().read_string().await.ok()
 }
@@ -296,9 +304,9 @@
     Client::new(ClientConfig::default().with_nodelay(true))
 }
 
-/// Sends a request to one server after the other until one answers.
-async fn blind(wires: &[FakeWire], path: &str, body: &str) -> bool {
-    for n in 0..TRIES {
+/// Sends a request to one server after another until one answers.
+async fn send_blindly(wires: &[FakeWire], path: &str, body: &str) -> bool {
+    for n in 0..MAX_SENDS {
         let address = wires[n % wires.len()].address();
         let url = format!("http://{address}{path}");
         let conn = plain_client()
@@ -308,29 +316,30 @@
             let mut conn = conn.await.ok()?;
             conn.response_body().read_bytes().await.ok()
         };
-        if within(exchange).await.is_some() {
+        if with_timeout(exchange).await.is_some() {
             return true;
         }
     }
     false
 }
 
-/// Streams from one server after the other until one begins; what is cut then stays cut.
-async fn stream(wires: &[FakeWire], body: &str) -> bool {
-    for n in 0..TRIES {
+/// Requests a stream from one server after another until one begins, and returns whether it was
+/// complete. A stream that is cut after its begin is not retried.
+async fn stream_blindly(wires: &[FakeWire], body: &str) -> bool {
+    for n in 0..MAX_SENDS {
         let address = wires[n % wires.len()].address();
         let url = format!("http://{address}/v1/completions");
         let conn = plain_client()
             .post(url.as_str())
             .with_body(body.to_string());
-        let Some(mut conn) = within(async { conn.await.ok() }).await else {
+        let Some(mut conn) = with_timeout(async { conn.await.ok() }).await else {
             continue;
         };
         let mut text = Vec::new();
         let mut buffer = [0; 4_096];
         loop {
             let piece = async { conn.response_body().read(&mut buffer).await.ok() };
-            match within(piece).await {
+            match with_timeout(piece).await {
                 Some(0) => return is_whole(&String::from_utf8_lossy(&text)),
                 Some(length) => text.extend_from_slice(&buffer[..length]),
                 None if text.is_empty() => break,
@@ -341,9 +350,9 @@
     false
 }
 
-async fn within<T>(work: impl Future<Output = Option<T>>) -> Option<T> {
+async fn with_timeout<T>(work: impl Future<Output = Option<T>>) -> Option<T> {
     let late = async {
-        smol::Timer::after(SILENCE).await;
+        smol::Timer::after(READ_TIMEOUT).await;
         None
     };
     work.or(late).await
--- a/crates/benches/src/load.rs
+++ b/crates/benches/src/load.rs
@@ -1,7 +1,7 @@
-//! A load generator: closed loops over keep-alive connections, on threads of their own.
+//! A load generator: closed loops over keep-alive connections, on separate threads.
 //!
-//! It runs apart from the executor of the servers under test, so that the client's work and
-//! theirs are not queued behind each other.
+//! It does not share the executor of the servers under test, so that the work of clients and
+//! servers does not queue behind each other.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,25 +13,25 @@
 
 use snipemast_wire::connect::client;
 
-/// The threads that the clients share.
+/// Number of threads that the clients share.
 const THREADS: usize = 3;
-/// The longest latency that a histogram tells apart, in microseconds.
+/// The longest latency that a histogram can record, in microseconds.
 const MAX_MICROS: u64 = 60_000_000;
 
-/// The bytes of a short answer that an error shows.
-const SHOWN: usize = 300;
+/// Last bytes of an incomplete answer that an error shows.
+const SHOWN_BYTES: usize = 300;
 
 /// The result of a request.
 pub type Result<T> = std::result::Result<T, LoadError>;
 
-/// A request that was not answered as it should be.
+/// Why a request failed or its answer is incomplete.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LoadError {
     /// The connection broke.
     Broken(String),
-    /// The status is not 200.
+    /// The status, which is not 200.
     Status(u16),
-    /// The answer is short of what was asked for.
+    /// The answer is incomplete; holds its end.
     Short(String),
 }
 
@@ -40,7 +40,7 @@
         match self {
             Self::Broken(why) => write!(f, "the connection broke: {why}"),
             Self::Status(status) => write!(f, "status {status}"),
-            Self::Short(end) => write!(f, "the answer is short and ends in {end:?}"),
+            Self::Short(end) => write!(f, "the answer is incomplete and ends in {end:?}"),
         }
     }
 }
@@ -48,27 +48,27 @@
 impl std::error::Error for LoadError {}
 
 impl LoadError {
-    /// An answer that is not what was asked for, with its last bytes.
+    /// Creates the error for an incomplete answer, with its last bytes.
     pub fn short(body: &[u8]) -> Self {
-        let end = body.len().saturating_sub(SHOWN);
+        let end = body.len().saturating_sub(SHOWN_BYTES);
         Self::Short(String::from_utf8_lossy(&body[end..]).into_owned())
     }
 }
 
-/// What every connection asks, again and again.
+/// The request that every connection repeats.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// Where to connect.
+    /// The server's address.
     pub address: SocketAddr,
     /// The bearer key.
     pub key: String,
     /// The JSON body of the completion.
     pub body: String,
-    /// The text that an answer must hold this many times.
+    /// A text, and how often an answer must contain it at least.
     pub counted: (&'static str, usize),
 }
 
-/// What a run measured.
+/// The measurements of a run.
 #[derive(Debug)]
 pub struct Outcome {
     /// Latencies in microseconds.
@@ -78,22 +78,22 @@
 }
 
 impl Outcome {
-    /// Answers a second.
+    /// Returns the number of answers a second.
     pub fn rate(&self) -> f64 {
         self.latency.len() as f64 / self.elapsed.as_secs_f64()
     }
 
-    /// A quantile of the latencies, in milliseconds.
+    /// Returns a quantile of the latencies, in milliseconds.
     pub fn millis(&self, quantile: f64) -> f64 {
         self.latency.value_at_quantile(quantile) as f64 / 1e3
     }
 }
 
-/// Runs closed loops over this many connections for about this long.
+/// Runs closed loops over a number of connections for about the given time.
 pub fn closed_loops(target: &Target, connections: usize, time: Duration) -> Result<Outcome> {
     let start = Instant::now();
     let loops = (0..connections).map(|_| one_loop(target.clone(), start + time));
-    let results = run_apart(loops.collect());
+    let results = run_on_threads(loops.collect());
     let elapsed = start.elapsed();
     let mut latency = Histogram::new_with_max(MAX_MICROS, 3).expect("the bounds are valid");
     for result in results {
@@ -104,15 +104,15 @@
     Ok(Outcome { latency, elapsed })
 }
 
-/// Runs the futures on threads of their own and returns what they brought.
-pub fn run_apart<T: Send + 'static>(
+/// Runs the futures on separate threads and returns their results in order.
+pub fn run_on_threads<T: Send + 'static>(
     work: Vec<impl std::future::Future<Output = T> + Send + 'static>,
 ) -> Vec<T> {
     let executor = Executor::new();
     let (stop, stopped) = channel::bounded::<()>(1);
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
-            // The channel closes once the work is done; nothing is ever sent.
+            // Nothing is sent: the channel closes when the work is done, which ends the thread.
             scope.spawn(|| smol::block_on(executor.run(stopped.recv())));
         }
         let tasks: Vec<_> = work.into_iter().map(|w| executor.spawn(w)).collect();
@@ -139,12 +139,12 @@
     Ok(latencies)
 }
 
-/// A client that keeps its connections.
+/// Creates a client that keeps its connections alive.
 pub fn keep_alive_client() -> Client {
     client()
 }
 
-/// Sends one request and checks that its answer is whole.
+/// Sends one request, checks that its answer is complete, and returns how often it contains the text.
 pub async fn ask(client: &Client, target: &Target) -> Result<usize> {
     let url = format!("http://{}/v1/completions", target.address);
     let conn = client
--- a/crates/benches/src/members.rs
+++ b/crates/benches/src/members.rs
@@ -1,4 +1,4 @@
-//! Fleets of membership's state machines, of three sizes, over a virtual wire.
+//! Simulated fleets of membership state machines, in three sizes, over a virtual network.
 
 use std::net::SocketAddr;
 
@@ -6,23 +6,23 @@
 use snipemast_fakes::fleet::{Index, Meter};
 use snipemast_fakes::{Fleet, Place};
 
-/// How many hosts there are, and where.
+/// The number of hosts of a fleet and how they are spread.
 #[derive(Debug, Clone, Copy)]
 pub struct Shape {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Agents.
+    /// Number of agents.
     pub agents: usize,
-    /// Zones of each region.
+    /// Number of availability zones in each region.
     pub zones: usize,
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
-    /// Models that the agents offer between them.
+    /// Number of different models that the agents offer.
     pub models: usize,
 }
 
 impl Shape {
-    /// Today.
+    /// The present fleet.
     pub const TODAY: Self = Self {
         entries: 9,
         agents: 19,
@@ -30,7 +30,7 @@
         regions: 1,
         models: 2,
     };
-    /// On the way.
+    /// A fleet between the present one and the planned one.
     pub const MIDDLE: Self = Self {
         entries: 100,
         agents: 170,
@@ -38,7 +38,7 @@
         regions: 2,
         models: 8,
     };
-    /// In two years.
+    /// The fleet planned for two years from now.
     pub const LATER: Self = Self {
         entries: 350,
         agents: 600,
@@ -47,47 +47,47 @@
         models: 25,
     };
 
-    /// Entries and agents.
+    /// Returns the number of entries and agents.
     pub fn hosts(&self) -> usize {
         self.entries + self.agents
     }
 }
 
-/// A fleet of a shape.
+/// A running fleet.
 #[derive(Debug)]
 pub struct Members {
-    /// The shape.
+    /// The size of the fleet.
     pub shape: Shape,
-    /// The processes and the wire.
+    /// The processes and the virtual network.
     pub fleet: Fleet,
-    /// The entries.
+    /// Indexes of the entries.
     pub entries: Vec<Index>,
-    /// The agents.
+    /// Indexes of the agents.
     pub agents: Vec<Index>,
 }
 
-/// What all processes of one role have used since the meters were cleared.
+/// What processes of one role used since the meters were last cleared.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Used {
     /// Bytes a second and process, sent and received, with the heads of HTTP and TCP.
     pub bytes: f64,
-    /// Bytes a second of the process that used most.
+    /// Bytes a second of the process with the most traffic.
     pub most: f64,
     /// Messages a second and process, sent and received.
     pub messages: f64,
     /// Exchanges and calls a second and process, begun and answered.
     pub calls: f64,
-    /// The share of a core of the state machine and the codec.
+    /// CPU time of the state machine and the codec, as a share of one core.
     pub work: f64,
 }
 
 impl Members {
-    /// Starts a fleet and lets all its processes meet.
+    /// Starts a fleet and runs it until its processes know each other.
     pub fn start(shape: Shape, seed: u64) -> Self {
         Self::start_with(shape, seed, 2)
     }
 
-    /// Starts a fleet whose agents hold this many leases each.
+    /// Starts a fleet whose agents hold `copies` leases each.
     pub fn start_with(shape: Shape, seed: u64, copies: usize) -> Self {
         let mut members = Self {
             shape,
@@ -110,7 +110,7 @@
         members
     }
 
-    /// Whether every entry knows every agent that runs, and no other.
+    /// Whether every entry knows exactly the running entries and agents.
     fn is_settled(fleet: &Fleet) -> bool {
         let living = fleet.agents().count();
         let entries = fleet.entries().count();
@@ -130,7 +130,7 @@
         index
     }
 
-    /// Starts an agent or entry anew under its name.
+    /// Restarts an agent or entry under its name.
     pub fn restart(&mut self, index: Index, start: u64) {
         let start = Incarnation::new(start);
         if self.entries.contains(&index) {
@@ -144,13 +144,13 @@
         }
     }
 
-    /// Runs for some seconds.
+    /// Runs the fleet for `secs` seconds.
     pub fn run(&mut self, secs: u64) {
         self.fleet.run(Span::from_secs(secs));
     }
 
-    /// Runs until every entry knows every agent that runs, and returns how long it took.
-    pub fn until_settled(&mut self, secs: u64) -> Option<Span> {
+    /// Runs until every entry knows exactly the running processes, and returns how long that took; `None` after `secs` seconds.
+    pub fn run_until_settled(&mut self, secs: u64) -> Option<Span> {
         let begun = self.fleet.now();
         while self.fleet.now().since(begun) < Span::from_secs(secs) {
             if Self::is_settled(&self.fleet) {
@@ -161,8 +161,8 @@
         None
     }
 
-    /// Runs in small steps until it holds, and returns how long it took; at most some seconds.
-    pub fn until(&mut self, secs: u64, holds: impl Fn(&Fleet) -> bool) -> Option<Span> {
+    /// Runs in small steps until `holds` is true, and returns how long that took; `None` after `secs` seconds.
+    pub fn run_until(&mut self, secs: u64, holds: impl Fn(&Fleet) -> bool) -> Option<Span> {
         let begun = self.fleet.now();
         while self.fleet.now().since(begun) < Span::from_secs(secs) {
             if holds(&self.fleet) {
@@ -173,12 +173,12 @@
         None
     }
 
-    /// The host of a process.
+    /// Returns the host of a process.
     pub fn host(&self, index: Index) -> HostId {
         self.fleet.processes[index].place.host.clone()
     }
 
-    /// Forgets what was used so far.
+    /// Clears all meters and records.
     pub fn clear(&mut self) {
         for process in &mut self.fleet.processes {
             process.meter = Meter::default();
@@ -188,7 +188,7 @@
         self.fleet.changed.clear();
     }
 
-    /// What the processes used over a span, where a call's heads take this many bytes.
+    /// Returns what the processes used over a span, if each call's heads take `heads` bytes.
     pub fn used(&self, processes: &[Index], span: Span, heads: f64) -> Used {
         let secs = span.as_secs_f64();
         let mut used = Used::default();
@@ -218,7 +218,7 @@
     fn zone_seeds(&self, zone: &ZoneId) -> Vec<SocketAddr> {
         let processes = self.entries.iter().map(|i| &self.fleet.processes[*i]);
         let near: Vec<_> = processes.filter(|p| p.place.zone == *zone).collect();
-        // The settings of different hosts name different entries.
+        // The settings of different hosts list different entries as seeds.
         let first = self.agents.len() * 7;
         let pick = |n: usize| near[(first + n * 13) % near.len()].address;
         (0..4.min(near.len())).map(pick).collect()
--- a/crates/benches/src/placing.rs
+++ b/crates/benches/src/placing.rs
@@ -1,8 +1,9 @@
-//! Gateways that place requests on a group's ranks, under a virtual clock.
+//! A simulator of gateways that place requests on a group's ranks, under a virtual clock.
 //!
-//! The gateways run the product's own choice. Before them stands a model of an engine's group: ranks with
-//! slots and a queue, and passes that all ranks take together, each as long as the fullest rank's part.
-//! Gateways tell one controller what they have in flight and hear the sum of the others'.
+//! The gateways choose servers with the product's own code. They send to a model of an engine's group:
+//! ranks have slots and a queue, and all ranks run a forward pass together, which lasts as long as the
+//! fullest rank needs. Gateways report their requests in flight to one controller and receive the sum of
+//! the others' counts.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -15,47 +16,47 @@
 use snipemast_placement::servers::{ServerFault, Servers};
 use snipemast_placement::{Pool, Urgency};
 
-/// The way between two hosts.
-const WAY: Span = Span::from_millis(1);
+/// The one-way delay between two hosts.
+const ONE_WAY_DELAY: Span = Span::from_millis(1);
 
-/// How many servers a request is sent to at most.
-const SENDS: usize = 3;
+/// The most servers that one request is sent to.
+const MAX_SENDS: usize = 3;
 
-/// One experiment.
+/// The parameters of one simulation.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// How many gateways there are.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Over how many availability zones gateways and ranks are spread.
+    /// Number of availability zones that gateways and ranks are spread over.
     pub zones: usize,
-    /// How many ranks the group has.
+    /// Number of ranks in the group.
     pub ranks: usize,
-    /// How many requests a rank runs at once.
+    /// Requests that a rank runs at once.
     pub slots: usize,
-    /// How many more wait at a rank before it refuses.
+    /// Requests that wait at a rank before it refuses further ones.
     pub queue: usize,
-    /// Requests a second.
+    /// Requests a second over all gateways.
     pub rate: f64,
-    /// How long a gateway's poll for the others' counts waits.
+    /// How long the controller holds a gateway's poll for the others' counts.
     pub wait: Span,
-    /// How long a pass takes without requests, in ms.
+    /// Duration of a pass without requests, in ms.
     pub base: f64,
-    /// What each request of the fullest rank adds to a pass, in ms.
+    /// Time that each request of the fullest rank adds to a pass, in ms.
     pub each: f64,
-    /// How many ms a prompt takes to be read.
+    /// Time that each prompt adds to the pass that reads it, in ms.
     pub prompt: f64,
-    /// How many pieces an answer has.
+    /// Pieces of an answer; a running request gets one in each pass.
     pub pieces: usize,
-    /// The time within which the first piece is to come.
+    /// Time within which the first piece must arrive.
     pub objective: Span,
-    /// How long it is played.
+    /// Simulated time.
     pub length: Span,
-    /// The seed of everything random.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
 impl Setup {
-    /// 9 gateways before 16 ranks of 12 slots, which run two thirds of what they can.
+    /// Returns 9 gateways and 16 ranks of 12 slots, at two thirds of their capacity.
     pub fn small() -> Self {
         Self {
             gateways: 9,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// 40 gateways before 63 ranks of 10 slots, which run half of what they can.
+    /// Returns 40 gateways and 63 ranks of 10 slots, at half of their capacity.
     pub fn middle() -> Self {
         Self {
             gateways: 40,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// 149 gateways before 192 ranks of 6 slots, in five availability zones.
+    /// Returns 149 gateways and 192 ranks of 6 slots, in five availability zones.
     pub fn large() -> Self {
         Self {
             gateways: 149,
@@ -102,42 +103,42 @@
     }
 }
 
-/// What callers and ranks saw.
+/// The result of a simulation, as callers and ranks see it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Outcome {
-    /// How many requests there were.
+    /// Number of requests.
     pub requests: usize,
-    /// Those whose first piece came late, as a part of all.
+    /// Share of requests whose first piece came after the objective.
     pub late: f64,
-    /// Those that waited for a slot while another rank had two free, as a part of all.
+    /// Share of requests that waited for a slot while another rank had two free.
     pub waited: f64,
-    /// Arrivals that ranks refused, as a part of all arrivals.
+    /// Share of arrivals at ranks that were refused.
     pub refused: f64,
-    /// Requests that no rank took, as a part of all.
+    /// Share of requests that no rank accepted.
     pub failed: f64,
-    /// The fullest rank over half a second against the mean of all ranks, in the mean.
+    /// Load of the fullest rank relative to the mean of all ranks, averaged over windows of half a second.
     pub fullest: f64,
-    /// The mean of the requests in flight at a rank.
+    /// Mean number of requests in flight at a rank.
     pub load: f64,
 }
 
-/// Plays an experiment with one way to pick a server.
-pub fn play<P: Pick>(setup: &Setup) -> Outcome {
+/// Runs a simulation in which gateways pick servers by `P`.
+pub fn simulate<P: Pick>(setup: &Setup) -> Outcome {
     let mut world = World::<P>::new(setup);
     world.run();
     world.outcome()
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum Event {
     /// A request arrives at some gateway.
     Arrival,
     /// A pass ends, and the next one begins.
     Pass,
-    /// A gateway's counts reach the controller.
+    /// A gateway's poll reaches the controller with its counts.
     Poll(usize),
-    /// The others' counts reach a gateway.
-    News(usize),
+    /// The answer to a gateway's poll arrives with the others' counts.
+    Reply(usize),
 }
 
 #[derive(Debug, Clone)]
@@ -151,7 +152,7 @@
 struct Rank {
     running: Vec<Request>,
     waiting: VecDeque<Request>,
-    /// In flight over the half second that is under way, summed by passes.
+    /// Requests in flight, summed over the passes of the current window.
     sum: usize,
 }
 
@@ -160,40 +161,41 @@
 struct World<'a, P> {
     setup: &'a Setup,
     now: Moment,
-    queue: BinaryHeap<Reverse<(Moment, u64, Happening)>>,
+    queue: BinaryHeap<Reverse<(Moment, u64, Event)>>,
     number: u64,
     gateways: Vec<Servers<P>>,
-    told: Vec<(Moment, Counts)>,
+    reported: Vec<(Moment, Counts)>,
     ids: Vec<ServerId>,
     pool: Pool,
     ranks: Vec<Rank>,
     window: (Moment, usize),
     fullest: Vec<f64>,
-    seen: Seen,
+    counters: Counters,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Counters {
     requests: usize,
     arrivals: usize,
     refused: usize,
     failed: usize,
     late: usize,
     waited: usize,
-    flying: usize,
+    active: usize,
     passes: usize,
 }
 
 impl<'a, P: Pick> World<'a, P> {
     fn new(setup: &'a Setup) -> Self {
         let pool = Pool {
-            service: ServiceId::new("lector").expect("a service's name"),
+            service: ServiceId::new("lector").expect("a valid service name"),
             group: None,
         };
         let names = (0..setup.ranks).map(|n| ServerId::new(format!("i-{n}")));
-        let ids: Vec<ServerId> = names.map(|id| id.expect("a server's name")).collect();
-        let zone = |n: usize| ZoneId::new(format!("z{}", n % setup.zones)).expect("a zone's name");
-        let offered = |n: usize| AnnouncedServer {
+        let ids: Vec<ServerId> = names.map(|id| id.expect("a valid server name")).collect();
+        let zone =
+            |n: usize| ZoneId::new(format!("z{}", n % setup.zones)).expect("a valid zone name");
+        let announced = |n: usize| AnnouncedServer {
             server: ids[n].clone(),
             start: Incarnation(0),
             pool: pool.clone(),
@@ -204,7 +206,7 @@
         };
         let gateway = |n: usize| {
             let mut servers = Servers::new(zone(n));
-            servers.set_announced((0..setup.ranks).map(offered).collect());
+            servers.set_announced((0..setup.ranks).map(announced).collect());
             servers
         };
         let mut world = Self {
@@ -213,59 +215,59 @@
             queue: BinaryHeap::new(),
             number: 0,
             gateways: (0..setup.gateways).map(gateway).collect(),
-            told: vec![(Moment::ZERO, Counts::new()); setup.gateways],
+            reported: vec![(Moment::ZERO, Counts::new()); setup.gateways],
             ids,
             pool,
             ranks: (0..setup.ranks).map(|_| Rank::default()).collect(),
             window: (Moment::ZERO, 0),
             fullest: Vec::new(),
-            seen: Seen::default(),
+            counters: Counters::default(),
         };
-        world.plan(Span::default(), Happening::Arrival);
-        world.plan(Span::default(), Happening::Pass);
+        world.schedule(Span::default(), Event::Arrival);
+        world.schedule(Span::default(), Event::Pass);
         for gateway in 0..setup.gateways {
             let first = setup.wait.as_micros() * gateway as u64 / setup.gateways as u64;
-            world.plan(Span::from_micros(first), Happening::Poll(gateway));
+            world.schedule(Span::from_micros(first), Event::Poll(gateway));
         }
         world
     }
 
     fn run(&mut self) {
         let end = Moment::ZERO + self.setup.length;
-        while let Some(Reverse((at, _, happening))) = self.queue.pop() {
+        while let Some(Reverse((at, _, event))) = self.queue.pop() {
             if at >= end {
                 return;
             }
             self.now = at;
-            match happening {
-                Happening::Arrival => self.arrive(),
-                Happening::Pass => self.pass(),
-                Happening::Poll(gateway) => self.poll(gateway),
-                Happening::News(gateway) => self.news(gateway),
+            match event {
+                Event::Arrival => self.arrive(),
+                Event::Pass => self.pass(),
+                Event::Poll(gateway) => self.send_counts(gateway),
+                Event::Reply(gateway) => self.receive_counts(gateway),
             }
         }
     }
 
-    fn plan(&mut self, after: Span, happening: Happening) {
+    fn schedule(&mut self, after: Span, event: Event) {
         self.number += 1;
         let at = self.now + after;
-        self.queue.push(Reverse((at, self.number, happening)));
+        self.queue.push(Reverse((at, self.number, event)));
     }
 
-    fn chance(&mut self) -> u64 {
+    fn next_random(&mut self) -> u64 {
         self.number += 1;
         mix(mix(self.setup.seed) ^ self.number)
     }
 
-    /// A caller's request comes to a gateway, and is sent to one rank after another until one takes it.
+    /// Sends a caller's new request from a gateway to one rank after another until one accepts it.
     fn arrive(&mut self) {
-        let pause = -(1.0 - fraction(self.chance())).ln() / self.setup.rate;
-        self.plan(Span::from_micros((pause * 1e6) as u64), Happening::Arrival);
-        let gateway = below(self.chance(), self.setup.gateways);
-        self.seen.requests += 1;
+        let pause = -(1.0 - fraction(self.next_random())).ln() / self.setup.rate;
+        self.schedule(Span::from_micros((pause * 1e6) as u64), Event::Arrival);
+        let gateway = below(self.next_random(), self.setup.gateways);
+        self.counters.requests += 1;
         let mut excluded = Vec::new();
-        for _ in 0..SENDS {
-            let chance = self.chance();
+        for _ in 0..MAX_SENDS {
+            let chance = self.next_random();
             let gate = AllowedPools::AllExcept(Vec::new());
             let wanted = Constraints {
                 service: &self.pool.service,
@@ -277,7 +279,7 @@
             let Ok(choice) = chosen else {
                 break;
             };
-            let rank = self.place(&choice.server);
+            let rank = self.rank_index(&choice.server);
             if self.offer(rank, gateway) {
                 return;
             }
@@ -286,27 +288,27 @@
             servers.record_fault(self.now, &choice.server, choice.start, ServerFault::Full);
             excluded.push(choice.server);
         }
-        self.seen.failed += 1;
+        self.counters.failed += 1;
     }
 
-    fn place(&self, server: &ServerId) -> usize {
+    fn rank_index(&self, server: &ServerId) -> usize {
         let place = self.ids.iter().position(|id| id == server);
         place.expect("the server is one of the ranks")
     }
 
-    /// Whether a rank takes a request.
+    /// Offers a request to a rank and returns whether the rank accepts it.
     fn offer(&mut self, rank: usize, gateway: usize) -> bool {
-        self.seen.arrivals += 1;
+        self.counters.arrivals += 1;
         let slots = self.setup.slots;
-        let flying = |r: &Rank| r.running.len() + r.waiting.len();
-        let there = flying(&self.ranks[rank]);
-        if there >= slots + self.setup.queue {
-            self.seen.refused += 1;
+        let active = |r: &Rank| r.running.len() + r.waiting.len();
+        let occupied = active(&self.ranks[rank]);
+        if occupied >= slots + self.setup.queue {
+            self.counters.refused += 1;
             return false;
         }
-        let free = |r: &Rank| flying(r) + 2 <= slots;
-        if there >= slots && self.ranks.iter().any(free) {
-            self.seen.waited += 1;
+        let free = |r: &Rank| active(r) + 2 <= slots;
+        if occupied >= slots && self.ranks.iter().any(free) {
+            self.counters.waited += 1;
         }
         self.ranks[rank].waiting.push_back(Request {
             gateway,
@@ -316,10 +318,10 @@
         true
     }
 
-    /// All ranks end a pass and begin the next one.
+    /// Ends the pass of all ranks and begins the next one.
     fn pass(&mut self) {
         for rank in 0..self.ranks.len() {
-            self.pieces(rank);
+            self.emit_pieces(rank);
         }
         let (mut fullest, mut read) = (0, 0);
         for rank in &mut self.ranks {
@@ -330,20 +332,20 @@
             read = read.max(begun);
         }
         let setup = self.setup;
-        let long = setup.base + setup.each * fullest as f64 + setup.prompt * read as f64;
-        self.watch();
-        self.plan(Span::from_micros((long * 1e3) as u64), Happening::Pass);
+        let duration = setup.base + setup.each * fullest as f64 + setup.prompt * read as f64;
+        self.record_load();
+        self.schedule(Span::from_micros((duration * 1e3) as u64), Event::Pass);
     }
 
-    /// Each running request of a rank gets a piece of its answer.
-    fn pieces(&mut self, rank: usize) {
+    /// Gives each running request of a rank a piece of its answer.
+    fn emit_pieces(&mut self, rank: usize) {
         let server = &self.ids[rank];
         let (now, setup) = (self.now, self.setup);
         for request in &mut self.ranks[rank].running {
             request.pieces += 1;
             let late = now.since(request.arrived) > setup.objective;
             if request.pieces == 1 && late {
-                self.seen.late += 1;
+                self.counters.late += 1;
             }
             if request.pieces == setup.pieces {
                 let servers = &mut self.gateways[request.gateway];
@@ -355,14 +357,14 @@
         running.retain(|r| r.pieces < setup.pieces);
     }
 
-    /// Takes note of the load, and of the fullest rank of each half second.
-    fn watch(&mut self) {
+    /// Adds up the load, and records the fullest rank of each window of half a second.
+    fn record_load(&mut self) {
         for rank in &mut self.ranks {
-            let flying = rank.running.len() + rank.waiting.len();
-            rank.sum += flying;
-            self.seen.flying += flying;
+            let active = rank.running.len() + rank.waiting.len();
+            rank.sum += active;
+            self.counters.active += active;
         }
-        self.seen.passes += 1;
+        self.counters.passes += 1;
         self.window.1 += 1;
         if self.now < self.window.0 + Span::from_millis(500) {
             return;
@@ -380,18 +382,18 @@
         self.window = (self.now, 0);
     }
 
-    fn poll(&mut self, gateway: usize) {
-        let flying = self.gateways[gateway].in_flight();
-        let counts = flying.map(|(id, count)| (id.clone(), count)).collect();
-        self.told[gateway] = (self.now, counts);
-        let whole = self.setup.wait.as_micros() + WAY.as_micros();
-        self.plan(Span::from_micros(whole), Happening::News(gateway));
+    fn send_counts(&mut self, gateway: usize) {
+        let active = self.gateways[gateway].in_flight();
+        let counts = active.map(|(id, count)| (id.clone(), count)).collect();
+        self.reported[gateway] = (self.now, counts);
+        let whole = self.setup.wait.as_micros() + ONE_WAY_DELAY.as_micros();
+        self.schedule(Span::from_micros(whole), Event::Reply(gateway));
     }
 
-    fn news(&mut self, gateway: usize) {
+    fn receive_counts(&mut self, gateway: usize) {
         let mut sums = Counts::new();
         let mut ages = 0;
-        for (other, (at, counts)) in self.told.iter().enumerate() {
+        for (other, (at, counts)) in self.reported.iter().enumerate() {
             if other == gateway {
                 continue;
             }
@@ -403,20 +405,20 @@
         let others = (self.setup.gateways - 1).max(1) as u64;
         let age = Span::from_micros(ages / others);
         self.gateways[gateway].set_other_counts(self.now, age, sums.into_iter());
-        self.plan(WAY, Happening::Poll(gateway));
+        self.schedule(ONE_WAY_DELAY, Event::Poll(gateway));
     }
 
     fn outcome(&self) -> Outcome {
-        let seen = &self.seen;
+        let counters = &self.counters;
         let part = |count: usize, of: usize| count as f64 / of.max(1) as f64;
         Outcome {
-            requests: seen.requests,
-            late: part(seen.late, seen.requests),
-            waited: part(seen.waited, seen.requests),
-            refused: part(seen.refused, seen.arrivals),
-            failed: part(seen.failed, seen.requests),
+            requests: counters.requests,
+            late: part(counters.late, counters.requests),
+            waited: part(counters.waited, counters.requests),
+            refused: part(counters.refused, counters.arrivals),
+            failed: part(counters.failed, counters.requests),
             fullest: self.fullest.iter().sum::<f64>() / self.fullest.len().max(1) as f64,
-            load: part(seen.flying, seen.passes * self.setup.ranks),
+            load: part(counters.active, counters.passes * self.setup.ranks),
         }
     }
 }
--- a/crates/benches/src/plots.rs
+++ b/crates/benches/src/plots.rs
@@ -1,4 +1,4 @@
-//! Lines over an axis, drawn as SVG.
+//! Line plots, drawn as SVG.
 
 use plotters::coord::Shift;
 use plotters::prelude::*;
@@ -11,7 +11,7 @@
 }
 
 impl Line {
-    /// A line through these points.
+    /// Creates a line through the given points.
     pub fn new(name: &str, points: Vec<(f64, f64)>) -> Self {
         Self {
             name: name.into(),
@@ -20,23 +20,23 @@
     }
 }
 
-/// How the upright axis runs.
+/// The scale of the vertical axis.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scale {
-    /// Evenly.
+    /// A linear scale.
     Linear,
-    /// By powers of ten.
+    /// A logarithmic scale.
     Log,
 }
 
 type Drawn = std::result::Result<(), DrawingAreaErrorKind<std::io::Error>>;
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// Draws lines into a file; titles are those of the plot, of its level and of its upright axis.
+/// Draws lines into a file; `titles` are those of the plot, the horizontal axis and the vertical axis.
 pub fn draw(path: &str, titles: [&str; 3], scale: Scale, lines: &[Line]) {
     let area = SVGBackend::new(path, (720, 420)).into_drawing_area();
     if let Err(e) = draw_in(&area, titles, scale, lines) {
-        eprintln!("{path} can't be drawn: {e}");
+        eprintln!("can't draw the plot {path}: {e}");
     }
 }
 
--- a/crates/benches/src/policies.rs
+++ b/crates/benches/src/policies.rs
@@ -1,4 +1,4 @@
-//! The policies that the routing bench compares: ours, and four baselines.
+//! The policies that the routing bench compares: the product's router, and four baselines.
 
 use std::collections::HashMap;
 
@@ -13,20 +13,20 @@
 
 use crate::queue::{End, Entry, Job, Micros, Step};
 
-/// How a baseline chooses.
+/// How a baseline chooses a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
-    /// Any server.
+    /// A random server.
     Random,
-    /// One after the other.
+    /// The servers in turn.
     RoundRobin,
-    /// The least reported load.
+    /// The server with the least reported load.
     LeastReport,
-    /// The less loaded of two by their reports.
+    /// The server with the lower reported load of two random ones.
     TwoReports,
 }
 
-/// A baseline: it sends everything on at once.
+/// A baseline, which sends every request at once.
 #[derive(Debug)]
 pub struct Baseline {
     rule: Rule,
@@ -37,7 +37,7 @@
 }
 
 impl Baseline {
-    /// A baseline before this many servers.
+    /// Creates a baseline for a number of servers.
     pub fn new(rule: Rule, servers: usize, seed: u64) -> Self {
         let next = below(mix(seed), servers);
         Self {
@@ -49,7 +49,7 @@
         }
     }
 
-    fn draw(&mut self) -> usize {
+    fn draw_server(&mut self) -> usize {
         loop {
             self.draws = mix(self.draws);
             let at = below(self.draws, self.up.len());
@@ -59,7 +59,7 @@
         }
     }
 
-    fn turn(&mut self) -> usize {
+    fn next_in_turn(&mut self) -> usize {
         loop {
             self.next = (self.next + 1) % self.up.len();
             if self.up[self.next] {
@@ -70,10 +70,10 @@
 
     fn pick(&mut self) -> usize {
         match self.rule {
-            Rule::Random => self.draw(),
-            Rule::RoundRobin => self.turn(),
+            Rule::Random => self.draw_server(),
+            Rule::RoundRobin => self.next_in_turn(),
             Rule::LeastReport => {
-                let start = self.draw();
+                let start = self.draw_server();
                 let count = self.up.len();
                 let all = (0..count)
                     .map(|n| (start + n) % count)
@@ -81,7 +81,7 @@
                 all.min_by_key(|&at| self.loads[at]).unwrap_or(start)
             }
             Rule::TwoReports => {
-                let (a, b) = (self.draw(), self.draw());
+                let (a, b) = (self.draw_server(), self.draw_server());
                 if self.loads[b] < self.loads[a] {
                     b
                 } else {
@@ -114,18 +114,18 @@
     fn tick(&mut self, _: Micros, _: &mut Vec<Step>) {}
 }
 
-/// How ours is set up.
+/// Options of the product's policy.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The policy of the choice.
+    /// The policy for the choice of a server.
     pub policy: RoutingPolicy,
-    /// The policy of admission, or none to send everything on at once.
+    /// The policy for admission; `None` sends every request at once.
     pub lane: Option<LanePolicy>,
-    /// Servers that an entry keeps to.
+    /// Size of the subset of servers that an entry uses; `None` uses all.
     pub subset: Option<usize>,
-    /// Zones that entries and servers are spread over.
+    /// Number of availability zones that entries and servers are spread over.
     pub zones: usize,
-    /// Whether prefixes draw requests.
+    /// Whether a request prefers servers that have its prefix cached.
     pub prefix: bool,
 }
 
@@ -141,9 +141,9 @@
     }
 }
 
-/// Ours: the router, and a lane in front of it.
+/// The product's policy: the router, and a lane for admission before it.
 #[derive(Debug)]
-pub struct Ours {
+pub struct RouterPolicy {
     options: Options,
     router: Router,
     lane: Option<Lane>,
@@ -158,17 +158,17 @@
     count: u32,
 }
 
-/// A name made of a word and a number.
+/// Returns a name made of a word and a number.
 pub fn name<T: std::str::FromStr>(word: &str, n: usize) -> T
 where
     T::Err: std::fmt::Debug,
 {
     format!("{word}-{n}")
         .parse()
-        .expect("a word and a number are a name")
+        .expect("a word and a number make a valid name")
 }
 
-/// What a server of the bench announces.
+/// Returns what server `n` of the bench announces.
 pub fn facts(n: usize, zones: usize, slots: u32) -> ServerFacts {
     let offer = Offer::Model {
         model: name("model", 0),
@@ -191,7 +191,7 @@
     }
 }
 
-/// What the bench's requests ask for.
+/// Returns what the bench's requests ask for.
 pub fn wanted() -> Wanted {
     Wanted::Model {
         model: name("model", 0),
@@ -200,8 +200,8 @@
     }
 }
 
-impl Ours {
-    /// Entry `n` before this many servers.
+impl RouterPolicy {
+    /// Creates the policy of entry `n` for a number of servers.
     pub fn new(n: usize, servers: usize, count: u32, workspaces: usize, options: Options) -> Self {
         let zones = options.zones;
         let place = Location {
@@ -231,12 +231,12 @@
         }
     }
 
-    /// The router, to look into it.
+    /// Returns the router.
     pub fn router(&mut self) -> &mut Router {
         &mut self.router
     }
 
-    fn room(&mut self, now: Moment) -> PoolCapacity {
+    fn pool_capacity(&mut self, now: Moment) -> PoolCapacity {
         let (slots, load) = self.router.capacity(now, &self.wanted).unwrap_or_default();
         let own_slots = slots * self.demands.share(now, self.topic);
         PoolCapacity {
@@ -258,20 +258,20 @@
         let server = self.slots.iter().position(|s| *s == choice.server);
         out.push(Step::Send(
             job.id,
-            server.expect("a chosen server is one of them"),
+            server.expect("the chosen server is one of the bench's"),
         ));
     }
 
-    fn call(&mut self, now: Moment, out: &mut Vec<Step>) {
+    fn dequeue_waiting(&mut self, now: Moment, out: &mut Vec<Step>) {
         if self.waiting.is_empty() {
             return;
         }
         loop {
-            let room = self.room(now);
-            let Some(called) = self.lane.as_mut().and_then(|l| l.dequeue(now, room)) else {
+            let capacity = self.pool_capacity(now);
+            let Some(dequeued) = self.lane.as_mut().and_then(|l| l.dequeue(now, capacity)) else {
                 return;
             };
-            match called {
+            match dequeued {
                 Dequeued::Run(ticket) => {
                     if let Some(job) = self.waiting.remove(&ticket) {
                         self.send(now, &job, out);
@@ -287,7 +287,7 @@
     }
 }
 
-impl Entry for Ours {
+impl Entry for RouterPolicy {
     const CANCELS: bool = true;
 
     fn arrive(&mut self, now: Micros, job: &Job, out: &mut Vec<Step>) {
@@ -295,7 +295,7 @@
         let tokens = f64::from(job.tokens);
         self.demands.record(now, self.topic, tokens);
         self.budget.earn();
-        let room = self.room(now);
+        let capacity = self.pool_capacity(now);
         let Some(lane) = &mut self.lane else {
             return self.send(now, job, out);
         };
@@ -306,7 +306,7 @@
             tokens,
             deadline: Moment::from_micros(job.deadline),
         };
-        match lane.arrive(now, arrival, room) {
+        match lane.arrive(now, arrival, capacity) {
             Decision::Run => self.send(now, job, out),
             Decision::Wait(ticket) => {
                 self.waiting.insert(ticket, *job);
@@ -349,7 +349,7 @@
         if let Some(lane) = &mut self.lane {
             lane.depart(&departure);
         }
-        self.call(now, out);
+        self.dequeue_waiting(now, out);
     }
 
     fn report(&mut self, now: Micros, server: usize, load: &LoadReport) {
@@ -372,6 +372,6 @@
     }
 
     fn tick(&mut self, now: Micros, out: &mut Vec<Step>) {
-        self.call(Moment::from_micros(now), out);
+        self.dequeue_waiting(Moment::from_micros(now), out);
     }
 }
--- a/crates/benches/src/queue.rs
+++ b/crates/benches/src/queue.rs
@@ -1,8 +1,8 @@
-//! A small fake of servers that batch continuously, under a virtual clock.
+//! A simulator of servers with continuous batching, under a virtual clock.
 //!
-//! It holds no more than the routing bench needs: each server runs a batch in steps, the step's
-//! time grows with the batch and with the prompts that it takes in, and requests over its slots
-//! wait. Entries are whatever implements [`Entry`].
+//! It models only what the routing bench needs: each server runs a batch in steps, a step takes
+//! longer the more requests are in the batch and the more prompts join it, and requests beyond the
+//! server's slots wait. The policy of an entry implements [`Entry`].
 
 use std::collections::{BinaryHeap, VecDeque};
 
@@ -16,153 +16,153 @@
 /// One request of a caller.
 #[derive(Debug, Clone, Copy)]
 pub struct Job {
-    /// Its number.
+    /// The request's number.
     pub id: usize,
-    /// The entry that takes it.
+    /// The entry that receives the request.
     pub entry: usize,
-    /// Who pays.
+    /// The workspace that the request counts for.
     pub workspace: usize,
-    /// The prefix of its prompt.
+    /// The hash of the prompt's prefix.
     pub prefix: u64,
-    /// The tokens that it generates.
+    /// Number of tokens of the answer.
     pub tokens: u32,
-    /// When its caller sent it.
+    /// When the caller sent the request.
     pub arrived: Micros,
-    /// When its answer is of no use any more.
+    /// When the answer becomes useless to the caller.
     pub deadline: Micros,
-    /// How often its caller has sent it before.
-    pub again: u32,
-    /// Whether it first arrived while it was measured.
+    /// How often the caller has sent the request before.
+    pub retries: u32,
+    /// Whether the request first arrived within the measured time.
     pub counted: bool,
 }
 
 /// What an entry does with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// It sends a request to a server.
+    /// Sends a request to a server.
     Send(usize, usize),
-    /// It refuses a request; the caller comes back after this long.
+    /// Refuses a request; the caller retries after the given time.
     Refuse(usize, Micros),
 }
 
-/// One entry's policy, as the fake drives it.
+/// The policy of one entry, driven by the simulator.
 pub trait Entry {
     /// Whether requests past their deadline are cancelled at the server.
     const CANCELS: bool;
 
-    /// A request arrives.
+    /// Handles the arrival of a request.
     fn arrive(&mut self, now: Micros, job: &Job, out: &mut Vec<Step>);
-    /// The first token of an answer arrives, with the server's load.
+    /// Handles the first token of an answer, which carries the server's load.
     fn first(&mut self, now: Micros, job: &Job, server: usize, took: Micros, load: &LoadReport);
-    /// A request at a server ended, well or not.
+    /// Handles the end of a request at a server, whether it succeeded or not.
     fn ended(&mut self, now: Micros, job: &Job, server: usize, end: &End, out: &mut Vec<Step>);
-    /// A report of a server arrives.
+    /// Handles a server's load report.
     fn report(&mut self, now: Micros, server: usize, load: &LoadReport);
-    /// Membership says that a server takes work or not.
+    /// Handles news from membership of whether a server accepts work.
     fn member(&mut self, now: Micros, server: usize, takes: bool);
-    /// Some time has passed.
+    /// Runs periodic work.
     fn tick(&mut self, now: Micros, out: &mut Vec<Step>);
 
-    /// What it tells the others each second.
+    /// Returns the demand summary for the other entries, once a second.
     fn summary(&mut self, _now: Micros) -> Option<Summary> {
         None
     }
 
-    /// What another entry tells it.
+    /// Handles the demand summary of another entry.
     fn merge(&mut self, _now: Micros, _summary: &Summary) {}
 }
 
 /// How a request at a server ended.
 #[derive(Debug, Clone, Copy)]
 pub struct End {
-    /// Whether it was answered in whole.
+    /// Whether the answer was complete.
     pub whole: bool,
-    /// Whether the server failed it.
+    /// Whether the request failed because of the server.
     pub failed: bool,
-    /// How long it was there.
+    /// How long the request was at the server.
     pub took: Micros,
     /// The server's load.
     pub load: LoadReport,
 }
 
-/// What happens to a server at a time.
+/// A fault or a planned change of a server, given by its number.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// Its steps take this many times as long; its reports say so.
+    /// Steps take the given number of times as long, and load reports show it.
     Slow(usize, f64),
-    /// It makes no steps, and its reports still look well.
+    /// The server runs no steps, but its load reports look healthy.
     Stall(usize),
-    /// It is gone with all its work.
+    /// The server dies and loses all its work.
     Down(usize),
-    /// It is back, with a cold cache.
+    /// The server is back, with an empty cache.
     Up(usize),
-    /// It says that it takes no more work.
+    /// The server announces that it is draining.
     Drain(usize),
 }
 
-/// One experiment.
+/// The parameters of one simulation.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// The entries.
+    /// Number of entries.
     pub entries: usize,
-    /// The servers.
+    /// Number of servers.
     pub servers: usize,
     /// Requests that a server runs at once.
     pub slots: u32,
-    /// A step's time without a request, in microseconds.
+    /// Duration of a step without requests, in microseconds.
     pub base: f64,
-    /// What each request adds to a step.
+    /// Time that each running request adds to a step, in microseconds.
     pub each: f64,
-    /// What a prompt that is not cached adds to a step.
+    /// Time that a prompt without a cached prefix adds to a step, in microseconds.
     pub prompt: f64,
-    /// The mean of the tokens of a request.
+    /// Mean number of tokens of an answer.
     pub tokens: f64,
-    /// Requests a second, and when that changes.
+    /// Requests a second, each with the time from which it applies.
     pub rates: Vec<(Micros, f64)>,
-    /// How old reports are when they arrive.
+    /// Age of load reports and summaries on arrival.
     pub lag: Micros,
-    /// How often reports are made.
+    /// Interval between load reports.
     pub pace: Micros,
-    /// The time a request gets.
+    /// Time from a request's arrival to its deadline.
     pub deadline: Micros,
-    /// How often a caller sends again what was late or refused.
-    pub again: u32,
-    /// The demand of each workspace, relative to the others.
+    /// How often a caller retries a request that was late, lost or refused.
+    pub retries: u32,
+    /// Relative demand of each workspace.
     pub workspaces: Vec<f64>,
-    /// The distinct prefixes.
+    /// Number of distinct prefixes.
     pub prefixes: usize,
-    /// Faults and their times.
+    /// Times of faults.
     pub faults: Vec<(Micros, Fault)>,
-    /// How long it takes.
+    /// Simulated time.
     pub length: Micros,
-    /// The time from which on it is measured.
+    /// Warm-up time, after which measuring begins.
     pub warm: Micros,
-    /// The seed of everything random.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// What an experiment gave.
+/// The result of a simulation.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
-    /// Waits for a slot, from arrival at the entry, in microseconds.
+    /// Times from arrival at the entry to a slot, in microseconds.
     pub waits: Vec<Micros>,
-    /// Times to the first token.
+    /// Times from arrival to the first token.
     pub firsts: Vec<Micros>,
-    /// Mean times between tokens.
+    /// Mean time between tokens, for each answer.
     pub betweens: Vec<Micros>,
-    /// Times to the whole answer, by workspace.
+    /// Times from arrival to the complete answer, by workspace.
     pub wholes: Vec<Vec<Micros>>,
-    /// Tokens of answers in time, a second of virtual time each.
+    /// Tokens of answers within their deadlines, for each second of virtual time.
     pub good: Vec<f64>,
-    /// Requests that arrived for the first time.
+    /// Requests, counted at their first arrival.
     pub asked: u64,
-    /// ... and were answered in time.
+    /// Counted requests that were answered within their deadlines.
     pub met: u64,
     /// Requests that entries sent to a server a second time.
     pub resent: u64,
-    /// Prompts found in a cache.
+    /// Prompts whose prefix was in the server's cache.
     pub hits: u64,
-    /// Tokens asked for and given in time, by workspace.
+    /// Tokens requested, and tokens delivered within deadlines, by workspace.
     pub shares: Vec<(f64, f64)>,
     /// Requests started at each server.
     pub started: Vec<u64>,
@@ -173,16 +173,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive,
-    Return(usize),
+    Retry(usize),
     StepEnd(usize, u32),
     Deadline(usize),
-    Measure,
-    Deliver,
+    MakeReports,
+    DeliverReports,
     Fault(usize),
     Member(usize, bool),
     Tick,
-    Tell,
-    Hear,
+    SendSummaries,
+    DeliverSummaries,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -203,23 +203,23 @@
     down: bool,
     stalled: bool,
     slow: f64,
-    /// Counts its lives, so that a step of an earlier one does not count.
-    life: u32,
+    /// Counts restarts, so that the end of a step from before a restart is ignored.
+    start: u32,
     step: Micros,
 }
 
-/// Prefixes that a server's cache holds.
-const CACHE: usize = 32;
-/// How long membership takes to notice a server that died.
-const NOTICE: Micros = 1_500_000;
-/// How long a server's own word takes to arrive.
-const WORD: Micros = 200_000;
-/// How often entries tell each other their demands.
-const TELL: Micros = 1_000_000;
-/// How often entries get to look around.
-const TICK: Micros = 20_000;
-
-/// Runs an experiment.
+/// Number of prefixes in a server's cache.
+const CACHE_SIZE: usize = 32;
+/// Time in which membership detects a dead server.
+const DETECTION_DELAY: Micros = 1_500_000;
+/// Time until entries know a server's own announcement.
+const ANNOUNCE_DELAY: Micros = 200_000;
+/// Interval at which entries send each other demand summaries.
+const SUMMARY_INTERVAL: Micros = 1_000_000;
+/// Interval of the entries' periodic work.
+const TICK_INTERVAL: Micros = 20_000;
+
+/// Runs a simulation.
 pub fn run<E: Entry>(setup: &Setup, entries: Vec<E>) -> Outcome {
     let mut world = World::new(setup, entries);
     world.run();
@@ -231,15 +231,15 @@
     entries: Vec<E>,
     servers: Vec<Server>,
     jobs: Vec<Job>,
-    /// Where a job is, or that it is done.
+    /// The server that each job is at, if any.
     places: Vec<Option<usize>>,
     done: Vec<bool>,
     events: BinaryHeap<std::cmp::Reverse<(Micros, u64, Event)>>,
     count: u64,
     draws: u64,
     reports: VecDeque<Vec<LoadReport>>,
-    told: VecDeque<Vec<Summary>>,
-    cumulated: Vec<f64>,
+    summaries: VecDeque<Vec<Summary>>,
+    cumulative_demand: Vec<f64>,
     out: Vec<Step>,
     outcome: Outcome,
 }
@@ -252,7 +252,7 @@
             ..Server::default()
         };
         let mut sum = 0.0;
-        let cumulated = setup.workspaces.iter().map(|w| {
+        let cumulative_demand = setup.workspaces.iter().map(|w| {
             sum += w;
             sum
         });
@@ -276,20 +276,20 @@
             count: 0,
             draws: setup.seed,
             reports: VecDeque::new(),
-            told: VecDeque::new(),
-            cumulated: cumulated.collect(),
+            summaries: VecDeque::new(),
+            cumulative_demand: cumulative_demand.collect(),
             out: Vec::new(),
             outcome,
         }
     }
 
     fn run(&mut self) {
-        self.at(0, Event::Arrive);
-        self.at(0, Event::Measure);
-        self.at(0, Event::Tick);
-        self.at(0, Event::Tell);
+        self.schedule(0, Event::Arrive);
+        self.schedule(0, Event::MakeReports);
+        self.schedule(0, Event::Tick);
+        self.schedule(0, Event::SendSummaries);
         for n in 0..self.setup.faults.len() {
-            self.at(self.setup.faults[n].0, Event::Fault(n));
+            self.schedule(self.setup.faults[n].0, Event::Fault(n));
         }
         while let Some(std::cmp::Reverse((now, _, event))) = self.events.pop() {
             if now >= self.setup.length {
@@ -299,7 +299,7 @@
         }
     }
 
-    fn at(&mut self, time: Micros, event: Event) {
+    fn schedule(&mut self, time: Micros, event: Event) {
         self.count += 1;
         self.events
             .push(std::cmp::Reverse((time, self.count, event)));
@@ -308,11 +308,11 @@
     fn handle(&mut self, now: Micros, event: Event) {
         match event {
             Event::Arrive => self.arrive(now),
-            Event::Return(job) => self.offer(now, job),
-            Event::StepEnd(server, life) => self.step_end(now, server, life),
-            Event::Deadline(job) => self.late(now, job),
-            Event::Measure => self.measure(now),
-            Event::Deliver => self.deliver(now),
+            Event::Retry(job) => self.offer(now, job),
+            Event::StepEnd(server, start) => self.step_end(now, server, start),
+            Event::Deadline(job) => self.handle_deadline(now, job),
+            Event::MakeReports => self.make_reports(now),
+            Event::DeliverReports => self.deliver_reports(now),
             Event::Fault(n) => self.fault(now, self.setup.faults[n].1),
             Event::Member(server, takes) => {
                 for entry in &mut self.entries {
@@ -320,8 +320,8 @@
                 }
             }
             Event::Tick => self.tick(now),
-            Event::Tell => self.tell(now),
-            Event::Hear => self.hear(now),
+            Event::SendSummaries => self.send_summaries(now),
+            Event::DeliverSummaries => self.deliver_summaries(now),
         }
     }
 
@@ -330,7 +330,7 @@
         mix(self.draws)
     }
 
-    fn unit(&mut self) -> f64 {
+    fn next_fraction(&mut self) -> f64 {
         ((self.draw() >> 11) as f64 + 0.5) / (1u64 << 53) as f64
     }
 
@@ -340,8 +340,8 @@
             .iter()
             .rfind(|(from, _)| *from <= now)
             .map_or(1.0, |r| r.1);
-        let gap = -self.unit().ln() / rate.max(1e-9) * 1e6;
-        self.at(now + gap as Micros + 1, Event::Arrive);
+        let gap = -self.next_fraction().ln() / rate.max(1e-9) * 1e6;
+        self.schedule(now + gap as Micros + 1, Event::Arrive);
         let job = self.new_job(now);
         let (workspace, tokens) = (job.workspace, job.tokens);
         let id = self.add(job);
@@ -354,19 +354,19 @@
 
     fn new_job(&mut self, now: Micros) -> Job {
         let setup = self.setup;
-        let total = self.cumulated.last().copied().unwrap_or(1.0);
-        let point = self.unit() * total;
+        let total = self.cumulative_demand.last().copied().unwrap_or(1.0);
+        let point = self.next_fraction() * total;
         let workspace = self
-            .cumulated
+            .cumulative_demand
             .partition_point(|c| *c < point)
-            .min(self.cumulated.len() - 1);
+            .min(self.cumulative_demand.len() - 1);
         // Log-normal lengths: most answers are short and some are long.
-        let (a, b) = (self.unit(), self.unit());
+        let (a, b) = (self.next_fraction(), self.next_fraction());
         let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
         let spread: f64 = 0.7;
         let tokens = setup.tokens * (spread * normal - spread * spread / 2.0).exp();
-        // The square skews prefixes towards a few.
-        let skewed = self.unit() * self.unit();
+        // The product of two draws makes a few prefixes popular.
+        let skewed = self.next_fraction() * self.next_fraction();
         let prefix = (skewed * setup.prefixes as f64) as u64;
         Job {
             id: 0,
@@ -376,7 +376,7 @@
             tokens: (tokens as u32).clamp(1, 4_000),
             arrived: now,
             deadline: now + setup.deadline,
-            again: 0,
+            retries: 0,
             counted: now >= setup.warm && now + setup.deadline < setup.length,
         }
     }
@@ -391,7 +391,7 @@
 
     fn offer(&mut self, now: Micros, id: usize) {
         let job = self.jobs[id];
-        self.at(job.deadline, Event::Deadline(id));
+        self.schedule(job.deadline, Event::Deadline(id));
         self.entries[job.entry].arrive(now, &job, &mut self.out);
         self.carry_out(now);
     }
@@ -403,28 +403,28 @@
                 Step::Send(job, server) => self.send(now, job, server),
                 Step::Refuse(job, after) => {
                     self.done[job] = true;
-                    self.come_back(now, job, after);
+                    self.schedule_retry(now, job, after);
                 }
             }
         }
         self.out = steps;
     }
 
-    /// The caller of a request that was late, lost or refused sends it again, a few times.
-    fn come_back(&mut self, now: Micros, id: usize, after: Micros) {
+    /// Schedules the caller's retry of a late, lost or refused request, unless its retries are used up.
+    fn schedule_retry(&mut self, now: Micros, id: usize, after: Micros) {
         let old = self.jobs[id];
-        if old.again >= self.setup.again {
+        if old.retries >= self.setup.retries {
             return;
         }
         let at = now + after.max(1_000);
         let job = Job {
             arrived: at,
             deadline: at + self.setup.deadline,
-            again: old.again + 1,
+            retries: old.retries + 1,
             ..old
         };
         let id = self.add(job);
-        self.at(at, Event::Return(id));
+        self.schedule(at, Event::Retry(id));
     }
 
     fn send(&mut self, now: Micros, id: usize, server: usize) {
@@ -473,15 +473,15 @@
         }
         time += setup.each * server.running.len() as f64;
         let step = (time * server.slow) as Micros;
-        // Reports give the mean of the last steps.
+        // Load reports give a moving average of step times.
         server.step = (server.step * 7 + step) / 8;
         server.stepping = true;
-        let (end, life) = (now + step, server.life);
-        self.at(end, Event::StepEnd(at, life));
+        let (end, start) = (now + step, server.start);
+        self.schedule(end, Event::StepEnd(at, start));
     }
 
-    fn step_end(&mut self, now: Micros, at: usize, life: u32) {
-        if self.servers[at].life != life || self.servers[at].stalled {
+    fn step_end(&mut self, now: Micros, at: usize, start: u32) {
+        if self.servers[at].start != start || self.servers[at].stalled {
             return;
         }
         self.servers[at].stepping = false;
@@ -544,20 +544,20 @@
         let mut out = std::mem::take(&mut self.out);
         self.entries[job.entry].ended(now, &job, at, &end, &mut out);
         self.out = out;
-        let again = |s: &Step| matches!(s, Step::Send(job, _) if *job == id);
+        let resends = |s: &Step| matches!(s, Step::Send(job, _) if *job == id);
         if whole {
             self.done[id] = true;
-        } else if failed && self.out.iter().any(again) {
+        } else if failed && self.out.iter().any(resends) {
             self.outcome.resent += 1;
         } else if failed && !self.done[id] {
-            // The caller sees a failure, and sends again.
+            // The caller sees the failure and retries.
             self.done[id] = true;
-            self.come_back(now, id, 0);
+            self.schedule_retry(now, id, 0);
         }
         self.carry_out(now);
     }
 
-    fn late(&mut self, now: Micros, id: usize) {
+    fn handle_deadline(&mut self, now: Micros, id: usize) {
         if self.done[id] {
             return;
         }
@@ -574,7 +574,7 @@
             server.waiting.retain(|r| r.job != id);
             self.end(now, id, at, false, false, sent);
         }
-        self.come_back(now, id, 0);
+        self.schedule_retry(now, id, 0);
     }
 
     fn load(&self, at: usize) -> LoadReport {
@@ -587,14 +587,14 @@
         }
     }
 
-    fn measure(&mut self, now: Micros) {
+    fn make_reports(&mut self, now: Micros) {
         let reports = (0..self.servers.len()).map(|at| self.load(at)).collect();
         self.reports.push_back(reports);
-        self.at(now + self.setup.lag, Event::Deliver);
-        self.at(now + self.setup.pace, Event::Measure);
+        self.schedule(now + self.setup.lag, Event::DeliverReports);
+        self.schedule(now + self.setup.pace, Event::MakeReports);
     }
 
-    fn deliver(&mut self, now: Micros) {
+    fn deliver_reports(&mut self, now: Micros) {
         let Some(reports) = self.reports.pop_front() else {
             return;
         };
@@ -613,30 +613,30 @@
     }
 
     fn tick(&mut self, now: Micros) {
-        self.at(now + TICK, Event::Tick);
+        self.schedule(now + TICK_INTERVAL, Event::Tick);
         for n in 0..self.entries.len() {
             self.entries[n].tick(now, &mut self.out);
             self.carry_out(now);
         }
     }
 
-    fn tell(&mut self, now: Micros) {
-        let told: Vec<_> = self
+    fn send_summaries(&mut self, now: Micros) {
+        let summaries: Vec<_> = self
             .entries
             .iter_mut()
             .filter_map(|e| e.summary(now))
             .collect();
-        self.told.push_back(told);
-        self.at(now + self.setup.lag, Event::Hear);
-        self.at(now + TELL, Event::Tell);
+        self.summaries.push_back(summaries);
+        self.schedule(now + self.setup.lag, Event::DeliverSummaries);
+        self.schedule(now + SUMMARY_INTERVAL, Event::SendSummaries);
     }
 
-    fn hear(&mut self, now: Micros) {
-        let Some(told) = self.told.pop_front() else {
+    fn deliver_summaries(&mut self, now: Micros) {
+        let Some(summaries) = self.summaries.pop_front() else {
             return;
         };
         for entry in &mut self.entries {
-            for summary in &told {
+            for summary in &summaries {
                 entry.merge(now, summary);
             }
         }
@@ -648,23 +648,23 @@
             Fault::Stall(at) => self.servers[at].stalled = true,
             Fault::Down(at) => {
                 self.down(now, at);
-                self.at(now + NOTICE, Event::Member(at, false));
+                self.schedule(now + DETECTION_DELAY, Event::Member(at, false));
             }
             Fault::Up(at) => {
                 self.servers[at].down = false;
-                self.at(now + WORD, Event::Member(at, true));
+                self.schedule(now + ANNOUNCE_DELAY, Event::Member(at, true));
             }
-            Fault::Drain(at) => self.at(now + WORD, Event::Member(at, false)),
+            Fault::Drain(at) => self.schedule(now + ANNOUNCE_DELAY, Event::Member(at, false)),
         }
     }
 
     fn down(&mut self, now: Micros, at: usize) {
         let slow = self.servers[at].slow;
-        let life = self.servers[at].life + 1;
+        let start = self.servers[at].start + 1;
         let step = self.setup.base as Micros;
         let fresh = Server {
             slow,
-            life,
+            start,
             step,
             down: true,
             ..Server::default()
@@ -680,7 +680,7 @@
     let found = cache.iter().position(|p| *p == prefix);
     if let Some(at) = found {
         cache.remove(at);
-    } else if cache.len() == CACHE {
+    } else if cache.len() == CACHE_SIZE {
         cache.pop_front();
     }
     cache.push_back(prefix);
--- a/crates/benches/src/report.rs
+++ b/crates/benches/src/report.rs
@@ -1,20 +1,20 @@
-//! What every bench shares: its arguments, its figures, and how they are printed.
+//! The arguments and figures of a bench, and how they are printed.
 
 use std::collections::BTreeMap;
 
 use serde_json::{Map, Number, Value};
 
-/// How a bench was asked to run.
+/// The command-line arguments of a bench.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BenchArgs {
-    /// Print one line of JSON last instead of a table.
+    /// Whether to print the figures as one last line of JSON instead of a table.
     pub json: bool,
-    /// End within 30 seconds.
+    /// Whether the bench must end within 30 seconds.
     pub quick: bool,
 }
 
 impl BenchArgs {
-    /// Reads the command line; what cargo itself adds is passed over.
+    /// Reads the command line and ignores the arguments that cargo adds.
     pub fn parse() -> Self {
         let has = |flag: &str| std::env::args().skip(1).any(|arg| arg == flag);
         Self {
@@ -31,12 +31,12 @@
 }
 
 impl Figures {
-    /// No figures yet.
+    /// Creates an empty set of figures.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Reads the line that a bench printed, or nothing where it is not one.
+    /// Reads the JSON line that a bench printed; returns `None` if the text holds none.
     pub fn read(text: &str) -> Option<Self> {
         let line = text.lines().rfind(|line| line.starts_with('{'))?;
         let Value::Object(fields) = serde_json::from_str(line).ok()? else {
@@ -50,19 +50,19 @@
         })
     }
 
-    /// Adds a figure; one that is not a number is left out.
+    /// Adds a figure, unless it is infinite or not a number.
     pub fn add(&mut self, key: &str, value: f64) {
         if value.is_finite() {
             self.values.insert(key.to_string(), value);
         }
     }
 
-    /// A figure by its key.
+    /// Returns a figure by its key.
     pub fn get(&self, key: &str) -> Option<f64> {
         self.values.get(key).copied()
     }
 
-    /// Prints the figures as the arguments ask for.
+    /// Prints the figures as JSON or as a table, as the arguments say.
     pub fn print(&self, args: BenchArgs) {
         if args.json {
             println!("{}", self.to_json());
--- a/crates/benches/src/splits.rs
+++ b/crates/benches/src/splits.rs
@@ -1,4 +1,4 @@
-//! The split of fleet-wide limits among entries, and subsets, without servers.
+//! A simulator of the split of fleet-wide limits among entries, without servers, and the spread of subsets.
 
 use snipemast_config::document::Limits;
 use snipemast_core::prelude::*;
@@ -9,21 +9,26 @@
 use crate::report::Figures;
 
 const ENTRIES: usize = 9;
+/// The fleet-wide limit, in requests a second.
 const LIMIT: f64 = 900.0;
+/// Delay of a demand summary, in milliseconds.
 const LAG: u64 = 500;
-/// A slice of virtual time, in milliseconds.
+/// Length of a slice of virtual time, in milliseconds.
 const SLICE: u64 = 5;
 
-/// What happens to the entries half-way.
+/// What changes half-way through the simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Change {
     Nothing,
+    /// The demand rises and shifts between the entries.
     Step,
+    /// An entry dies.
     Death,
+    /// The network splits into two sides.
     Cut,
 }
 
-/// Measures how far a limit is overshot.
+/// Measures by how much entries exceed a limit together, and the size of demand summaries.
 pub fn measure(figures: &mut Figures) {
     let (steady, _, used) = overshoot(Change::Nothing);
     let (after_step, first, _) = overshoot(Change::Step);
@@ -53,7 +58,8 @@
     limiter: Limiter,
 }
 
-/// The worst second late on, the first second after the change, and the mean part that is used.
+/// Returns the overshoot of the worst second at the end and of the first second after the change,
+/// and the mean share of the limit that is used at the end.
 fn overshoot(change: Change) -> (f64, f64, f64) {
     let entry = |n| ProcessId::new(name("entry", n), Incarnation::new(1));
     let mut hosts: Vec<_> = (0..ENTRIES)
@@ -79,7 +85,7 @@
             if changed && change == Change::Death && n == 0 {
                 continue;
             }
-            // Each entry tells at its own time.
+            // Each entry sends its summary at its own time.
             if millis % 1_000 == (n as u64 * 110) / SLICE * SLICE {
                 wire.push((millis + LAG, n, host.demands.next_summary(now)));
             }
@@ -126,20 +132,20 @@
     (late.max(0.0), over(40).max(0.0), used)
 }
 
-/// The requests a second that an entry is asked for.
+/// Returns the requests a second that arrive at an entry.
 fn demand(change: Change, changed: bool, entry: usize) -> f64 {
     let usual = LIMIT * 1.5 * (entry + 1) as f64 / 45.0;
     match (change, changed) {
         (Change::Step, false) => usual * 0.2,
-        // The other way round, and fifteen times as much.
+        // The order of the entries is reversed, and the demand is fifteen times as much.
         (Change::Step, true) => LIMIT * 3.0 * (ENTRIES - entry) as f64 / 45.0,
-        // The callers of the smaller side come back in force.
+        // The callers of the smaller side send four times as much.
         (Change::Cut, true) if entry < 3 => usual * 4.0,
         _ => usual,
     }
 }
 
-/// The fewest and most entries that keep to one server.
+/// Returns the fewest and the most entries whose subsets contain the same server.
 pub fn degrees(entries: usize, servers: usize, size: usize, zones: usize) -> (usize, usize) {
     let mut counts = vec![0; servers];
     for entry in 0..entries {
--- a/crates/benches/src/traces.rs
+++ b/crates/benches/src/traces.rs
@@ -1,4 +1,4 @@
-//! Traces of expert popularity, and maps that baselines of our own make of them.
+//! Traces of expert popularity, and the expert maps that rebalancing baselines make from them.
 
 use std::f64::consts::TAU;
 
@@ -18,31 +18,31 @@
     pub slots: u16,
     /// Layers.
     pub layers: usize,
-    /// Tokens times chosen experts, of one layer in one step.
+    /// Tokens of one step times the experts that a layer chooses for each.
     pub tokens: f64,
 }
 
-/// What popularity does in a trace.
+/// How popularity develops over a trace.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// Zipf, always the same.
+    /// A constant Zipf distribution.
     Steady,
-    /// One Zipf order turns into another over the whole trace.
+    /// One Zipf distribution turns gradually into another over the whole trace.
     Drift,
-    /// One Zipf order turns into another at once, in the middle.
+    /// One Zipf distribution is replaced by another at the middle of the trace.
     Shift,
-    /// Now and then a few experts are four times as popular for two intervals.
+    /// At random times, a few experts are four times as popular for two intervals.
     Burst,
     /// One expert takes a third of the load.
     Dominant,
     /// Popularity is steady; one rank needs three times as long for a twentieth of the trace.
     Stall,
-    /// Ten workspaces with their own favourites, whose shares rise and fall.
+    /// Ten workspaces prefer different experts, and their shares rise and fall.
     Workspaces,
 }
 
 impl Kind {
-    /// Every kind.
+    /// All kinds.
     pub const ALL: [Self; 7] = [
         Self::Steady,
         Self::Drift,
@@ -53,7 +53,7 @@
         Self::Workspaces,
     ];
 
-    /// Its name in tables.
+    /// Returns the name used in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Steady => "steady",
@@ -70,16 +70,16 @@
 /// The true popularity of one layer's experts in every interval.
 #[derive(Debug)]
 pub struct Trace {
-    /// What it shows.
+    /// How popularity develops.
     pub kind: Kind,
-    /// The group.
+    /// The size of the group.
     pub shape: Shape,
-    /// By interval, layer and expert; each layer sums to 1.
+    /// Shares by interval, layer and expert; the shares of a layer sum to 1.
     pub shares: Vec<Vec<Vec<f64>>>,
 }
 
 impl Trace {
-    /// Makes a trace.
+    /// Generates a trace.
     pub fn new(kind: Kind, shape: Shape, intervals: usize, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let layers: Vec<Vec<Vec<f64>>> = (0..shape.layers)
@@ -93,7 +93,7 @@
         }
     }
 
-    /// How many times as long as usual a rank needs in an interval.
+    /// Returns how many times as long as usual a rank takes in an interval.
     pub fn slowness(&self, interval: usize, rank: usize) -> f64 {
         let length = self.shares.len();
         let stalled = (length / 2..length / 2 + length / 20).contains(&interval);
@@ -128,7 +128,7 @@
     }
 }
 
-/// Zipf shares in a random order.
+/// Returns Zipf shares in a random order.
 fn zipf(experts: usize, rng: &mut StdRng) -> Vec<f64> {
     let mut shares: Vec<f64> = (0..experts)
         .map(|n| 1.0 / (n as f64 + 1.0).powf(0.8))
@@ -173,19 +173,19 @@
 }
 
 fn workspaces(experts: usize, intervals: usize, rng: &mut StdRng) -> Vec<Vec<f64>> {
-    // A few are large.
+    // A few workspaces are large and most are small.
     let sizes: Vec<f64> = (0..10).map(|n| 1.0 / (n as f64 + 1.0)).collect();
-    let tastes: Vec<Vec<f64>> = sizes.iter().map(|_| zipf(experts, rng)).collect();
+    let preferences: Vec<Vec<f64>> = sizes.iter().map(|_| zipf(experts, rng)).collect();
     let phases: Vec<f64> = sizes.iter().map(|_| rng.random_range(0.0..TAU)).collect();
     (0..intervals)
         .map(|i| {
             let mut shares = vec![0.0; experts];
-            for ((size, taste), phase) in sizes.iter().zip(&tastes).zip(&phases) {
-                // Each workspace's day goes up and down twice over the trace.
-                let turn = 2.0 * TAU * i as f64 / intervals as f64 + phase;
-                let part = size * (1.0 + 0.8 * turn.sin());
-                for (share, taste) in shares.iter_mut().zip(taste) {
-                    *share += part * taste;
+            for ((size, preference), phase) in sizes.iter().zip(&preferences).zip(&phases) {
+                // Each workspace's load goes through two cycles over the trace.
+                let angle = 2.0 * TAU * i as f64 / intervals as f64 + phase;
+                let part = size * (1.0 + 0.8 * angle.sin());
+                for (share, preference) in shares.iter_mut().zip(preference) {
+                    *share += part * preference;
                 }
             }
             normalized(shares)
@@ -193,21 +193,21 @@
         .collect()
 }
 
-/// Tokens that each expert takes when so many are drawn.
+/// Draws at random how many of the tokens each expert receives.
 pub fn draw(shares: &[f64], tokens: f64, rng: &mut StdRng) -> Vec<f64> {
     let mean = shares.iter().map(|s| s * tokens);
     mean.map(|m| (m + m.sqrt() * normal(rng)).max(0.0).round())
         .collect()
 }
 
-/// A standard normal number, by Box and Muller.
+/// Returns a standard normal number, by the Box-Muller transform.
 fn normal(rng: &mut StdRng) -> f64 {
     let (u, v): (f64, f64) = (rng.random(), rng.random());
     (-2.0 * u.max(1e-300).ln()).sqrt() * (TAU * v).cos()
 }
 
-/// Packs every layer anew: spare slots go to whoever has most load a replica, then each replica,
-/// the largest first, goes to the least full rank.
+/// Packs every layer anew: each spare slot goes to the expert with the most load per replica, then
+/// the replicas are placed on the least loaded rank, the largest first.
 pub fn repacked(map: &ExpertMap, shares: &[Vec<f64>]) -> ExpertMap {
     let layers = map.layers.iter().zip(shares);
     ExpertMap {
@@ -224,7 +224,7 @@
         let part = |e: &usize| shares[*e] / counts[*e] as f64;
         let free = (0..shares.len()).filter(|e| counts[*e] < usize::from(old.ranks()));
         let hottest = free.max_by(|a, b| part(a).total_cmp(&part(b)));
-        counts[hottest.expect("some expert is not everywhere")] += 1;
+        counts[hottest.expect("some expert is missing on a rank")] += 1;
     }
     let mut replicas: Vec<(f64, u16)> = (0..shares.len())
         .flat_map(|e| vec![(shares[e] / counts[e] as f64, e as u16); counts[e]])
@@ -237,7 +237,7 @@
         let open = (0..old.ranks()).filter(|r| used[usize::from(*r)] < old.slots());
         let open = open.filter(|r| !layer.holds(*r, expert));
         let least = open.min_by(|a, b| loads[usize::from(*a)].total_cmp(&loads[usize::from(*b)]));
-        // The last replicas may find no rank without them; one replica less does no harm.
+        // All open ranks may already hold the expert; one replica less does no harm.
         let Some(rank) = least else { continue };
         layer.set(rank, used[usize::from(rank)], expert);
         used[usize::from(rank)] += 1;
@@ -246,7 +246,7 @@
     layer
 }
 
-/// Leaves every expert at home and fills the spare slots with replicas of the hottest ones.
+/// Keeps the home placement and fills the spare slots with replicas of the experts with most load.
 pub fn replicated(home: &ExpertMap, shares: &[Vec<f64>]) -> ExpertMap {
     let layers = home.layers.iter().zip(shares);
     ExpertMap {
--- a/crates/benches/src/voters.rs
+++ b/crates/benches/src/voters.rs
@@ -1,7 +1,7 @@
-//! Voters with real HTTP and disks over loopback, for the bench of the control role.
+//! Control voters with real HTTP and disks, over loopback.
 //!
-//! - [`VoterHost`]: one control host; its address and disk outlive its voter.
-//! - [`Cluster`]: a few of them, each behind a relay that counts bytes.
+//! - [`VoterHost`]: a control host, whose address and disk outlive its voter.
+//! - [`Cluster`]: several control hosts, each behind a relay that counts bytes.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -21,10 +21,10 @@
 use snipemast_entry::voter::{LogStorage, SubmitError, Voter, VoterOptions};
 use snipemast_wire::{listen, spawn, Listening};
 
-/// How long a submission may take.
-const PATIENCE: Span = Span::from_secs(10);
+/// Timeout of a submission.
+const SUBMIT_TIMEOUT: Span = Span::from_secs(10);
 
-/// The slot in which a host's voter runs, if it does.
+/// Holds a host's voter while it runs; answers 503 otherwise.
 #[derive(Clone, Default)]
 struct Slot(Arc<Mutex<Option<Arc<Voter>>>>);
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// A control host: its address and disk outlive its voter.
+/// A control host, whose address and disk outlive its voter.
 pub struct VoterHost {
     slot: Slot,
     options: VoterOptions,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Starts the voter, as soon as its data folder is free.
+    /// Starts the voter once its data folder is free.
     pub async fn start(&self) {
         loop {
             let version = Arc::clone(&self.version);
@@ -95,30 +95,30 @@
         }
     }
 
-    /// Ends the voter as a crash would.
+    /// Stops the voter as a crash would.
     pub fn kill(&self) {
         if let Some(voter) = self.slot.0.lock().take() {
             voter.kill();
         }
     }
 
-    /// The voter, if it runs.
+    /// Returns the voter, if it runs.
     pub fn voter(&self) -> Option<Arc<Voter>> {
         self.slot.0.lock().clone()
     }
 
-    /// The version that its state machine has.
+    /// Returns the configuration version of the state machine.
     pub fn version(&self) -> u64 {
         self.version.load(Ordering::Acquire)
     }
 
-    /// Bytes that others exchanged with it, both ways.
+    /// Returns the bytes of connections to the host, in both directions.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 }
 
-/// A few control hosts.
+/// Several control hosts with a leader.
 pub struct Cluster {
     /// The hosts.
     pub hosts: Vec<VoterHost>,
@@ -127,7 +127,7 @@
 }
 
 impl Cluster {
-    /// Starts so many voters and waits for a leader.
+    /// Starts `count` voters and waits for a leader.
     pub async fn start(count: u64, timing: Timing) -> Self {
         let root = folder("cluster");
         let mut hosts = Vec::new();
@@ -148,25 +148,25 @@
         cluster
     }
 
-    /// The place of the host that leads, once one does.
+    /// Waits until a host leads and returns its index.
     pub async fn leader(&self) -> usize {
         loop {
             let leads = |h: &VoterHost| h.voter().is_some_and(|v| v.is_leader());
-            if let Some(place) = self.hosts.iter().position(leads) {
-                return place;
+            if let Some(index) = self.hosts.iter().position(leads) {
+                return index;
             }
             pause(2).await;
         }
     }
 
-    /// Submits a patch through a host until it is accepted against the version in force.
-    pub async fn patch(&self, place: usize) {
+    /// Submits a patch through a host, and retries against the host's newest version until it is accepted.
+    pub async fn patch(&self, index: usize) {
         let number = self.patches.fetch_add(1, Ordering::Relaxed);
         let mut attempt = 0;
         loop {
-            let base = Version(self.hosts[place].version());
+            let base = Version(self.hosts[index].version());
             let id = format!("patch-{number}-{attempt}");
-            let Some(voter) = self.hosts[place].voter() else {
+            let Some(voter) = self.hosts[index].voter() else {
                 return;
             };
             match submit(&voter, &id, base).await {
@@ -183,12 +183,12 @@
         for host in &self.hosts {
             host.kill();
         }
-        // What the system's temporary folder keeps is removed with it.
+        // A folder that can't be removed stays in the system's temporary folder and does no harm.
         let _ = std::fs::remove_dir_all(&self.root);
     }
 }
 
-/// An empty folder of this process.
+/// Returns the path of a temporary folder of this process, and removes what an earlier run left there.
 pub fn folder(name: &str) -> PathBuf {
     let name = format!("snipemast-bench-{name}-{}", std::process::id());
     let path = std::env::temp_dir().join(name);
@@ -196,7 +196,7 @@
     path
 }
 
-/// The command of a small patch: one workspace's weight.
+/// Returns the command of a small patch, which sets one workspace's weight.
 pub fn command(id: &str, base: Version) -> Vec<u8> {
     let keys = [KeyHash::from_key("bench")];
     let weight = base.get() % 7 + 1;
@@ -210,7 +210,7 @@
 }
 
 async fn submit(voter: &Voter, id: &str, base: Version) -> Result<Verdict, SubmitError> {
-    let reply = voter.submit(command(id, base), PATIENCE).await?;
+    let reply = voter.submit(command(id, base), SUBMIT_TIMEOUT).await?;
     match Reply::from_bytes(&reply) {
         Reply::Verdict(verdict) => Ok(verdict),
         _ => Err(SubmitError::Unknown),
@@ -222,31 +222,31 @@
     Journal::silent(Arc::new(Ring::new(process, 256)))
 }
 
-/// Waits for some milliseconds.
+/// Waits for a number of milliseconds.
 pub async fn pause(millis: u64) {
     smol::Timer::after(Span::from_millis(millis).as_duration()).await;
 }
 
-/// Passes connections on to an address and counts their bytes.
+/// Starts a relay that forwards connections to an address and counts their bytes; returns its address.
 async fn relay(to: SocketAddr, bytes: Arc<AtomicU64>) -> SocketAddr {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = TcpListener::bind(any).await.expect("port 0 binds");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     spawn(async move {
         while let Ok((near, _)) = listener.accept().await {
             let Ok(far) = TcpStream::connect(to).await else {
                 continue;
             };
             let _ = (near.set_nodelay(true), far.set_nodelay(true));
-            spawn(pump(near.clone(), far.clone(), Arc::clone(&bytes))).detach();
-            spawn(pump(far, near, Arc::clone(&bytes))).detach();
+            spawn(forward_bytes(near.clone(), far.clone(), Arc::clone(&bytes))).detach();
+            spawn(forward_bytes(far, near, Arc::clone(&bytes))).detach();
         }
     })
     .detach();
     address
 }
 
-async fn pump(mut from: TcpStream, mut to: TcpStream, bytes: Arc<AtomicU64>) {
+async fn forward_bytes(mut from: TcpStream, mut to: TcpStream, bytes: Arc<AtomicU64>) {
     let mut buffer = vec![0; 16 << 10];
     loop {
         match from.read(&mut buffer).await {
--- a/crates/benches/tests/placing.rs
+++ b/crates/benches/tests/placing.rs
@@ -1,6 +1,6 @@
 //! Many gateways that place requests on one group's ranks.
 
-use snipemast_benches::placing::{play, Outcome, Setup};
+use snipemast_benches::placing::{simulate, Outcome, Setup};
 use snipemast_core::prelude::*;
 use snipemast_placement::pick::{Least, Pick, PickPolicy, Sampled};
 
@@ -17,8 +17,8 @@
     outcomes.iter().map(figure).sum::<f64>() / outcomes.len() as f64
 }
 
-fn played<P: Pick>() -> Vec<Outcome> {
-    (1..=5).map(|seed| play::<P>(&fresh(seed))).collect()
+fn simulate_seeds<P: Pick>() -> Vec<Outcome> {
+    (1..=5).map(|seed| simulate::<P>(&fresh(seed))).collect()
 }
 
 /// A user waits a second and more for the first token although half of all slots are free: 40 gateways see the same
@@ -28,11 +28,11 @@
 /// refused, and the fullest rank has less than twice the mean over half a second.
 #[test]
 fn gateways_spread() {
-    let seen = played::<PickPolicy>();
+    let seen = simulate_seeds::<PickPolicy>();
     assert!(mean(&seen, |s| s.waited) < 0.01, "{seen:?}");
     assert!(mean(&seen, |s| s.refused) < 0.01, "{seen:?}");
     assert!(mean(&seen, |s| s.fullest) < 2.0, "{seen:?}");
-    let herd = played::<Least>();
+    let herd = simulate_seeds::<Least>();
     assert!(mean(&herd, |s| s.waited) > 0.1, "{herd:?}");
 }
 
@@ -45,7 +45,7 @@
         seed: 3,
         ..Setup::large()
     };
-    let (herd, spread) = (play::<Least>(&old), play::<Sampled>(&old));
+    let (herd, spread) = (simulate::<Least>(&old), simulate::<Sampled>(&old));
     assert!(herd.refused > 0.2, "{herd:?}");
     assert!(spread.refused < 0.05, "{spread:?}");
 }
