--- a/crates/benches/benches/capacity.rs
+++ b/crates/benches/benches/capacity.rs
@@ -1,4 +1,4 @@
-//! Prints the table of `docs/CAPACITY.md` out of the figures in `docs/figures/`.
+//! Prints the table of `docs/CAPACITY.md` from the figures in `docs/figures/`.
 
 use std::path::Path;
 
--- a/crates/benches/benches/configuration.rs
+++ b/crates/benches/benches/configuration.rs
@@ -1,4 +1,4 @@
-//! What the configuration costs: patches, catching up, and traffic.
+//! Measures what the configuration costs: patches, catch-up and traffic.
 
 use snipemast_benches::config_costs;
 use snipemast_benches::report::{BenchArgs, Figures};
--- a/crates/benches/benches/control.rs
+++ b/crates/benches/benches/control.rs
@@ -1,4 +1,4 @@
-//! The control role: what a patch, a lost leader, a restart and an idle minute cost.
+//! Measures the control role: patches, the loss of a leader, restarts and idle traffic.
 
 use std::fs::OpenOptions;
 use std::io::Write as _;
@@ -19,17 +19,18 @@
 };
 use snipemast_core::prelude::*;
 
-/// The sizes of two years.
+/// Number of workspaces in the fleet planned for two years from now.
 const WORKSPACES: u64 = 2_000;
+/// Number of models in the fleet planned for two years from now.
 const MODELS: u64 = 25;
-/// Changes of configuration a day.
-const DAILY: f64 = 430.0;
+/// Patches of the configuration a day.
+const PATCHES_PER_DAY: f64 = 430.0;
 const DAY: f64 = 86_400.0;
 
 fn main() {
     let args = BenchArgs::parse();
     let mut figures = Figures::new();
-    begin("configuration");
+    print_stage("configuration");
     config_costs::measure(&mut figures, args.quick);
     measure_apply(&mut figures);
     measure_restart(args, &mut figures);
@@ -37,14 +38,14 @@
     figures.print(args);
 }
 
-/// Says on the error output how far the bench has come.
-fn begin(stage: &str) {
+/// Prints to standard error which stage of the bench begins.
+fn print_stage(stage: &str) {
     eprintln!("control: {stage}");
 }
 
-/// One patch on the configuration of two years, by the state machine alone.
+/// Measures one patch on the configuration of the planned fleet, in the state machine alone.
 fn measure_apply(figures: &mut Figures) {
-    begin("apply");
+    print_stage("apply");
     let mut machine = ConfigMachine::default();
     let workspaces = (0..WORKSPACES).map(|i| {
         let name = format!("w-{i}");
@@ -60,7 +61,7 @@
     assert_eq!(
         machine.config().version,
         Version(1),
-        "the sizes are accepted"
+        "the configuration of the planned fleet is accepted"
     );
     let times = (0..200).map(|i| {
         let set = json!({ "workspaces": { format!("w-{i}"): { "weight": i % 5 + 20 } } });
@@ -96,9 +97,10 @@
     Command::Submit(Submission::new(patch)).to_bytes()
 }
 
-/// A restart with 100,000 changes behind it: with snapshots, and by the log alone.
+/// Measures a restart after 100,000 changes (20,000 in a quick run), with snapshots and with the
+/// log alone.
 fn measure_restart(args: BenchArgs, figures: &mut Figures) {
-    begin("restart");
+    print_stage("restart");
     let changes = if args.quick { 20_000 } else { 100_000 };
     let with = restart(changes, Timing::default());
     let without = restart(
@@ -108,14 +110,14 @@
             ..Timing::default()
         },
     );
-    // A shorter history is another figure, so it gets another name.
+    // The time depends on the length of the history, so its length is part of the key.
     let name = if args.quick { "20k" } else { "100k" };
     figures.add(&format!("restart_{name}_s"), with);
     figures.add(&format!("restart_{name}_no_snapshot_s"), without);
 }
 
-/// A voter alone on a data folder.
-struct Alone {
+/// A single voter with its data folder.
+struct SingleVoter {
     disk: DiskStorage,
     node: Node<ConfigMachine>,
     now: Moment,
@@ -123,34 +125,36 @@
     number: u64,
 }
 
-impl Alone {
+impl SingleVoter {
     fn open(folder: &Path, timing: Timing) -> Self {
-        let seat = Location {
+        let location = Location {
             host: "host-1".parse().expect("a valid name"),
             zone: "zone-1".parse().expect("a valid name"),
             address: ([127, 0, 0, 1], 1).into(),
         };
-        let (disk, opened) = DiskStorage::open(folder, &seat, VoterId(1)).expect("it opens");
-        let boot = NodeParams {
+        let (disk, opened) =
+            DiskStorage::open(folder, &location, VoterId(1)).expect("the folder opens");
+        let params = NodeParams {
             id: VoterId(1),
             start: 1,
             cluster: ClusterId(1),
-            first_voters: Voters::new([(VoterId(1), seat)].into()),
+            first_voters: Voters::new([(VoterId(1), location)].into()),
             stored: opened.stored,
             timing,
             seed: 1,
         };
-        let node = Node::new(boot, ConfigMachine::default(), Moment::ZERO).expect("it starts");
-        let mut alone = Self {
+        let node =
+            Node::new(params, ConfigMachine::default(), Moment::ZERO).expect("the node starts");
+        let mut single = Self {
             disk,
             node,
             now: Moment::ZERO,
             writes: Vec::new(),
             number: 0,
         };
-        alone.step(Input::Tick);
-        alone.sync();
-        alone
+        single.step(Input::Tick);
+        single.sync();
+        single
     }
 
     fn step(&mut self, input: Input) {
@@ -165,38 +169,43 @@
 
     fn sync(&mut self) {
         let writes = std::mem::take(&mut self.writes);
-        self.disk.write(&writes).expect("the disk takes it");
+        self.disk
+            .write(&writes)
+            .expect("the disk accepts the write");
         self.step(Input::Synced { write: self.number });
     }
 }
 
 fn restart(changes: u64, timing: Timing) -> f64 {
     let folder = folder("restart");
-    let mut alone = Alone::open(&folder, timing);
+    let mut single = SingleVoter::open(&folder, timing);
     for i in 0..changes {
         let command = command(&format!("p-{i}"), Version(i));
-        alone.step(Input::Propose {
+        single.step(Input::Propose {
             ticket: Ticket(i),
             command,
         });
         if i % 500 == 499 {
-            alone.sync();
+            single.sync();
         }
     }
-    alone.sync();
-    assert_eq!(alone.node.machine().config().version, Version(changes));
-    drop(alone);
+    single.sync();
+    assert_eq!(single.node.machine().config().version, Version(changes));
+    drop(single);
     let begun = Instant::now();
-    let alone = Alone::open(&folder, timing);
+    let single = SingleVoter::open(&folder, timing);
     let took = begun.elapsed().as_secs_f64();
-    assert!(alone.node.is_leader(), "it goes on");
-    assert_eq!(alone.node.machine().config().version, Version(changes));
-    drop(alone);
+    assert!(
+        single.node.is_leader(),
+        "a single voter leads after a restart"
+    );
+    assert_eq!(single.node.machine().config().version, Version(changes));
+    drop(single);
     let _ = std::fs::remove_dir_all(&folder);
     took
 }
 
-/// Five voters over HTTP, each on its own folder of the same disk.
+/// Measures five voters over HTTP, each with its own folder on the same disk.
 async fn measure_cluster(args: BenchArgs, figures: &mut Figures) {
     let cluster = Cluster::start(5, Timing::default()).await;
     let sync = measure_sync();
@@ -204,13 +213,13 @@
     measure_patches(&cluster, args, sync, figures).await;
     measure_idle(&cluster, args, figures).await;
     measure_failover(&cluster, args, figures).await;
-    // A thousand patches, one after the other, take longer than a quick run may.
+    // A thousand consecutive patches take too long for a quick run.
     if !args.quick {
         measure_catchup(&cluster, figures).await;
     }
 }
 
-/// One append of 300 bytes and its sync: the least that a durable patch can cost.
+/// Returns the time to append 300 bytes and sync them, the least that a durable patch can take.
 fn measure_sync() -> f64 {
     let path = folder("sync");
     let mut options = OpenOptions::new();
@@ -220,7 +229,8 @@
         .expect("the temporary folder is writable");
     let times = (0..200).map(|_| {
         let begun = Instant::now();
-        file.write_all(&[7; 300]).expect("the disk takes it");
+        file.write_all(&[7; 300])
+            .expect("the disk accepts the write");
         file.sync_data().expect("the disk syncs");
         begun.elapsed().as_secs_f64()
     });
@@ -230,7 +240,7 @@
 }
 
 async fn measure_patches(cluster: &Cluster, args: BenchArgs, sync: f64, figures: &mut Figures) {
-    begin("patches");
+    print_stage("patches");
     let count = if args.quick { 50 } else { 400 };
     let leader = cluster.leader().await;
     let mut times = Vec::new();
@@ -248,9 +258,9 @@
     figures.add("patch_p50_vs_fsync", p50 / sync);
 }
 
-/// What the voters say to each other: at rest, and for one patch.
+/// Measures the traffic between voters, idle and for one patch.
 async fn measure_idle(cluster: &Cluster, args: BenchArgs, figures: &mut Figures) {
-    begin("idle");
+    print_stage("idle");
     let seconds = if args.quick { 4 } else { 20 };
     let leader = cluster.leader().await;
     let bytes = || -> Vec<u64> { cluster.hosts.iter().map(|h| h.bytes()).collect() };
@@ -263,8 +273,8 @@
         pause(20).await;
     }
     let each = total(&before, &bytes()) / 20.0;
-    // All traffic is between the leader and its followers, so all of it passes the leader.
-    let daily = each * DAILY / DAY;
+    // All traffic is between the leader and its followers, so the leader carries all of it.
+    let daily = each * PATCHES_PER_DAY / DAY;
     let followers = (cluster.hosts.len() - 1) as f64;
     figures.add("voter_leader_bytes_s", idle + daily);
     figures.add("voter_follower_bytes_s", (idle + daily) / followers);
@@ -277,9 +287,9 @@
     (after - before) as f64
 }
 
-/// A voter starts again after 1,000 changes have passed it by.
+/// Measures the catch-up of a voter that restarts after it missed 1,000 changes.
 async fn measure_catchup(cluster: &Cluster, figures: &mut Figures) {
-    begin("catch-up");
+    print_stage("catch-up");
     let leader = cluster.leader().await;
     let behind = &cluster.hosts[(leader + 1) % cluster.hosts.len()];
     behind.kill();
@@ -295,9 +305,9 @@
     figures.add("voter_catchup_1000_s", begun.elapsed().as_secs_f64());
 }
 
-/// The leader is killed; how long until the next patch is accepted?
+/// Measures the time from the leader's crash until the next patch is accepted.
 async fn measure_failover(cluster: &Cluster, args: BenchArgs, figures: &mut Figures) {
-    begin("failover");
+    print_stage("failover");
     let rounds = if args.quick { 2 } else { 9 };
     let mut times = Vec::new();
     for _ in 0..rounds {
@@ -315,7 +325,7 @@
     figures.add("failover_s", times.last().copied().unwrap_or(f64::NAN));
 }
 
-/// Sorts the values and gives the middle one.
+/// Sorts the values and returns the median.
 fn median(values: &mut [f64]) -> f64 {
     values.sort_unstable_by(f64::total_cmp);
     values[values.len() / 2]
--- a/crates/benches/benches/decisions.rs
+++ b/crates/benches/benches/decisions.rs
@@ -1,6 +1,6 @@
-//! Ways to pick a server, side by side: by the number of gateways, the age of their counts and the load.
+//! Compares policies that pick a server, by the number of gateways, the age of their counts and the load.
 //!
-//! Virtual time; all ways get the same arrivals.
+//! The simulation runs in virtual time, and all policies get the same arrivals.
 
 use snipemast_benches::placing::{simulate, Outcome, Setup};
 use snipemast_benches::plots::{draw, Line, Scale};
@@ -8,10 +8,10 @@
 use snipemast_core::prelude::*;
 use snipemast_placement::pick::{Expected, Least, Sampled};
 
-/// A way to pick a server, by its name in the figures.
-type Way = (&'static str, fn(&Setup) -> Outcome);
+/// A pick policy: its name in the figures, and its simulation.
+type Policy = (&'static str, fn(&Setup) -> Outcome);
 
-const WAYS: [Way; 3] = [
+const POLICIES: [Policy; 3] = [
     ("least", simulate::<Least>),
     ("sampled", simulate::<Sampled>),
     ("expected", simulate::<Expected>),
@@ -43,25 +43,25 @@
 fn compare(args: BenchArgs, load: f64, setup: &Setup, figures: &mut Figures) {
     let name = setup.gateways;
     let wait = setup.wait.as_micros() / 1_000;
-    for (way, simulate) in WAYS {
-        let seen = simulate(setup);
+    for (policy, simulate) in POLICIES {
+        let outcome = simulate(setup);
         if !args.json {
             println!(
-                "{name:>4} gateways, load {load}, counts each {wait:>3} ms, {way:>8}: late {:.4}, waited {:.4}, refused {:.4}, failed {:.4}, fullest {:.2}, mean in flight {:.2}",
-                seen.late, seen.waited, seen.refused, seen.failed, seen.fullest, seen.load
+                "{name:>4} gateways, load {load}, counts each {wait:>3} ms, {policy:>8}: late {:.4}, waited {:.4}, refused {:.4}, failed {:.4}, fullest {:.2}, mean in flight {:.2}",
+                outcome.late, outcome.waited, outcome.refused, outcome.failed, outcome.fullest, outcome.load
             );
         }
-        let key = format!("{way}_{name}_gateways_{load}_load_{wait}_ms");
-        figures.add(&format!("{key}_late"), seen.late);
-        figures.add(&format!("{key}_waited"), seen.waited);
-        figures.add(&format!("{key}_refused"), seen.refused);
-        figures.add(&format!("{key}_fullest"), seen.fullest);
+        let key = format!("{policy}_{name}_gateways_{load}_load_{wait}_ms");
+        figures.add(&format!("{key}_late"), outcome.late);
+        figures.add(&format!("{key}_waited"), outcome.waited);
+        figures.add(&format!("{key}_refused"), outcome.refused);
+        figures.add(&format!("{key}_fullest"), outcome.fullest);
     }
 }
 
 fn plot(length: Span) {
     let gateways = [3, 7, 15, 30, 60, 100, 150];
-    let lines = WAYS.map(|(way, simulate)| {
+    let lines = POLICIES.map(|(policy, simulate)| {
         let points = gateways.map(|gateways| {
             let setup = Setup {
                 gateways,
@@ -70,7 +70,7 @@
             };
             (gateways as f64, 100.0 * simulate(&setup).late)
         });
-        Line::new(way, points.to_vec())
+        Line::new(policy, points.to_vec())
     });
     draw(
         "docs/plots/placing.svg",
--- a/crates/benches/benches/membership/calls.rs
+++ b/crates/benches/benches/membership/calls.rs
@@ -1,4 +1,4 @@
-//! What one HTTP call of membership costs besides its messages, on loopback.
+//! Measures what one HTTP call of membership costs besides its messages, on loopback.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,15 +11,15 @@
 use snipemast_wire::serve::{message, reply};
 use snipemast_wire::{listen, Packed, Peer};
 
-/// The text of a message of ordinary size.
+/// Length of the text in a message of usual size.
 const BODY: usize = 120;
 
-/// What one call costs.
+/// The costs of one call.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Calls {
-    /// The bytes of the heads, both directions.
+    /// Bytes of the HTTP heads, in both directions.
     pub(crate) heads: f64,
-    /// The processor time of one side, in microseconds.
+    /// CPU time of one side, in microseconds.
     pub(crate) cpu_us: f64,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Measures over some calls.
+/// Measures the CPU time over `count` calls, and the heads over 20.
 pub(crate) fn measure(count: u64) -> Calls {
     smol::block_on(async {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -62,7 +62,7 @@
     }
 }
 
-/// Passes bytes on between a client and the server, and counts them.
+/// Starts a relay that forwards connections to the server and counts their bytes; returns its address.
 fn relay(server: SocketAddr, counted: Arc<AtomicU64>) -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port is free");
     let address = listener.local_addr().expect("the listener is bound");
@@ -94,12 +94,12 @@
     }
 }
 
-/// The processor time of this process, in microseconds.
+/// Returns the CPU time of this process, in microseconds.
 fn cpu_us() -> f64 {
     let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = text.rsplit(')').next().unwrap_or_default();
     let ticks = fields.split_whitespace().skip(11).take(2);
     let ticks: f64 = ticks.filter_map(|n| n.parse::<f64>().ok()).sum();
-    // A tick is a hundredth of a second on every Linux of ours.
+    // Assumes ticks of a hundredth of a second, as on all our Linux hosts.
     ticks * 10_000.0
 }
--- a/crates/benches/benches/membership/flat.rs
+++ b/crates/benches/benches/membership/flat.rs
@@ -1,9 +1,9 @@
-//! The union over owned sets against a flat last-writer-wins map, in one run.
+//! Compares the union over owned sets with a flat last-writer-wins map, in one run.
 //!
-//! Both are read from the same owners' changes in the same order of arrival. The flat map keeps
-//! one cell an agent, present or absent, and the latest write of any owner wins; a write is
-//! stamped when its owner made it. A wrong absence there lasts until an owner writes again, which
-//! no owner does here: so drops are counted, not how long they last.
+//! Both are derived from the same changes of owners in the same order of arrival. The flat map has
+//! one cell for each agent, present or absent, and the latest write of any owner wins; a write is
+//! stamped with the time at which its owner made it. A wrong absence in the flat map lasts until an
+//! owner writes again. No owner does so here, so the bench counts drops and not their duration.
 
 use std::collections::{HashMap, HashSet};
 
@@ -15,19 +15,20 @@
 
 use crate::scenes::dead_entries;
 
-/// How often the two readings are compared.
-const STEP: Span = Span::from_millis(50);
+/// Interval at which the two results are compared.
+const COMPARE_INTERVAL: Span = Span::from_millis(50);
 
-/// Every so many seconds an entry is replaced, so that its agents move.
-const REPLACED: u64 = 60;
+/// Seconds between two replacements of entries, which make agents move.
+const REPLACE_SECS: u64 = 60;
 
-/// When each owner made each of its versions.
+/// The times at which owners made their versions.
 #[derive(Default)]
 struct Stamps {
     made: HashMap<(HostId, u64, u64), Moment>,
 }
 
-/// Runs today's fleet at a loss while entries are replaced, and counts wrong absences.
+/// Runs the present fleet with a share of messages lost while entries are replaced, and counts wrong
+/// absences.
 pub(crate) fn compare(name: &str, loss: f64, secs: u64, copies: usize, figures: &mut Figures) {
     let mut members = Members::start_with(Shape::TODAY, 3, copies);
     members.run(20);
@@ -37,12 +38,12 @@
     let mut absent: HashSet<(Index, HostId)> = HashSet::new();
     let mut drops = 0;
     for second in 0..secs {
-        if second % REPLACED == REPLACED / 2 {
-            replace(&mut members, second);
+        if second % REPLACE_SECS == REPLACE_SECS / 2 {
+            replace_entry(&mut members, second);
         }
-        for _ in 0..1_000_000 / STEP.as_micros() {
-            members.fleet.run(STEP);
-            drops += take(&mut members, &mut stamps, &mut absent);
+        for _ in 0..1_000_000 / COMPARE_INTERVAL.as_micros() {
+            members.fleet.run(COMPARE_INTERVAL);
+            drops += count_drops(&mut members, &mut stamps, &mut absent);
         }
     }
     let union = members.fleet.drops.len() + dead_entries(&members.fleet);
@@ -53,9 +54,9 @@
     }
 }
 
-/// An entry drains, leaves and starts again, which moves its agents.
-fn replace(members: &mut Members, second: u64) {
-    let number = second / REPLACED;
+/// Drains and restarts an entry, which makes its agents move.
+fn replace_entry(members: &mut Members, second: u64) {
+    let number = second / REPLACE_SECS;
     let index = members.entries[number as usize % members.entries.len()];
     members.fleet.tell(index, Input::Drain);
     members.run(2);
@@ -65,11 +66,15 @@
     members.restart(index, number + 2);
 }
 
-/// Takes the changes of a step, and counts agents that the flat map now holds for absent.
-fn take(members: &mut Members, stamps: &mut Stamps, absent: &mut HashSet<(Index, HostId)>) -> u32 {
+/// Processes the changes of a step, and returns how many running agents the flat map newly has as absent.
+fn count_drops(
+    members: &mut Members,
+    stamps: &mut Stamps,
+    absent: &mut HashSet<(Index, HostId)>,
+) -> u32 {
     let changed = std::mem::take(&mut members.fleet.changed);
     for (at, index, _) in &changed {
-        stamps.note(members, *at, *index);
+        stamps.record(members, *at, *index);
     }
     let mut drops = 0;
     for (_, index, host) in changed {
@@ -88,8 +93,8 @@
 }
 
 impl Stamps {
-    /// Notes the version that an owner has reached.
-    fn note(&mut self, members: &Members, at: Moment, index: Index) {
+    /// Records the version that an owner has reached.
+    fn record(&mut self, members: &Members, at: Moment, index: Index) {
         let Some(node) = members.fleet.node(index) else {
             return;
         };
@@ -104,7 +109,7 @@
         }
     }
 
-    /// What the flat map says of an agent at an entry: the latest write of all owners.
+    /// Returns whether the flat map of an entry has an agent as present, by the latest write of all owners.
     fn is_present(&self, members: &Members, index: Index, host: &HostId) -> Option<bool> {
         let node = members.fleet.node(index)?;
         let mut latest = None;
--- a/crates/benches/benches/membership/main.rs
+++ b/crates/benches/benches/membership/main.rs
@@ -1,9 +1,9 @@
-//! Membership's state machines of three sizes, in one process, over a virtual wire and clock.
+//! Measures fleets of membership state machines in three sizes, in one process, over a virtual network
+//! and clock.
 //!
-//! Bytes are those of the encoded messages, plus the HTTP heads of each call as a relay on
-//! loopback counted them in this run, sent and received together. What TCP and IP add is not
-//! counted. The processor time is that of the state machine and codec, plus that of an HTTP call
-//! as measured on loopback in this run.
+//! Bytes are those of the encoded messages, sent and received, plus the HTTP heads of each call as a
+//! relay on loopback counts them in the same run. What TCP and IP add is not counted. CPU time is
+//! that of the state machine and codec, plus that of an HTTP call on loopback in the same run.
 
 mod calls;
 mod flat;
@@ -17,7 +17,7 @@
 
 use calls::Calls;
 
-/// Restarts and crashes of an ordinary day at the largest size.
+/// Number of restarts and crashes on a usual day at the largest size.
 const EVENTS: f64 = 338.0;
 
 const DAY: f64 = 86_400.0;
@@ -41,7 +41,7 @@
     figures.print(args);
 }
 
-/// The fleet of two years: what a day costs, and how soon things are known.
+/// Measures the planned fleet: the costs of a day, and how soon entries know of changes.
 fn largest(args: BenchArgs, calls: Calls, base: f64, figures: &mut Figures) {
     let before = resident_mb();
     let mut members = settled("later", Shape::LATER, figures);
@@ -69,7 +69,7 @@
     }
 }
 
-/// False removals over virtual time at losses, and the flat map under the same events.
+/// Counts false removals while messages are lost, also for the flat map under the same events.
 fn losses(args: BenchArgs, figures: &mut Figures) {
     let hour = if args.quick { 120 } else { 3_600 };
     flat::compare("1pct", 0.01, hour / 6, 2, figures);
@@ -85,7 +85,7 @@
     figures.add("false_removals_5pct", removals + larger);
 }
 
-/// Starts a fleet and waits until all know all.
+/// Starts a fleet and waits until every entry knows all processes.
 fn settled(name: &str, shape: Shape, figures: &mut Figures) -> Members {
     let begun = Instant::now();
     let mut members = Members::start(shape, 1);
@@ -99,15 +99,15 @@
     members
 }
 
-/// What a second costs when nothing happens but renewals, rounds and riders.
+/// Measures a second with only renewals, gossip rounds and piggybacked values.
 fn idle(name: &str, members: &mut Members, calls: Calls, figures: &mut Figures) -> Used {
-    // News of the start is still passed on for a while.
+    // Changes from the start are still spread for a while.
     members.run(40);
     members.clear();
     let secs = 20;
-    // The pace at which entries tell their demand: a second, and 50 ms for each of them.
+    // Seconds between two demand summaries of an entry: one, and 50 ms for each entry.
     let pace = 1 + members.shape.entries as u64 / 20;
-    scenes::with_riders(members, secs, pace);
+    scenes::run_piggybacking(members, secs, pace);
     let span = Span::from_secs(secs);
     let entries = members.used(&members.entries, span, calls.heads);
     let agents = members.used(&members.agents, span, calls.heads);
@@ -120,13 +120,13 @@
     entries
 }
 
-/// What following the configuration adds, estimated: a poll of 600 bytes every 10 s, and 430
-/// patches a day of 1 KB each, received once and passed on once.
+/// Returns an estimate of the bytes a second for following the configuration: a poll of 600 bytes
+/// every 10 s, and 430 patches a day of 1 KB each, received once and passed on once.
 fn config_bytes() -> f64 {
     600.0 / 10.0 + 430.0 * 2.0 * 1_024.0 / DAY
 }
 
-/// The memory of this process.
+/// Returns the resident memory of this process in MB.
 fn resident_mb() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1).and_then(|n| n.parse().ok());
--- a/crates/benches/benches/membership/scenes.rs
+++ b/crates/benches/benches/membership/scenes.rs
@@ -1,4 +1,4 @@
-//! What happens to a fleet, and what it costs and takes.
+//! Events in a fleet, such as restarts and crashes, with their traffic and the time until they are known.
 
 use snipemast_benches::members::{Members, Shape};
 use snipemast_benches::report::Figures;
@@ -9,8 +9,9 @@
 
 use crate::calls::Calls;
 
-/// Runs with riders: 48 bytes of demand at a pace, and 24 bytes of versions every minute.
-pub(crate) fn with_riders(members: &mut Members, secs: u64, pace: u64) {
+/// Runs a fleet whose entries piggyback 48 bytes of demand every `pace` seconds and 24 bytes of
+/// versions every minute.
+pub(crate) fn run_piggybacking(members: &mut Members, secs: u64, pace: u64) {
     for second in 0..secs {
         for (number, index) in members.entries.clone().into_iter().enumerate() {
             let number = number as u64;
@@ -25,11 +26,11 @@
     }
 }
 
-/// What a second costs where entries tell their demand once a minute only.
+/// Measures a second in which entries send their demand only once a minute.
 pub(crate) fn sparse(members: &mut Members, calls: Calls, figures: &mut Figures) -> f64 {
-    with_riders(members, 20, 60);
+    run_piggybacking(members, 20, 60);
     members.clear();
-    with_riders(members, 20, 60);
+    run_piggybacking(members, 20, 60);
     let used = members.used(&members.entries, Span::from_secs(20), calls.heads);
     figures.add("later_entry_bytes_sparse_demand", used.bytes);
     used.bytes
@@ -41,7 +42,7 @@
     members.fleet.tell(entry, input);
 }
 
-/// Restarts of agents and entries; returns the bytes that one costs each entry.
+/// Restarts agents and entries; returns the bytes that one restart costs each entry.
 pub(crate) fn churn(
     members: &mut Members,
     events: usize,
@@ -58,7 +59,7 @@
         } else {
             members.agents[40 + number]
         };
-        replace(members, index, number as u64 + 2);
+        restart(members, index, number as u64 + 2);
     }
     members.run(10);
     let secs = events as f64 * 4.0 + 10.0;
@@ -69,8 +70,8 @@
     cost
 }
 
-/// A process drains, ends and starts again, in four seconds.
-fn replace(members: &mut Members, index: Index, start: u64) {
+/// Drains, stops and restarts a process, in four seconds.
+fn restart(members: &mut Members, index: Index, start: u64) {
     let entry = members.fleet.node(index).is_some();
     if entry {
         members.fleet.tell(index, Input::Drain);
@@ -89,7 +90,7 @@
     members.run(1);
 }
 
-/// How long until all connected entries know of a drain, a crash and a join.
+/// Measures how soon all connected entries know of a drain, a crash and a join.
 pub(crate) fn times(members: &mut Members, trials: usize, figures: &mut Figures) {
     let (mut drains, mut crashes, mut entries, mut joins) = Default::default();
     for trial in 0..trials {
@@ -105,7 +106,7 @@
         wait(members, &mut crashes, agent, unroutable);
         let entry = members.entries[100 + trial];
         members.fleet.crash(entry);
-        wait(members, &mut entries, entry, buried);
+        wait(members, &mut entries, entry, removed);
     }
     let mut all = crashes.clone();
     all.extend(&entries);
@@ -116,7 +117,7 @@
     add(figures, "join_known", &mut joins);
 }
 
-/// A rack of hosts of one zone goes at once.
+/// Crashes a rack of hosts of one zone at once.
 pub(crate) fn rack(members: &mut Members, calls: Calls, figures: &mut Figures) {
     let zone = members.fleet.processes[members.entries[0]]
         .place
@@ -142,7 +143,7 @@
     figures.add("rack_drops", members.fleet.drops.len() as f64);
 }
 
-/// A zone is cut off, things change on both sides, and it heals.
+/// Cuts a zone off, restarts agents on both sides, and reconnects the zone.
 pub(crate) fn zone(members: &mut Members, calls: Calls, figures: &mut Figures) {
     let zone: ZoneId = "zone-1".parse().expect("a valid name");
     let inside = Side::Zone(zone.clone());
@@ -172,7 +173,7 @@
     figures.add("zone_drops", cut_drops as f64);
 }
 
-/// Alive nodes that were dropped at the middle size while a share of messages gets lost.
+/// Counts running processes that entries drop at the middle size while a share of messages is lost.
 pub(crate) fn larger_loss(secs: u64, figures: &mut Figures) -> f64 {
     let mut members = Members::start(Shape::MIDDLE, 5);
     members.run_until_settled(120);
@@ -185,9 +186,9 @@
     drops as f64
 }
 
-/// How often an entry that runs was taken out of another's table.
+/// Returns how often a running entry was removed from another's table.
 pub(crate) fn dead_entries(fleet: &Fleet) -> usize {
-    let told = |n: &&snipemast_fakes::fleet::Noted| {
+    let false_removal = |n: &&snipemast_fakes::fleet::Noted| {
         let dead = n.event == Event::MemberRemoved && n.subject.starts_with("entry");
         let running = fleet.entries().any(|(_, node)| {
             let process = &node.card().process;
@@ -195,7 +196,7 @@
         });
         dead && running
     };
-    fleet.noted.iter().filter(told).count()
+    fleet.noted.iter().filter(false_removal).count()
 }
 
 fn cut_off(fleet: &Fleet, zone: &ZoneId) -> bool {
@@ -230,7 +231,7 @@
         .all(|(_, n)| n.agent_view(host).is_some_and(|a| a.is_routable()))
 }
 
-fn buried(fleet: &Fleet, host: &HostId) -> bool {
+fn removed(fleet: &Fleet, host: &HostId) -> bool {
     fleet.entries().all(|(_, n)| n.table().row(host).is_none())
 }
 
--- a/crates/benches/benches/path.rs
+++ b/crates/benches/benches/path.rs
@@ -1,8 +1,8 @@
-//! The whole path against the backend server asked directly, in one process and one run.
+//! Compares the whole path with direct requests to the backend server, in one process and one run.
 //!
-//! Caller, entry, agent and fake share the machine's cores; the callers run on threads of their
-//! own. Direct and whole rounds alternate, and ratios are taken round by round, so that a
-//! neighbour's load weighs on both.
+//! Callers, entry, agent and fake server share the machine's cores; the callers run on separate
+//! threads. Rounds of direct and whole requests alternate, and ratios are taken round by round, so
+//! that load from other processes affects both alike.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -18,33 +18,33 @@
 use snipemast_fakes::FakeEngine;
 use snipemast_tests::{info, Fleet, KEY};
 
-/// The connections at which the throughputs are compared.
+/// Number of connections for throughput.
 const CONNECTIONS: usize = 64;
-/// The connections at which the added latency is taken: few, so that nothing queues.
-const FEW: usize = 4;
-/// The streams that are held open while memory is read.
-const OPEN: usize = 1_000;
-/// The pause between two streams that are opened.
-const RAMP: Duration = Duration::from_micros(1_500);
-/// The tokens of one stream that is held open.
-const PACED: usize = 28;
-/// The tokens of one measured stream.
+/// Number of connections for added latency: few, so that nothing queues.
+const FEW_CONNECTIONS: usize = 4;
+/// Number of streams held open while memory is read.
+const OPEN_STREAMS: usize = 1_000;
+/// Pause between the starts of two open streams.
+const START_PAUSE: Duration = Duration::from_micros(1_500);
+/// Number of tokens of a stream that is held open.
+const OPEN_STREAM_TOKENS: usize = 28;
+/// Number of tokens of a stream whose throughput is measured.
 const TOKENS: usize = 2_000;
 
 fn main() {
     let args = BenchArgs::parse();
-    // Short rounds: one agent's ledger remembers 100,000 dispatches for their deadlines, and a run
-    // of all its rounds must stay below that.
+    // Rounds are short, because an agent's ledger remembers 100,000 dispatches until their deadlines,
+    // and all rounds together must stay below that.
     let (rounds, time) = if args.quick { (3, 700) } else { (7, 600) };
     let time = Duration::from_millis(time);
     let fleet = smol::block_on(fleet());
-    let sides = Sides::new(&fleet);
+    let paths = Paths::new(&fleet);
     let mut figures = Figures::new();
-    // Memory first: later the agent's ledger remembers what the other rounds asked.
-    let result = open_streams(&sides, &mut figures)
-        .and_then(|()| throughput(&sides, rounds, time, &mut figures))
-        .and_then(|()| latency(&sides, rounds, time, &mut figures))
-        .and_then(|()| tokens(&sides, rounds, &mut figures));
+    // Memory comes first, because the agent's ledger remembers the dispatches of other rounds.
+    let result = open_streams(&paths, &mut figures)
+        .and_then(|()| throughput(&paths, rounds, time, &mut figures))
+        .and_then(|()| latency(&paths, rounds, time, &mut figures))
+        .and_then(|()| tokens(&paths, rounds, &mut figures));
     if let Err(e) = result {
         eprintln!("path: {e}");
         std::process::exit(1);
@@ -54,7 +54,8 @@
     figures.print(args);
 }
 
-/// One entry, one agent and one fake without pace, and one of each with.
+/// Starts an entry and two agents with a fake engine each, one without delay and one that paces its
+/// tokens.
 async fn fleet() -> Fleet {
     let mut fleet = Fleet::start().await;
     fleet.patch(json!({
@@ -90,14 +91,14 @@
     }
 }
 
-/// The two ways to the same backend server.
-struct Sides {
+/// The addresses of the direct and the whole path to the same backend server, and of the slow one.
+struct Paths {
     direct: SocketAddr,
     whole: SocketAddr,
     slow: SocketAddr,
 }
 
-impl Sides {
+impl Paths {
     fn new(fleet: &Fleet) -> Self {
         Self {
             direct: fleet.fake(0),
@@ -130,8 +131,8 @@
 
 type Result = std::result::Result<(), LoadError>;
 
-fn throughput(sides: &Sides, rounds: usize, time: Duration, figures: &mut Figures) -> Result {
-    let pairs = alternate(sides, rounds, CONNECTIONS, time)?;
+fn throughput(paths: &Paths, rounds: usize, time: Duration, figures: &mut Figures) -> Result {
+    let pairs = alternate(paths, rounds, CONNECTIONS, time)?;
     figures.add(
         "direct_per_second",
         median(pairs.iter().map(|(d, _)| d.rate())),
@@ -149,8 +150,8 @@
     Ok(())
 }
 
-fn latency(sides: &Sides, rounds: usize, time: Duration, figures: &mut Figures) -> Result {
-    let pairs = alternate(sides, rounds, FEW, time)?;
+fn latency(paths: &Paths, rounds: usize, time: Duration, figures: &mut Figures) -> Result {
+    let pairs = alternate(paths, rounds, FEW_CONNECTIONS, time)?;
     figures.add(
         "direct_p50_ms",
         median(pairs.iter().map(|(d, _)| d.millis(0.5))),
@@ -164,14 +165,14 @@
     Ok(())
 }
 
-fn tokens(sides: &Sides, rounds: usize, figures: &mut Figures) -> Result {
+fn tokens(paths: &Paths, rounds: usize, figures: &mut Figures) -> Result {
     for (key, address) in [
-        ("direct_tokens_per_second", sides.direct),
-        ("tokens_per_second", sides.whole),
+        ("direct_tokens_per_second", paths.direct),
+        ("tokens_per_second", paths.whole),
     ] {
         let mut rates = Vec::new();
         for _ in 0..rounds {
-            let target = sides.target(address, "lector", TOKENS, true);
+            let target = paths.target(address, "lector", TOKENS, true);
             let start = Instant::now();
             let streams = (0..CONNECTIONS).map(|_| {
                 let target = target.clone();
@@ -188,15 +189,15 @@
     Ok(())
 }
 
-/// Memory with many open streams, first without the entry and the agent and then with them.
+/// Measures memory with many open streams, without the entry and the agent and then with them.
 ///
-/// All roles share one process. What the whole path holds beyond the direct one is the entry's and
-/// the agent's; the process before any stream, with every role in it, counts as the entry's too. So
-/// the figure is an upper bound.
-fn open_streams(sides: &Sides, figures: &mut Figures) -> Result {
+/// All roles share one process. The memory that the whole path uses beyond the direct one belongs to
+/// the entry and the agent. The memory before any stream, which includes every role, is counted for
+/// the entry too, so the figure is an upper bound.
+fn open_streams(paths: &Paths, figures: &mut Figures) -> Result {
     let before = rss_mb();
-    let direct = held_open(sides.target(sides.slow, "slow-1", PACED, true))?;
-    let whole = held_open(sides.target(sides.whole, "slow", PACED, true))?;
+    let direct = memory_with_streams(paths.target(paths.slow, "slow-1", OPEN_STREAM_TOKENS, true))?;
+    let whole = memory_with_streams(paths.target(paths.whole, "slow", OPEN_STREAM_TOKENS, true))?;
     figures.add("rss_mb_before", before);
     figures.add("rss_mb_direct_process", direct);
     figures.add("rss_mb_whole_process", whole);
@@ -204,22 +205,22 @@
     Ok(())
 }
 
-/// The memory of the process at the moment when every stream has begun and none has ended.
-fn held_open(target: Target) -> std::result::Result<f64, LoadError> {
+/// Returns the memory of the process when every stream has begun and none has ended.
+fn memory_with_streams(target: Target) -> std::result::Result<f64, LoadError> {
     let (opened, open) = smol::channel::unbounded::<()>();
     let reading = std::thread::spawn(move || {
-        // The streams hold back their last tokens for seconds after the last one has begun.
-        for _ in 0..OPEN {
+        // Streams still have tokens to come for seconds after the last stream has begun.
+        for _ in 0..OPEN_STREAMS {
             if smol::block_on(open.recv()).is_err() {
                 break;
             }
         }
         rss_mb()
     });
-    let streams = (0..OPEN as u32).map(|n| {
+    let streams = (0..OPEN_STREAMS as u32).map(|n| {
         let (target, opened) = (target.clone(), opened.clone());
         async move {
-            smol::Timer::after(RAMP * n).await;
+            smol::Timer::after(START_PAUSE * n).await;
             open_one(&target, opened).await
         }
     });
@@ -242,7 +243,7 @@
         )
         .with_body(target.body.clone());
     let mut conn = conn.await.map_err(|e| LoadError::Broken(e.to_string()))?;
-    // The other end waits for every stream to be open; it never closes first.
+    // The receiver reads until every stream is open, so sending can't fail before that.
     let _ = opened.send(()).await;
     let body = conn.response_body().read_string().await;
     let body = body.map_err(|e| LoadError::Broken(e.to_string()))?;
@@ -254,17 +255,17 @@
 }
 
 fn alternate(
-    sides: &Sides,
+    paths: &Paths,
     rounds: usize,
     connections: usize,
     time: Duration,
 ) -> std::result::Result<Vec<(Outcome, Outcome)>, LoadError> {
-    // The first round opens connections and warms caches, and is thrown away.
+    // The first round opens connections and warms caches; its result is discarded.
     let mut pairs = Vec::new();
     for round in 0..=rounds {
         let time = if round == 0 { time / 4 } else { time };
-        let direct = closed_loops(&sides.plain(sides.direct), connections, time)?;
-        let whole = closed_loops(&sides.plain(sides.whole), connections, time)?;
+        let direct = closed_loops(&paths.plain(paths.direct), connections, time)?;
+        let whole = closed_loops(&paths.plain(paths.whole), connections, time)?;
         if round > 0 {
             pairs.push((direct, whole));
         }
@@ -286,7 +287,7 @@
     values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
-/// The resident memory of this process, or not a number where the system does not tell it.
+/// Returns the resident memory of this process in MiB, or NaN if the system does not report it.
 fn rss_mb() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with("VmRSS:"));
--- a/crates/benches/benches/rebalance.rs
+++ b/crates/benches/benches/rebalance.rs
@@ -1,7 +1,7 @@
-//! Skew against disturbance: the policy against baselines of our own, on several traces.
+//! Compares skew and disturbance of the rebalancing policy with baselines, on several traces.
 //!
-//! `cargo bench --bench rebalance -- --json` prints the figures; `-- --plots` draws skew against
-//! cost for the whole range of weights into `docs/plots/`.
+//! `cargo bench --bench rebalance -- --json` prints the figures; `-- --plots` draws skew by cost
+//! for the whole range of weights into `docs/plots/`.
 
 #[path = "../../groups/tests/common/mod.rs"]
 mod common;
@@ -24,18 +24,18 @@
 
 /// Time between two reports.
 const INTERVAL: Span = Span::from_secs(10);
-/// Steps whose tokens one report counts.
-const COUNTED: f64 = 100.0;
-/// Steps of each interval that are measured.
-const MEASURED: usize = 3;
-/// Requests that start in a second, and how long a weight load takes in seconds: what runs on
-/// a rank while it loads is disturbed.
+/// Number of steps whose tokens one report counts.
+const COUNTED_STEPS: f64 = 100.0;
+/// Number of steps measured in each interval.
+const MEASURED_STEPS: usize = 3;
+/// Requests that start in a second; those that start on a rank while it loads weights are disturbed.
 const ARRIVALS: f64 = 20.0;
-const LOADING: f64 = 0.05;
+/// Duration of a weight load, in seconds.
+const LOAD_SECS: f64 = 0.05;
 /// Requests in flight on a group.
-const FLIGHT: f64 = 64.0;
+const IN_FLIGHT: f64 = 64.0;
 
-/// Who moves experts.
+/// The algorithm that moves experts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Mover {
     Static,
@@ -44,7 +44,7 @@
     Weighed(Weights),
 }
 
-/// What a run cost and brought.
+/// The skew and the costs of a run.
 #[derive(Debug, Clone, Copy, Default)]
 struct Score {
     skew: f64,
@@ -64,7 +64,7 @@
     Mover::Weighed(Weights::new(100, 900))
 }
 
-fn pace(mover: Mover) -> Smoothing {
+fn smoothing(mover: Mover) -> Smoothing {
     match mover {
         Mover::Weighed(w) => Smoothing::from_weights(w.skew, w.disturbance),
         _ => Smoothing::default(),
@@ -102,7 +102,7 @@
             mover,
             map: home.clone(),
             home,
-            popularity: Popularity::new(pace(mover)),
+            popularity: Popularity::new(smoothing(mover)),
             report: None,
             works: Vec::new(),
             since: 0,
@@ -127,7 +127,7 @@
         self.score
     }
 
-    /// Acts on the report of the interval before; one in twenty is lost.
+    /// Decides by the report of the previous interval; one report in twenty is lost.
     fn decide(&mut self, interval: usize) {
         let Some(counts) = self.report.take() else {
             return;
@@ -169,8 +169,8 @@
         self.score.moves += moves.len() as f64;
         self.score.loads += loads;
         self.score.switches += 1.0;
-        let busy = loads / f64::from(self.trace.shape.ranks) * LOADING;
-        let ready = if loads > 0.0 { FLIGHT } else { 0.0 };
+        let busy = loads / f64::from(self.trace.shape.ranks) * LOAD_SECS;
+        let ready = if loads > 0.0 { IN_FLIGHT } else { 0.0 };
         self.score.disturbed += ready.min(loads) + busy * ARRIVALS;
         self.since = interval;
         self.map = next;
@@ -180,7 +180,7 @@
         let shape = self.trace.shape;
         let ranks = usize::from(shape.ranks);
         self.works = vec![Work::default(); ranks];
-        for _ in 0..MEASURED {
+        for _ in 0..MEASURED_STEPS {
             for (layer, shares) in self.map.layers.iter().zip(&self.trace.shares[interval]) {
                 let tokens = draw(shares, shape.tokens, &mut self.rng);
                 let loads = layer.rank_loads(&tokens);
@@ -202,7 +202,7 @@
     }
 
     fn count(&mut self, interval: usize) {
-        let tokens = self.trace.shape.tokens * COUNTED;
+        let tokens = self.trace.shape.tokens * COUNTED_STEPS;
         let layers = self.trace.shares[interval].iter().map(|shares| {
             let drawn = draw(shares, tokens, &mut self.rng);
             drawn.into_iter().map(|t| t as u32).collect()
@@ -222,7 +222,7 @@
         .collect()
 }
 
-/// Runs every mover on every trace, several at once; by trace and mover.
+/// Runs every mover on every trace in parallel; returns scores by trace and mover.
 fn run_all(traces: &[Trace], movers: &[Mover]) -> Vec<Vec<Score>> {
     let next = AtomicUsize::new(0);
     let scores = Mutex::new(vec![vec![Score::default(); movers.len()]; traces.len()]);
@@ -240,7 +240,7 @@
     scores.into_inner().expect("no run panics")
 }
 
-/// The mean over traces of a ratio between two movers.
+/// Returns the mean over traces of a ratio between two movers.
 fn ratio(scores: &[Vec<Score>], a: usize, b: usize, of: fn(&Score) -> f64) -> f64 {
     let ratios = scores.iter().map(|s| of(&s[a]) / of(&s[b]).max(1e-9));
     ratios.sum::<f64>() / scores.len() as f64
@@ -274,7 +274,7 @@
     }
 }
 
-/// One layer with two experts and a spare slot a rank.
+/// Returns one layer with two experts and a spare slot for each rank.
 fn sized(ranks: u16, experts: u16) -> Shape {
     Shape {
         ranks,
@@ -285,8 +285,10 @@
     }
 }
 
-/// The median and the least time of a decision, in milliseconds, on one core: from the map that
-/// is dealt out, where there is most to do. The least is what other processes disturb least.
+/// Returns the median and the least time of a decision, in milliseconds, on one core.
+///
+/// The decision starts from the round-robin map, which leaves the most to decide. The least time is
+/// the one that other processes disturb least.
 fn decision_ms(shape: Shape, rounds: usize) -> (f64, f64) {
     let trace = Trace::new(Kind::Steady, shape, 1, 5);
     let map = ExpertMap::round_robin(shape.layers, shape.ranks, shape.slots, shape.experts);
@@ -310,11 +312,11 @@
     (times[times.len() / 2], times[0])
 }
 
-/// Steps held in ordinary running: many seeds, a switch in each, no fault.
+/// Returns the steps held in simulations without faults, each with one switch of maps.
 fn held_steps(seeds: u64) -> u64 {
     let held = (0..seeds).map(|seed| match common::sim::run_checked(8, seed, &[]) {
         Ok(sim) => sim.world.held,
-        Err(fault) => panic!("ordinary running fails: {fault:?}"),
+        Err(fault) => panic!("a simulation without faults fails: {fault:?}"),
     });
     held.sum()
 }
@@ -339,14 +341,15 @@
     }
 }
 
-/// The weights of skew that are drawn; disturbance weighs the rest of 1000.
-const DRAWN: [u32; 9] = [5, 20, 50, 100, 300, 500, 700, 900, 980];
+/// The skew weights in the plot; the weight of disturbance is the rest of 1000.
+const PLOTTED_WEIGHTS: [u32; 9] = [5, 20, 50, 100, 300, 500, 700, 900, 980];
 
-/// Draws one group size's skew against its loads, both as parts of a full re-pack or static map.
+/// Draws skew by weight loads for one group size: skew relative to the static map, loads relative to
+/// a full re-pack.
 fn plot(name: &str, title: &str, traces: &[Trace]) -> Result<(), Box<dyn std::error::Error>> {
     let mut movers = vec![Mover::Static, Mover::Repack, Mover::Replicate];
     let weighed = |skew| Mover::Weighed(Weights::new(skew, 1_000 - skew));
-    movers.extend(DRAWN.map(weighed));
+    movers.extend(PLOTTED_WEIGHTS.map(weighed));
     let scores = run_all(traces, &movers);
     let at = |m: usize| {
         let loads = ratio(&scores, m, 1, |s| s.loads).max(1e-4);
@@ -366,9 +369,9 @@
         .x_desc("weight loads, as a part of a full re-pack each interval")
         .y_desc("skew, as a part of the static map's")
         .draw()?;
-    let line: Vec<(f64, f64)> = (0..DRAWN.len()).map(|n| at(n + 3)).collect();
+    let line: Vec<(f64, f64)> = (0..PLOTTED_WEIGHTS.len()).map(|n| at(n + 3)).collect();
     chart.draw_series(LineSeries::new(line.clone(), &BLUE))?;
-    for (skew, point) in DRAWN.iter().zip(&line) {
+    for (skew, point) in PLOTTED_WEIGHTS.iter().zip(&line) {
         println!(
             "{name}: skew weight {skew}: loads {:.4} skew {:.4}",
             point.0, point.1
--- a/crates/benches/benches/requests.rs
+++ b/crates/benches/benches/requests.rs
@@ -1,4 +1,4 @@
-//! What the ledger, settle and claims cost, and what faults do to answers.
+//! Measures the costs of the ledger, of settling and of claims, and the effect of faults on answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,11 +13,11 @@
 };
 use snipemast_tests::wired::Wired;
 
-/// The dispatches in the ledger whose memory is read.
+/// Number of dispatches in the ledger when its memory is read.
 const ENTRIES: u64 = 100_000;
-/// The claims whose time is taken.
+/// Number of measured claims.
 const CLAIMS: u64 = 20_000;
-/// The streams that go silent at once.
+/// Number of streams that go silent at once.
 const STREAMS: usize = 40;
 
 fn main() {
@@ -31,14 +31,14 @@
 }
 
 fn process(host: &str) -> ProcessId {
-    ProcessId::new(host.parse().expect("a name"), Incarnation::new(1))
+    ProcessId::new(host.parse().expect("a valid name"), Incarnation::new(1))
 }
 
 fn dispatch(counter: u64) -> DispatchId {
     DispatchId::new(process("entry-0"), counter)
 }
 
-/// Time and memory of one dispatch, without its answer, and of one settle.
+/// Measures time and memory of one dispatch, without its answer, and the time of one settle.
 fn ledger(figures: &mut Figures) {
     let own = process("agent-0");
     let limits = LedgerLimits {
@@ -74,7 +74,7 @@
     figures.add("expire_us", micros(began, ENTRIES));
 }
 
-/// Time and memory of one claim: the claimer's work and that of all three keepers.
+/// Measures time and memory of one claim: the work of the claimer and of all three keepers.
 fn claims(figures: &mut Figures) {
     let hosts = ["entry-0", "entry-1", "entry-2"].map(|h| process(h).host);
     let table = vec![hosts.clone()];
@@ -100,7 +100,7 @@
 }
 
 fn claim(keepers: &mut [Keeper], counter: u64, hosts: &[HostId; 3], now: Moment) {
-    let workspace: WorkspaceId = "cordillera".parse().expect("a name");
+    let workspace: WorkspaceId = "cordillera".parse().expect("a valid name");
     let value = ClaimValue {
         target: Target {
             id: dispatch(counter),
@@ -111,7 +111,7 @@
     };
     let key = ClaimKey::Key {
         workspace,
-        key: format!("key-{counter}").parse().expect("a name"),
+        key: format!("key-{counter}").parse().expect("a valid name"),
     };
     let mut claimer = Claimer::new(key, 1, value, hosts, Span::from_secs(300));
     let mut steps = vec![claimer.begin()];
@@ -126,7 +126,7 @@
     }
 }
 
-/// Every disturbance, on the system and on a plain proxy with blind retry.
+/// Measures every disturbance, on the system and on a plain proxy that retries blindly.
 async fn faults(time: Duration, figures: &mut Figures) {
     let ours = Arc::new(Side::system().await);
     let plain = Arc::new(Side::plain().await);
@@ -172,7 +172,7 @@
     began.elapsed().as_secs_f64() * 1e6 / count as f64
 }
 
-/// The process's resident memory in bytes.
+/// Returns the resident memory of this process in bytes.
 fn resident() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|n| n.parse().ok());
--- a/crates/benches/benches/routing.rs
+++ b/crates/benches/benches/routing.rs
@@ -1,7 +1,7 @@
-//! Routing and admission against four baselines, before a small fake of servers.
+//! Compares routing and admission with four baselines, on simulated servers.
 //!
-//! Virtual time for everything but the cost of a decision. Baselines run in the same run, with
-//! the same arrivals.
+//! Everything runs in virtual time, except the cost of a decision, which is real time. Baselines
+//! run in the same run, with the same arrivals.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -37,7 +37,7 @@
     figures.print(args);
 }
 
-/// 9 entries before 16 servers of 32 slots.
+/// Returns 9 entries and 16 servers of 32 slots.
 fn small() -> Setup {
     Setup {
         entries: 9,
@@ -61,7 +61,7 @@
     }
 }
 
-/// 350 entries before 600 servers, or a quarter of it.
+/// Returns 350 entries and 600 servers, or a quarter of both in a quick run.
 fn large(args: BenchArgs) -> Setup {
     let (entries, servers) = if args.quick { (88, 150) } else { (350, 600) };
     Setup {
@@ -110,7 +110,7 @@
     values.get(at).map_or(f64::NAN, |v| *v as f64)
 }
 
-/// Tokens a second that the servers give when there is always more to do.
+/// Returns the tokens a second that the servers generate when they never run out of requests.
 fn capacity(setup: &Setup) -> f64 {
     let full = f64::from(setup.slots) / (setup.base + setup.each * f64::from(setup.slots)) * 1e6;
     let rate = 1.5 * full * setup.servers as f64 / setup.tokens;
@@ -121,7 +121,7 @@
         retries: 0,
         ..setup.clone()
     };
-    // With prefixes followed into full servers: the most that caches can give.
+    // Requests follow their prefixes even to full servers, which gives the most cache hits.
     let mut options = Options {
         lane: None,
         ..Options::default()
@@ -139,7 +139,7 @@
     outcome.good[from..to].iter().sum::<f64>() / (to - from) as f64
 }
 
-/// The scenarios without overload at 500 ms lag: wait against the baselines.
+/// Compares waits with the baselines in the scenarios without overload, at a lag of 500 ms.
 fn calm(args: BenchArgs, small: &Setup, full: f64, figures: &mut Figures) {
     let slow = vec![(20 * SECOND, Fault::Slow(3, 4.0))];
     let zone = (0..16)
@@ -181,26 +181,26 @@
     ];
     let (mut robin, mut least, mut extra) = (0.0, 0.0, 0.0_f64);
     for (label, setup, options) in all {
-        let mine = ours(setup, options);
-        let wait = quantile(&mine.waits, 0.99);
+        let own = ours(setup, options);
+        let wait = quantile(&own.waits, 0.99);
         let other = |rule| baseline(setup, rule);
         let (a, b) = (other(Rule::RoundRobin), other(Rule::LeastReport));
         let (c, d) = (other(Rule::Random), other(Rule::TwoReports));
         robin += wait / quantile(&a.waits, 0.99) / all.len() as f64;
         least += wait / quantile(&b.waits, 0.99) / all.len() as f64;
-        extra = extra.max(mine.resent as f64 / mine.asked as f64);
+        extra = extra.max(own.resent as f64 / own.asked as f64);
         let named = [
-            ("ours", &mine),
+            ("ours", &own),
             ("robin", &a),
             ("least", &b),
             ("random", &c),
             ("two", &d),
         ];
-        for (who, outcome) in named {
-            describe(&format!("{label}_{who}"), outcome, figures);
+        for (policy, outcome) in named {
+            describe(&format!("{label}_{policy}"), outcome, figures);
         }
         if label == "slowed" {
-            figures.add("slowed_excess_after_2s", excess(&mine, 3, 22 * SECOND));
+            figures.add("slowed_excess_after_2s", excess(&own, 3, 22 * SECOND));
             figures.add("slowed_excess_after_2s_robin", excess(&a, 3, 22 * SECOND));
         }
     }
@@ -220,7 +220,8 @@
     capacity(&part) * setup.servers as f64 / part.servers as f64
 }
 
-/// One server after the other drains, is gone for two seconds, and comes back cold.
+/// Returns faults in which one server after another drains, is down for two seconds, and comes
+/// back with an empty cache.
 fn restart_wave() -> Vec<(Micros, Fault)> {
     let one = |n: usize| {
         let from = (15 + 2 * n as u64) * SECOND;
@@ -246,7 +247,8 @@
     figures.add(&format!("{label}_met"), o.met as f64 / o.asked as f64);
 }
 
-/// What is sent to a server from a moment on for three seconds, against its part by speed.
+/// Returns the requests sent to a server in three seconds, relative to the share that a server
+/// four times as slow as the others should get.
 fn excess(outcome: &Outcome, server: usize, from: Micros) -> f64 {
     let tenths = &outcome.sends[(from / 100_000) as usize..][..30];
     let own: u32 = tenths.iter().map(|t| t[server]).sum();
@@ -315,7 +317,7 @@
     );
 }
 
-/// The wait at other lags.
+/// Measures waits at several lags.
 fn lags(small: &Setup, full: f64, figures: &mut Figures) {
     for (label, lag) in [
         ("100ms", SECOND / 10),
@@ -326,25 +328,26 @@
             lag,
             ..at_load(small, full, 0.9)
         };
-        let mine = ours(&setup, &Options::default());
+        let own = ours(&setup, &Options::default());
         let robin = baseline(&setup, Rule::RoundRobin);
         let least = baseline(&setup, Rule::LeastReport);
         let two = baseline(&setup, Rule::TwoReports);
-        for (who, o) in [
-            ("ours", &mine),
+        for (policy, o) in [
+            ("ours", &own),
             ("robin", &robin),
             ("least", &least),
             ("two", &two),
         ] {
             figures.add(
-                &format!("lag_{label}_{who}_p99_ms"),
+                &format!("lag_{label}_{policy}_p99_ms"),
                 quantile(&o.waits, 0.99) / 1e3,
             );
         }
     }
 }
 
-/// Twice the load: what is still answered in time, and who gets it; the mean over some seeds.
+/// Measures at twice the capacity what is answered in time and how it is shared, as a mean over
+/// several seeds.
 fn overload(args: BenchArgs, small: &Setup, full: f64, figures: &mut Figures) {
     let seeds = if args.quick { 1 } else { 3 };
     let mut means = Vec::new();
@@ -354,19 +357,19 @@
             seed,
             ..at_load(small, full, 2.0)
         };
-        let mine = ours(&setup, &Options::default());
+        let own = ours(&setup, &Options::default());
         let robin = baseline(&setup, Rule::RoundRobin);
-        means.push(("goodput_2x", mean_good(&setup, &mine) / full));
+        means.push(("goodput_2x", mean_good(&setup, &own) / full));
         means.push(("goodput_2x_robin", mean_good(&setup, &robin) / full));
         let demands = demands(&setup);
-        // The level up to which what the pool gets through covers every workspace's demand.
-        let level = fair_level(&demands, mean_good(&setup, &mine) / full);
-        means.push(("share_kept", kept(&mine, &demands, level)));
+        // The level up to which the pool's throughput can serve every workspace's demand.
+        let level = fair_level(&demands, mean_good(&setup, &own) / full);
+        means.push(("share_kept", kept(&own, &demands, level)));
         means.push(("share_kept_robin", kept(&robin, &demands, level)));
-        means.push(("jain_2x", jain(&mine, &demands, level)));
+        means.push(("jain_2x", jain(&own, &demands, level)));
         means.push(("jain_2x_robin", jain(&robin, &demands, level)));
         if seed == 1 {
-            describe("twice_ours", &mine, figures);
+            describe("twice_ours", &own, figures);
         }
     }
     for (key, _) in &means[..6] {
@@ -378,13 +381,13 @@
     }
 }
 
-/// The demand of each workspace at twice the load, as parts of the capacity.
+/// Returns the demand of each workspace at twice the capacity, as shares of the capacity.
 fn demands(setup: &Setup) -> Vec<f64> {
     let sum: f64 = setup.workspaces.iter().sum();
     setup.workspaces.iter().map(|w| 2.0 * w / sum).collect()
 }
 
-/// What the worst-off of the workspaces within their share gets of its demand.
+/// Returns the smallest share of its demand that a workspace below the fair level gets.
 fn kept(outcome: &Outcome, demands: &[f64], level: f64) -> f64 {
     let within = demands
         .iter()
@@ -395,6 +398,7 @@
         .fold(1.0, f64::min)
 }
 
+/// Returns the level that demands are cut to so that they sum to `whole`.
 fn fair_level(demands: &[f64], whole: f64) -> f64 {
     let (mut low, mut high) = (0.0, 1.0);
     for _ in 0..50 {
@@ -409,7 +413,7 @@
     low
 }
 
-/// Jain's index over what the workspaces above their share get.
+/// Returns Jain's fairness index over what the workspaces above the fair level get.
 fn jain(outcome: &Outcome, demands: &[f64], level: f64) -> f64 {
     let over = demands
         .iter()
@@ -421,7 +425,7 @@
     sum * sum / (values.len() as f64 * squares)
 }
 
-/// One workspace asks for twice the capacity: what the others feel of it.
+/// Measures how other workspaces slow down when one asks for twice the capacity.
 fn flood(small: &Setup, full: f64, figures: &mut Figures) {
     let mut workspaces = vec![0.05; 10];
     let calm = Setup {
@@ -436,8 +440,9 @@
     };
     let others = |o: &Outcome| quantile(&o.wholes[..10].concat(), 0.99);
     let waits = |setup: &Setup| others(&ours(setup, &Options::default()));
-    // The servers are full, so each step is longer: that is the price of the other's work, not of
-    // its queue. A full pool without a flood is the fair comparison; both are printed.
+    // The servers are full, so each step takes longer, because of the other workspace's running
+    // requests rather than its queue. A full pool without a flood is the fair comparison; both
+    // figures are printed.
     let busy = Setup {
         workspaces: vec![0.09; 11],
         ..at_load(small, full, 0.95)
@@ -459,7 +464,7 @@
     }
 }
 
-/// A burst of three times the load, with callers that send again.
+/// Measures a burst of three times the load, with callers that retry.
 fn burst(small: &Setup, full: f64, figures: &mut Figures) {
     let setup = burst_setup(small, full);
     let before = |o: &Outcome| o.good[10..20].iter().sum::<f64>() / 10.0;
@@ -468,16 +473,16 @@
         let well = |n: &usize| (o.good[*n] + o.good[n + 1]) / 2.0 >= level;
         (30..98).find(well).map_or(70.0, |n| (n - 30) as f64)
     };
-    let mine = ours(&setup, &Options::default());
+    let own = ours(&setup, &Options::default());
     let robin = baseline(&setup, Rule::RoundRobin);
-    figures.add("recovery_s", recovery(&mine));
+    figures.add("recovery_s", recovery(&own));
     figures.add("recovery_s_robin", recovery(&robin));
     let during = |o: &Outcome| o.good[22..30].iter().sum::<f64>() / 8.0 / full;
-    figures.add("goodput_3x", during(&mine));
+    figures.add("goodput_3x", during(&own));
     figures.add("goodput_3x_robin", during(&robin));
 }
 
-/// A server that says that it is well and does nothing.
+/// Measures requests sent to a server that reports itself healthy but is stalled.
 fn gray(small: &Setup, full: f64, figures: &mut Figures) {
     let faults = vec![(20 * SECOND, Fault::Stall(5))];
     let setup = Setup {
@@ -485,15 +490,15 @@
         ..at_load(small, full, 0.7)
     };
     let after = |o: &Outcome| excess(o, 5, 22 * SECOND) / 4.0;
-    let mine = ours(&setup, &Options::default());
-    figures.add("stalled_part_after_2s", after(&mine));
-    figures.add("stalled_met", mine.met as f64 / mine.asked as f64);
+    let own = ours(&setup, &Options::default());
+    figures.add("stalled_part_after_2s", after(&own));
+    figures.add("stalled_met", own.met as f64 / own.asked as f64);
     let robin = baseline(&setup, Rule::RoundRobin);
     figures.add("stalled_part_after_2s_robin", after(&robin));
     figures.add("stalled_met_robin", robin.met as f64 / robin.asked as f64);
 }
 
-/// Load a server with subsets against a full mesh.
+/// Compares the load of servers with subsets to that with a full mesh.
 fn subsets(args: BenchArgs, figures: &mut Figures) {
     let setup = large(args);
     let setup = at_load(&setup, capacity_of_large(&setup), 0.8);
@@ -513,7 +518,7 @@
     figures.add("subset_entries_max", worst.1 as f64);
 }
 
-/// What one decision costs with 600 servers, in real time.
+/// Measures one decision among 600 servers, in real time.
 fn decision(figures: &mut Figures) {
     let mesh = decision_us(None, false);
     let prefix = decision_us(None, true);
@@ -524,7 +529,7 @@
     figures.add("decision_subset_us", subset);
 }
 
-fn decision_us(seat: Option<Subset>, prefix: bool) -> f64 {
+fn decision_us(subset: Option<Subset>, prefix: bool) -> f64 {
     let place = Location {
         zone: name("zone", 0),
         region: name("region", 0),
@@ -533,7 +538,7 @@
     for n in 0..600 {
         router.upsert(Moment::ZERO, facts(n, 1, 32), false);
     }
-    router.set_subset(seat);
+    router.set_subset(subset);
     let wanted = wanted();
     let mut times = Vec::new();
     let mut now = Moment::from_millis(1_000);
--- a/crates/benches/tests/placing.rs
+++ b/crates/benches/tests/placing.rs
@@ -1,10 +1,10 @@
-//! Many gateways that place requests on one group's ranks.
+//! Many gateways that place requests on the ranks of one group.
 
 use snipemast_benches::placing::{simulate, Outcome, Setup};
 use snipemast_core::prelude::*;
 use snipemast_placement::pick::{Least, Pick, PickPolicy, Sampled};
 
-/// The middle setup, with counts as fresh as its gateways ask for.
+/// Returns the middle setup with a shorter poll, so that gateways have fresher counts.
 fn fresh(seed: u64) -> Setup {
     Setup {
         wait: Span::from_millis(66),
@@ -21,11 +21,11 @@
     (1..=5).map(|seed| simulate::<P>(&fresh(seed))).collect()
 }
 
-/// A user waits a second and more for the first token although half of all slots are free: 40 gateways see the same
-/// server idle in counts of some tens of milliseconds ago, and all send it their requests, beyond its slots.
+/// Guards against users who wait a second or more for the first token although half of all slots are free:
+/// 40 gateways see the same server idle in counts some tens of milliseconds old and overfill it.
 ///
-/// Held to: one request in 100 waits for a slot while another rank has two free, one arrival in 100 is
-/// refused, and the fullest rank has less than twice the mean over half a second.
+/// Fewer than one request in 100 waits for a slot while another rank has two free, fewer than one arrival in
+/// 100 is refused, and the fullest rank has less than twice the mean load over half a second.
 #[test]
 fn gateways_spread() {
     let seen = simulate_seeds::<PickPolicy>();
@@ -36,8 +36,9 @@
     assert!(mean(&herd, |s| s.waited) > 0.1, "{herd:?}");
 }
 
-/// The herd of the least loaded server is there with any counts: the older they are the larger, and two sampled
-/// servers keep it small where the counts are as old as with hundreds of gateways.
+/// Guards against many gateways that all choose the least loaded server: the older their counts, the more
+/// requests it must refuse. Choosing between two sampled servers keeps refusals few, even with counts as
+/// old as hundreds of gateways have.
 #[test]
 fn old_counts_herd() {
     let old = Setup {
