--- a/crates/benches/benches/routing.rs
+++ b/crates/benches/benches/routing.rs
@@ -49,14 +49,14 @@
         tokens: 100.0,
         rates: vec![(0, 300.0)],
         lag: SECOND / 2,
-        pace: SECOND / 10,
+        report_interval: SECOND / 10,
         deadline: 10 * SECOND,
         retries: 0,
         workspaces: zipf(10),
         prefixes: 400,
         faults: Vec::new(),
         length: 50 * SECOND,
-        warm: 10 * SECOND,
+        warmup: 10 * SECOND,
         seed: 1,
     }
 }
@@ -71,12 +71,12 @@
         each: 200.0,
         prompt: 20_000.0,
         tokens: 400.0,
-        pace: SECOND,
+        report_interval: SECOND,
         deadline: 60 * SECOND,
         workspaces: zipf(200),
         prefixes: 20_000,
         length: 60 * SECOND,
-        warm: 35 * SECOND,
+        warmup: 35 * SECOND,
         ..small()
     }
 }
@@ -134,9 +134,9 @@
 }
 
 fn mean_good(setup: &Setup, outcome: &Outcome) -> f64 {
-    let from = (setup.warm / SECOND) as usize;
+    let from = (setup.warmup / SECOND) as usize;
     let to = (setup.length / SECOND) as usize;
-    outcome.good[from..to].iter().sum::<f64>() / (to - from) as f64
+    outcome.good_tokens[from..to].iter().sum::<f64>() / (to - from) as f64
 }
 
 /// Compares waits with the baselines in the scenarios without overload, at a lag of 500 ms.
@@ -238,8 +238,11 @@
     let ms = |values: &[Micros], q| quantile(values, q) / 1e3;
     figures.add(&format!("{label}_wait_p50_ms"), ms(&o.waits, 0.5));
     figures.add(&format!("{label}_wait_p99_ms"), ms(&o.waits, 0.99));
-    figures.add(&format!("{label}_first_p95_ms"), ms(&o.firsts, 0.95));
-    figures.add(&format!("{label}_between_p95_ms"), ms(&o.betweens, 0.95));
+    figures.add(
+        &format!("{label}_first_p95_ms"),
+        ms(&o.first_token_times, 0.95),
+    );
+    figures.add(&format!("{label}_between_p95_ms"), ms(&o.token_gaps, 0.95));
     figures.add(
         &format!("{label}_prefix_hits"),
         o.hits as f64 / o.waits.len() as f64,
@@ -292,9 +295,9 @@
     );
     let setup = burst_setup(small, full);
     let by_second = |outcome: &Outcome| {
-        let parts = outcome.good[5..60].iter().enumerate();
+        let parts = outcome.good_tokens[5..60].iter().enumerate();
         parts
-            .map(|(n, good)| (n as f64 + 5.0, good / full))
+            .map(|(n, good_tokens)| (n as f64 + 5.0, good_tokens / full))
             .collect()
     };
     let lines = [
@@ -438,7 +441,7 @@
         retries: 3,
         ..at_load(small, full, 2.5)
     };
-    let others = |o: &Outcome| quantile(&o.wholes[..10].concat(), 0.99);
+    let others = |o: &Outcome| quantile(&o.answer_times[..10].concat(), 0.99);
     let waits = |setup: &Setup| others(&ours(setup, &Options::default()));
     // The servers are full, so each step takes longer, because of the other workspace's running
     // requests rather than its queue. A full pool without a flood is the fair comparison; both
@@ -467,17 +470,17 @@
 /// Measures a burst of three times the load, with callers that retry.
 fn burst(small: &Setup, full: f64, figures: &mut Figures) {
     let setup = burst_setup(small, full);
-    let before = |o: &Outcome| o.good[10..20].iter().sum::<f64>() / 10.0;
+    let before = |o: &Outcome| o.good_tokens[10..20].iter().sum::<f64>() / 10.0;
     let recovery = |o: &Outcome| {
         let level = 0.95 * before(o);
-        let well = |n: &usize| (o.good[*n] + o.good[n + 1]) / 2.0 >= level;
+        let well = |n: &usize| (o.good_tokens[*n] + o.good_tokens[n + 1]) / 2.0 >= level;
         (30..98).find(well).map_or(70.0, |n| (n - 30) as f64)
     };
     let own = ours(&setup, &Options::default());
     let robin = baseline(&setup, Rule::RoundRobin);
     figures.add("recovery_s", recovery(&own));
     figures.add("recovery_s_robin", recovery(&robin));
-    let during = |o: &Outcome| o.good[22..30].iter().sum::<f64>() / 8.0 / full;
+    let during = |o: &Outcome| o.good_tokens[22..30].iter().sum::<f64>() / 8.0 / full;
     figures.add("goodput_3x", during(&own));
     figures.add("goodput_3x_robin", during(&robin));
 }
@@ -513,7 +516,7 @@
         quantile(&started, 0.99)
     };
     figures.add("subset_load_vs_mesh", top(Some(24)) / top(None));
-    let worst = splits::degrees(350, 600, 24, 4);
+    let worst = splits::entries_per_server(350, 600, 24, 4);
     figures.add("subset_entries_min", worst.0 as f64);
     figures.add("subset_entries_max", worst.1 as f64);
 }
--- a/crates/benches/src/queue.rs
+++ b/crates/benches/src/queue.rs
@@ -122,7 +122,7 @@
     /// Age of load reports and summaries on arrival.
     pub lag: Micros,
     /// Interval between load reports.
-    pub pace: Micros,
+    pub report_interval: Micros,
     /// Time from a request's arrival to its deadline.
     pub deadline: Micros,
     /// How often a caller retries a request that was late, lost or refused.
@@ -136,7 +136,7 @@
     /// Simulated time.
     pub length: Micros,
     /// Warm-up time, after which measuring begins.
-    pub warm: Micros,
+    pub warmup: Micros,
     /// Seed of all random draws.
     pub seed: u64,
 }
@@ -147,13 +147,13 @@
     /// Times from arrival at the entry to a slot, in microseconds.
     pub waits: Vec<Micros>,
     /// Times from arrival to the first token.
-    pub firsts: Vec<Micros>,
+    pub first_token_times: Vec<Micros>,
     /// Mean time between tokens, for each answer.
-    pub betweens: Vec<Micros>,
+    pub token_gaps: Vec<Micros>,
     /// Times from arrival to the complete answer, by workspace.
-    pub wholes: Vec<Vec<Micros>>,
+    pub answer_times: Vec<Vec<Micros>>,
     /// Tokens of answers within their deadlines, for each second of virtual time.
-    pub good: Vec<f64>,
+    pub good_tokens: Vec<f64>,
     /// Requests, counted at their first arrival.
     pub asked: u64,
     /// Counted requests that were answered within their deadlines.
@@ -258,9 +258,9 @@
         });
         let seconds = (setup.length / 1_000_000 + 1) as usize;
         let outcome = Outcome {
-            good: vec![0.0; seconds],
+            good_tokens: vec![0.0; seconds],
             shares: vec![(0.0, 0.0); setup.workspaces.len()],
-            wholes: vec![Vec::new(); setup.workspaces.len()],
+            answer_times: vec![Vec::new(); setup.workspaces.len()],
             started: vec![0; setup.servers],
             sends: vec![vec![0; setup.servers]; seconds * 10],
             ..Outcome::default()
@@ -377,7 +377,7 @@
             arrived: now,
             deadline: now + setup.deadline,
             retries: 0,
-            counted: now >= setup.warm && now + setup.deadline < setup.length,
+            counted: now >= setup.warmup && now + setup.deadline < setup.length,
         }
     }
 
@@ -461,7 +461,7 @@
             let job = self.jobs[run.job];
             let hit = cached(&mut server.cache, job.prefix);
             time += setup.prompt * if hit { 0.1 } else { 1.0 };
-            if now >= setup.warm {
+            if now >= setup.warmup {
                 self.outcome.hits += u64::from(hit);
                 self.outcome.waits.push(now - job.arrived);
                 self.outcome.started[at] += 1;
@@ -497,14 +497,14 @@
             let job = self.jobs[run.job];
             if was.first {
                 self.entries[job.entry].first(now, &job, at, now - run.sent, &load);
-                if now >= self.setup.warm {
-                    self.outcome.firsts.push(now - job.arrived);
+                if now >= self.setup.warmup {
+                    self.outcome.first_token_times.push(now - job.arrived);
                 }
             }
             if run.left == 0 {
                 self.servers[at].running.swap_remove(n);
                 self.end(now, run.job, at, true, false, run.sent);
-                self.count_whole(now, &job, &run);
+                self.record_answer(now, &job, &run);
             } else {
                 n += 1;
             }
@@ -512,17 +512,17 @@
         self.step_begin(now, at);
     }
 
-    fn count_whole(&mut self, now: Micros, job: &Job, run: &Run) {
+    fn record_answer(&mut self, now: Micros, job: &Job, run: &Run) {
         if now <= job.deadline {
-            self.outcome.good[(now / 1_000_000) as usize] += f64::from(job.tokens);
+            self.outcome.good_tokens[(now / 1_000_000) as usize] += f64::from(job.tokens);
         }
-        if now < self.setup.warm {
+        if now < self.setup.warmup {
             return;
         }
         self.outcome
-            .betweens
+            .token_gaps
             .push((now - run.begun) / Micros::from(job.tokens.max(1)));
-        self.outcome.wholes[job.workspace].push(now - job.arrived);
+        self.outcome.answer_times[job.workspace].push(now - job.arrived);
         if now <= job.deadline {
             let tokens = f64::from(job.tokens);
             if job.counted {
@@ -591,7 +591,7 @@
         let reports = (0..self.servers.len()).map(|at| self.load(at)).collect();
         self.reports.push_back(reports);
         self.schedule(now + self.setup.lag, Event::DeliverReports);
-        self.schedule(now + self.setup.pace, Event::MakeReports);
+        self.schedule(now + self.setup.report_interval, Event::MakeReports);
     }
 
     fn deliver_reports(&mut self, now: Micros) {
--- a/crates/benches/src/splits.rs
+++ b/crates/benches/src/splits.rs
@@ -146,7 +146,12 @@
 }
 
 /// Returns the fewest and the most entries whose subsets contain the same server.
-pub fn degrees(entries: usize, servers: usize, size: usize, zones: usize) -> (usize, usize) {
+pub fn entries_per_server(
+    entries: usize,
+    servers: usize,
+    size: usize,
+    zones: usize,
+) -> (usize, usize) {
     let mut counts = vec![0; servers];
     for entry in 0..entries {
         let zone = entry % zones;
