--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -145,11 +145,11 @@
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotLeader { leader: Some(id) } => write!(f, "voter {id} is the leader"),
+            Self::NotLeader { leader: Some(id) } => write!(f, "{id} leads"),
             Self::NotLeader { leader: None } => f.write_str("no leader is known"),
-            Self::NoQuorum => f.write_str("no majority of the voters can be reached"),
-            Self::Busy => f.write_str("too many patches are waiting for their verdict"),
-            Self::Unknown => f.write_str("the leader changed; resend it under the same id"),
+            Self::NoQuorum => f.write_str("no majority of the voters is in reach"),
+            Self::Busy => f.write_str("too many patches wait for their verdict"),
+            Self::Unknown => f.write_str("the leader changed: send it again under the same id"),
             Self::Change(e) => write!(f, "{e}"),
         }
     }
--- a/crates/control/src/storage.rs
+++ b/crates/control/src/storage.rs
@@ -63,16 +63,16 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Locked(p) => write!(f, "{} is used by another process", p.display()),
-            Self::Broken(p) => write!(f, "{} cannot be read or written", p.display()),
+            Self::Broken(p) => write!(f, "{} can't be read or written", p.display()),
             Self::Damaged { file, offset } => {
                 write!(f, "{} is damaged at byte {offset}", file.display())
             }
-            Self::Format(found) => write!(f, "this release does not know folder format {found}"),
-            Self::Foreign(host) => write!(f, "the data folder belongs to host {host}"),
+            Self::Format(found) => write!(f, "format {found} is not known to this release"),
+            Self::Foreign(host) => write!(f, "the folder belongs to {host}"),
             Self::Copied(p) => write!(f, "{} is a copy and must not vote", p.display()),
-            Self::Incomplete(p) => write!(f, "some files are missing in {}", p.display()),
-            Self::Ended => f.write_str("an earlier write to the data folder failed"),
-            Self::Unforced(p) => write!(f, "{} does not match this folder's log", p.display()),
+            Self::Incomplete(p) => write!(f, "{} lacks some of its files", p.display()),
+            Self::Ended => f.write_str("an earlier write failed"),
+            Self::Unforced(p) => write!(f, "{} does not fit this folder", p.display()),
         }
     }
 }
--- a/crates/control/src/voters.rs
+++ b/crates/control/src/voters.rs
@@ -112,17 +112,14 @@
 impl fmt::Display for ChangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Pending => f.write_str("another membership change is not committed yet"),
-            Self::Early => f.write_str("the leader has not committed an entry of its term yet"),
+            Self::Pending => f.write_str("another change of the voters is not committed yet"),
+            Self::Early => f.write_str("the leader has committed nothing in its term yet"),
             Self::Known(id) => write!(f, "{id} is already a voter or learner"),
             Self::Unknown(id) => write!(f, "{id} is neither voter nor learner"),
             Self::Behind { held, needed } => {
-                write!(
-                    f,
-                    "the learner holds the log up to index {held}, not yet up to {needed}"
-                )
+                write!(f, "the learner holds the log up to {held} of {needed}")
             }
-            Self::Crowded(zone) => write!(f, "zone {zone} would hold more than half of the voters"),
+            Self::Crowded(zone) => write!(f, "{zone} would hold more than half of the voters"),
             Self::Empty => f.write_str("no voter would be left"),
             Self::Full => write!(f, "there would be more than {MAX_VOTERS} voters"),
         }
--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -114,7 +114,7 @@
                 );
                 text_answer(
                     StatusCode::CONFLICT,
-                    "other content is in force under this version",
+                    "other content is in force under this number",
                 )
             }
             Some(verdict) => {
@@ -134,7 +134,7 @@
                     version,
                     "no verdict: no leader can be reached",
                 );
-                text_answer(StatusCode::SERVICE_UNAVAILABLE, "no leader can be reached")
+                text_answer(StatusCode::SERVICE_UNAVAILABLE, "no leader is in reach")
             }
         }
     }
@@ -176,7 +176,7 @@
             Some(newest) => json_body(StatusCode::OK, newest.text.into()),
             None => text_answer(
                 StatusCode::SERVICE_UNAVAILABLE,
-                "the newest configuration cannot be determined now",
+                "it is not sure which configuration is the newest",
             ),
         }
     }
@@ -244,10 +244,7 @@
             ..
         } = &*self.state;
         unknown_senders.record(journal, id, reason);
-        text_answer(
-            StatusCode::BAD_REQUEST,
-            "the announcement names no usable server",
-        )
+        text_answer(StatusCode::BAD_REQUEST, "this names no server to use")
     }
 
     async fn leave(&self, id: &str) -> Answer {
@@ -293,10 +290,7 @@
         let _: Hello = decode(body)?;
         Some(match self.own.known() {
             Some(known) => rpc::encode_response(&known),
-            None => text_answer(
-                StatusCode::SERVICE_UNAVAILABLE,
-                "the data folder is not open yet",
-            ),
+            None => text_answer(StatusCode::SERVICE_UNAVAILABLE, "the folder is not open"),
         })
     }
 
--- a/crates/entry/src/voter.rs
+++ b/crates/entry/src/voter.rs
@@ -59,7 +59,7 @@
 impl fmt::Display for VoterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Storage(path) => write!(f, "the log can't be stored in {}", path.display()),
+            Self::Storage(path) => write!(f, "{} can't hold the log", path.display()),
             Self::Thread => f.write_str("the voter's threads can't be started"),
         }
     }
--- a/crates/entry/src/voter/engine.rs
+++ b/crates/entry/src/voter/engine.rs
@@ -162,38 +162,28 @@
                 journal.record(Event::VoterChanged, voter, detail);
             }
             NodeEvent::MajorityReplaced(index) => {
-                let detail = format_args!(
-                    "the only voter from index {index} on, after the loss of a majority"
-                );
+                let detail = format_args!("alone from {index} on, a majority was lost");
                 journal.record(Event::VoterChanged, voter, detail);
             }
             NodeEvent::SnapshotSaved(index) => journal.record(Event::SnapshotWritten, voter, index),
             NodeEvent::Regressed(peer) => {
-                journal.record(
-                    Event::StorageRefused,
-                    peer,
-                    "it lost log entries that it had acknowledged",
-                );
+                journal.record(Event::StorageRefused, peer, "it lost what it acknowledged");
             }
             NodeEvent::Outdated(peer) => {
-                journal.record(
-                    Event::IdentityClash,
-                    peer,
-                    "a message came from an earlier start of this voter",
-                );
+                journal.record(Event::IdentityClash, peer, "an older start speaks");
             }
             NodeEvent::Contradicted(index) => {
                 journal.record(
                     Event::StorageRefused,
                     voter,
-                    format_args!("a different entry is committed at index {index}"),
+                    format_args!("{index} is committed otherwise"),
                 );
             }
             NodeEvent::SnapshotUnreadable(index) => {
                 journal.record(
                     Event::StorageRefused,
                     voter,
-                    format_args!("the snapshot at index {index} can't be read"),
+                    format_args!("snapshot {index}"),
                 );
             }
         }
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -55,7 +55,7 @@
 ) -> Answer {
     let started = state.clock.now();
     if !state.shutdown.lock().accepts_requests(started) {
-        return refusal("this host is shutting down", RETRY_ELSEWHERE);
+        return refusal("this host is leaving", RETRY_ELSEWHERE);
     }
     let Some(routes) = state.routes() else {
         return refusal("no configuration is known yet", RETRY_AFTER_OUT);
@@ -116,7 +116,7 @@
     let detail = format_args!("{denied:?}, version {}", state.version());
     state.journal.record(Event::RequestRefused, path, detail);
     match denied {
-        Denied::NoRoute => local_answer(StatusCode::NOT_FOUND, "no route matches"),
+        Denied::NoRoute => local_answer(StatusCode::NOT_FOUND, "no route leads there"),
         Denied::NoKey => local_answer(StatusCode::UNAUTHORIZED, "the key is not known"),
     }
 }
@@ -360,7 +360,7 @@
         Failure::Late => local_answer(StatusCode::GATEWAY_TIMEOUT, "no answer came in time"),
         _ => local_answer(
             StatusCode::BAD_GATEWAY,
-            "the answer was lost; the request may have run",
+            "the answer was lost; it may have run",
         ),
     }
 }
--- a/crates/gateway/src/waiting.rs
+++ b/crates/gateway/src/waiting.rs
@@ -120,12 +120,12 @@
     job.state.metrics.count_end(Ended::Refused);
     let reason = match unplaced {
         Unplaced::AllFull => "every server is full",
-        Unplaced::Spent => "no retry is left",
-        Unplaced::AllLimited => "every server is at its limit",
+        Unplaced::Spent => "no repeat is left",
+        Unplaced::AllLimited => "every server has what it takes for now",
         Unplaced::AllResting => "every server asked for rest",
         Unplaced::AllOut => "no server can be reached",
         Unplaced::Nobody => "the service has no server",
-        Unplaced::Out => "the service is unavailable",
+        Unplaced::Out => "the service is out",
         Unplaced::TooLong => "the answer could not end in time",
     };
     refusal(reason, after)
--- a/crates/groups/src/agree/lead.rs
+++ b/crates/groups/src/agree/lead.rs
@@ -608,9 +608,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Stale(fence) => write!(f, "fencing number {fence} is later"),
-            Self::Rebased(version) => write!(f, "map {version} is in force now"),
-            Self::Busy => f.write_str("another map is being brought into force"),
-            Self::Replaced => f.write_str("a proposal with a later fencing number took its place"),
+            Self::Rebased(version) => write!(f, "map {version} is in force by now"),
+            Self::Busy => f.write_str("another map is under way"),
+            Self::Replaced => f.write_str("a later control leader's map took its place"),
             Self::Unloaded => f.write_str("a rank could not load the weights in time"),
             Self::Unpromised => f.write_str("a rank did not promise in time"),
             Self::Unfenced => f.write_str("an agent does not know the fencing number yet"),
--- a/crates/groups/src/agree/message.rs
+++ b/crates/groups/src/agree/message.rs
@@ -256,13 +256,13 @@
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Outranked(term) => write!(f, "term {term} is later"),
-            Self::Unasked(term) => write!(f, "term {term} has not asked this rank"),
+            Self::Outranked(term) => write!(f, "reign {term} is later"),
+            Self::Unasked(term) => write!(f, "reign {term} never asked"),
             Self::Stale(fence) => write!(f, "fencing number {fence} is later"),
             Self::Unfenced => f.write_str("the fencing number is not known yet"),
             Self::Unloaded(version) => write!(f, "weights of map {version} can't be loaded"),
-            Self::Late(attempt) => write!(f, "{attempt} starts too soon"),
-            Self::Busy(attempt) => write!(f, "{attempt} is still open"),
+            Self::Late(attempt) => write!(f, "{attempt} is too near"),
+            Self::Busy(attempt) => write!(f, "{attempt} comes first"),
         }
     }
 }
--- a/crates/groups/src/pace.rs
+++ b/crates/groups/src/pace.rs
@@ -40,7 +40,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Sound => f.write_str("sound"),
-            Self::Slow(hundredths) => write!(f, "slow: {hundredths} % of median time per token"),
+            Self::Slow(hundredths) => write!(f, "slow: {hundredths} % of the median time a token"),
             Self::Stalled => f.write_str("stalled"),
         }
     }
--- a/crates/groups/src/planner.rs
+++ b/crates/groups/src/planner.rs
@@ -40,7 +40,7 @@
         } = self;
         write!(f, "{at} map {base}: ")?;
         match moves {
-            0 => write!(f, "no moves: {reason}"),
+            0 => write!(f, "nothing moved: {reason}"),
             n => write!(f, "{n} slots change: {reason}"),
         }
     }
--- a/crates/groups/src/policy.rs
+++ b/crates/groups/src/policy.rs
@@ -371,7 +371,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Stepping => "stepping",
-            Self::Forming => "forming again",
+            Self::Forming => "being formed anew",
             Self::CutOff => "cut off",
             Self::Restarting => "restarting",
             Self::Frozen => "frozen by an operator",
@@ -391,12 +391,15 @@
                 write!(f, "{loads} loads bring the gap from {before} to {after}")
             }
             Self::Unsettled(phase) => write!(f, "the group is {phase}"),
-            Self::Cooling { left } => write!(f, "the last switch was too recent; {left} to wait"),
-            Self::Stale => f.write_str("no report of the load of experts is recent enough"),
+            Self::Cooling { left } => write!(f, "the last switch is near; {left} to wait"),
+            Self::Stale => f.write_str("no report of the experts' load is new enough"),
             Self::Straggler { rank, health } => {
-                write!(f, "rank {rank} is {health}; moving experts would not help")
+                write!(
+                    f,
+                    "rank {rank} is {health}; moving experts would not mend it"
+                )
             }
-            Self::Even { gap } => write!(f, "the widest gap is only {}", percent(*gap)),
+            Self::Even { gap } => write!(f, "the widest gap is {} only", percent(*gap)),
             Self::Costly { saved, cost } => {
                 let (saved, cost) = (f64::from(*saved) / 1e3, f64::from(*cost) / 1e3);
                 write!(
--- a/crates/groups/tests/planner.rs
+++ b/crates/groups/tests/planner.rs
@@ -56,7 +56,10 @@
     let reason = Reason::Unsettled(Phase::CutOff);
     assert_eq!(out, [PlannerOutput::Event(Event::MoveDeclined, reason)]);
     let texts: Vec<String> = planner.history().map(|record| record.to_string()).collect();
-    assert_eq!(texts, ["60.000000s map 3: no moves: the group is cut off"]);
+    assert_eq!(
+        texts,
+        ["60.000000s map 3: nothing moved: the group is cut off"]
+    );
 }
 
 #[test]
--- a/crates/membership/tests/matrix.rs
+++ b/crates/membership/tests/matrix.rs
@@ -277,7 +277,7 @@
             }
         }
     }
-    println!("cases: {cases}");
+    println!("cells: {cases}");
 }
 
 #[test]
@@ -297,7 +297,7 @@
             }
         }
     }
-    println!("cases: {cases}");
+    println!("cells: {cases}");
 }
 
 #[test]
@@ -328,5 +328,5 @@
             cases += 1;
         }
     }
-    println!("cases: {cases}");
+    println!("cells: {cases}");
 }
--- a/crates/requests/src/answer.rs
+++ b/crates/requests/src/answer.rs
@@ -165,7 +165,7 @@
             Self::Silent => "the backend server went silent",
             Self::Late => "the deadline passed",
             Self::Cancelled => "the attempt was cancelled",
-            Self::Dropped => "the agent no longer keeps the answer",
+            Self::Dropped => "the answer is no longer kept",
         })
     }
 }
@@ -174,12 +174,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Incarnation => "addressed to another incarnation of the agent",
-            Self::Draining => "the backend server is draining",
+            Self::Draining => "the backend server is leaving",
             Self::Late => "the deadline had passed",
             Self::Barred => "the attempt was settled as not run",
-            Self::Expired => "the attempt is older than attempts that were already forgotten",
+            Self::Expired => "the attempt is older than ones already forgotten",
             Self::Full => "the agent's ledger is full",
-            Self::Suspect => "another suspected request runs there",
+            Self::Suspect => "another suspect runs there",
             Self::Unreachable => "the backend server does not answer",
             Self::Unknown => "the agent does not know the attempt",
         })
--- a/crates/requests/src/verdict.rs
+++ b/crates/requests/src/verdict.rs
@@ -61,20 +61,14 @@
             Self::Refused(reason) => write!(f, "{reason}"),
             Self::Lost => f.write_str("the agent of the backend server can't be reached"),
             Self::Failed(reason) => write!(f, "{reason}"),
-            Self::Corrupt => f.write_str("the answer was damaged in transit"),
-            Self::TooLong => {
-                f.write_str("the answer is too long to be buffered; request it as a stream")
-            }
+            Self::Corrupt => f.write_str("the answer was damaged on its way"),
+            Self::TooLong => f.write_str("the answer is too long to be held; stream it"),
             Self::Late => f.write_str("the deadline passed"),
-            Self::CallerGone => f.write_str("the caller disconnected"),
+            Self::CallerGone => f.write_str("the caller left"),
             Self::KeyReused => f.write_str("the key was used with another body"),
             Self::KeyUnsure => f.write_str("no majority of the key's keepers can be reached"),
-            Self::SuspectRuns => f.write_str(
-                "the request is suspected of crashing backend servers and already runs elsewhere",
-            ),
-            Self::Quarantined => {
-                f.write_str("the request is quarantined because it crashed backend servers")
-            }
+            Self::SuspectRuns => f.write_str("a suspected request runs once at a time"),
+            Self::Quarantined => f.write_str("the request crashed backend servers"),
         }
     }
 }
--- a/crates/routing/src/refusal.rs
+++ b/crates/routing/src/refusal.rs
@@ -36,19 +36,19 @@
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Requests => "the workspace exceeds its limit of requests per second",
-            Self::Tokens => "the workspace exceeds its limit of tokens per second",
-            Self::Concurrency => "the workspace has reached its limit of requests in flight",
+            Self::Requests => "the workspace is over its requests a second",
+            Self::Tokens => "the workspace is over its tokens a second",
+            Self::Concurrency => "the workspace has as many requests in flight as it may",
             Self::Queue => "the workspace's queue is full",
-            Self::Deadline => "the request would wait past its deadline",
-            Self::Unloaded => "no backend server offers the model or service now",
+            Self::Deadline => "it would wait past its deadline",
+            Self::Unloaded => "no backend server offers it now",
         })
     }
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}; retry in {}", self.reason, self.retry)
+        write!(f, "{}; come back in {}", self.reason, self.retry)
     }
 }
 
