--- a/crates/membership/tests/matrix.rs
+++ b/crates/membership/tests/matrix.rs
@@ -282,7 +282,7 @@
             }
         }
     }
-    println!("cases: {cases}");
+    println!("cells: {cases}");
 }
 
 #[test]
@@ -302,7 +302,7 @@
             }
         }
     }
-    println!("cases: {cases}");
+    println!("cells: {cases}");
 }
 
 #[test]
@@ -335,5 +335,5 @@
             cases += 1;
         }
     }
-    println!("cases: {cases}");
+    println!("cells: {cases}");
 }
