--- a/crates/agent/src/rank.rs
+++ b/crates/agent/src/rank.rs
@@ -274,7 +274,7 @@
             LeadOutput::ToRank(to, message) => machines.send(to, GroupBody::Lead(message)),
             LeadOutput::Arm(timer) => self.start_timer(machines, MachineTimer::Lead(timer)),
             LeadOutput::Committed(version) => {
-                let detail = format!("map {version}, promised by every rank");
+                let detail = format!("map {version} by every rank's promise");
                 self.journal
                     .record(Event::MapCommitted, &self.place.group, detail);
             }
