--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The flags and subcommands of the `snipemast` command line.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,36 +18,38 @@
     pub(crate) command: Option<Command>,
 }
 
-/// What to do.
+/// The subcommand to run.
 #[derive(Debug, Options)]
 pub(crate) enum Command {
     #[options(help = "run an entry host")]
     Serve(ServeArgs),
-    #[options(help = "run an entry host's role on the users' platform")]
+    #[options(help = "run the gateway role of an entry host on the platform")]
     Gateway(GatewayArgs),
-    #[options(help = "run a control host's role on the users' platform")]
+    #[options(help = "run the controller role of a control host on the platform")]
     Controller(RoleArgs),
-    #[options(help = "run beside a rank on the users' platform")]
+    #[options(help = "run the sidecar of a rank on the platform")]
     Sidecar(RoleArgs),
     #[options(help = "check a settings file")]
     Check(CheckArgs),
     #[options(help = "submit a patch of the configuration")]
     Patch(PatchArgs),
-    #[options(help = "print the configuration, or what changed: config [diff N M]")]
+    #[options(
+        help = "print the configuration, or the changes between two versions: config [diff N M]"
+    )]
     Config(ConfigArgs),
-    #[options(help = "print the last versions, who made them and why")]
+    #[options(help = "print the latest versions with their authors and reasons")]
     History(HistoryArgs),
-    #[options(help = "print what an entry host knows, and who lags behind")]
-    Status(DeskArgs),
+    #[options(help = "print the state of an entry host and which processes lag behind")]
+    Status(StatusArgs),
     #[options(help = "print or draw the events of all processes")]
     Timeline(TimelineArgs),
     #[options(
-        help = "print a request's story out of the logs of processes: explain REQUEST FILE..."
+        help = "print the log lines that concern a request, from the logs of several processes: explain REQUEST FILE..."
     )]
     Explain(ExplainArgs),
     #[options(help = "print the hash of a key, for the configuration or settings")]
     Hash(HashArgs),
-    #[options(help = "run a whole small fleet in this process")]
+    #[options(help = "run a small fleet in this process")]
     Demo(DemoArgs),
 }
 
@@ -60,20 +62,20 @@
     pub(crate) settings: PathBuf,
 }
 
-/// Arguments of `gateway`, whose settings file an environment variable names.
+/// Arguments of `gateway`. An environment variable names its settings file.
 #[derive(Debug, Options)]
 pub(crate) struct GatewayArgs {
     #[options(help = "print this help")]
     pub(crate) help: bool,
     #[options(
         no_short,
-        help = "a file that says which way decisions are taken",
+        help = "the file that selects the decision policies",
         meta = "FILE"
     )]
     pub(crate) decisions: Option<PathBuf>,
 }
 
-/// Arguments of `controller` and `sidecar`, whose settings file an environment variable names.
+/// Arguments of `controller` and `sidecar`. An environment variable names their settings file.
 #[derive(Debug, Options)]
 pub(crate) struct RoleArgs {
     #[options(help = "print this help")]
@@ -87,12 +89,12 @@
     pub(crate) help: bool,
     #[options(
         no_short,
-        help = "count the requests that came to grief, by cause and second"
+        help = "count the requests that were refused, late, failed or queued, by cause and by time"
     )]
     pub(crate) summary: bool,
     #[options(
         free,
-        help = "the id of the request's attempt, but with --summary, and the logs"
+        help = "the id of the request's attempt (not with --summary), then the log files"
     )]
     pub(crate) words: Vec<PathBuf>,
 }
@@ -116,14 +118,14 @@
     #[options(free, help = "the patch, a JSON file")]
     pub(crate) file: Option<PathBuf>,
     #[options(
-        help = "go back to the content of this version instead",
+        help = "restore the content of this version instead",
         meta = "N",
         no_short
     )]
     pub(crate) back: Option<Version>,
-    #[options(help = "only say what the patch would come to", no_short)]
+    #[options(help = "only print the result that the patch would have", no_short)]
     pub(crate) dry_run: bool,
-    #[options(help = "the operators' address of a host", meta = "IP:PORT")]
+    #[options(help = "the operator address of a host", meta = "IP:PORT")]
     pub(crate) to: Option<SocketAddr>,
     #[options(help = "the operator's key", meta = "KEY")]
     pub(crate) key: Option<String>,
@@ -136,11 +138,15 @@
 pub(crate) struct ConfigArgs {
     #[options(help = "print this help")]
     pub(crate) help: bool,
-    #[options(free, help = "nothing, or: diff N M")]
+    #[options(free, help = "empty, or: diff N M")]
     pub(crate) words: Vec<String>,
-    #[options(help = "another version than the one in force", meta = "N", no_short)]
+    #[options(
+        help = "the version to print instead of the one in force",
+        meta = "N",
+        no_short
+    )]
     pub(crate) at: Option<Version>,
-    #[options(help = "the operators' address of a host", meta = "IP:PORT")]
+    #[options(help = "the operator address of a host", meta = "IP:PORT")]
     pub(crate) to: Option<SocketAddr>,
     #[options(help = "the operator's key", meta = "KEY")]
     pub(crate) key: Option<String>,
@@ -153,9 +159,9 @@
 pub(crate) struct HistoryArgs {
     #[options(help = "print this help")]
     pub(crate) help: bool,
-    #[options(help = "how many versions", meta = "N", no_short)]
+    #[options(help = "the number of versions to print", meta = "N", no_short)]
     pub(crate) last: Option<usize>,
-    #[options(help = "the operators' address of a host", meta = "IP:PORT")]
+    #[options(help = "the operator address of a host", meta = "IP:PORT")]
     pub(crate) to: Option<SocketAddr>,
     #[options(help = "the operator's key", meta = "KEY")]
     pub(crate) key: Option<String>,
@@ -165,10 +171,10 @@
 
 /// Arguments of `status`.
 #[derive(Debug, Options)]
-pub(crate) struct DeskArgs {
+pub(crate) struct StatusArgs {
     #[options(help = "print this help")]
     pub(crate) help: bool,
-    #[options(help = "the operators' address of a host", meta = "IP:PORT")]
+    #[options(help = "the operator address of a host", meta = "IP:PORT")]
     pub(crate) to: Option<SocketAddr>,
     #[options(help = "the operator's key", meta = "KEY")]
     pub(crate) key: Option<String>,
@@ -181,17 +187,21 @@
 pub(crate) struct TimelineArgs {
     #[options(help = "print this help")]
     pub(crate) help: bool,
-    #[options(help = "only the events about this request", meta = "ID", no_short)]
+    #[options(help = "print only the events of this request", meta = "ID", no_short)]
     pub(crate) request: Option<String>,
     #[options(
-        help = "only the events of the last span, like 5m",
+        help = "print only the events of this last span of time, such as 5m",
         meta = "SPAN",
         no_short
     )]
     pub(crate) since: Option<Span>,
-    #[options(help = "draw them into this file", meta = "FILE", no_short)]
+    #[options(
+        help = "draw the events as SVG into this file",
+        meta = "FILE",
+        no_short
+    )]
     pub(crate) svg: Option<PathBuf>,
-    #[options(help = "the operators' address of a host", meta = "IP:PORT")]
+    #[options(help = "the operator address of a host", meta = "IP:PORT")]
     pub(crate) to: Option<SocketAddr>,
     #[options(help = "the operator's key", meta = "KEY")]
     pub(crate) key: Option<String>,
@@ -211,7 +221,7 @@
 pub(crate) struct DemoArgs {
     #[options(help = "print this help")]
     pub(crate) help: bool,
-    #[options(help = "stay up until interrupted")]
+    #[options(help = "keep running until interrupted")]
     pub(crate) serve: bool,
     #[options(help = "run only the backend servers of examples/loopback", no_short)]
     pub(crate) servers: bool,
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! `patch`, `config`, `history` and `status`: the operator's verbs, over HTTP and JSON.
+//! The operator commands `patch`, `config`, `history` and `status`, which talk to a host over HTTP and JSON.
 
 use std::fmt;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -15,25 +15,25 @@
 use snipemast_core::prelude::*;
 use snipemast_operators::{DryRunAnswer, HistoryLine, StatusReport, VerdictAnswer};
 
-use crate::args::{ConfigArgs, DeskArgs, HistoryArgs, PatchArgs};
+use crate::args::{ConfigArgs, HistoryArgs, PatchArgs, StatusArgs};
 use crate::{exit, tables};
 
-/// The result of a verb.
+/// The result of an operator command.
 pub(crate) type Result<T> = std::result::Result<T, Report<ClientError>>;
 
-/// Where operators connect to a host that runs on this machine.
-const DEFAULT_DESK: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 7003);
-/// How long an answer may take.
-const TIMEOUT: Span = Span::from_secs(15);
+/// The operator address of a host that runs on this machine.
+const DEFAULT_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 7003);
+/// The time limit for an answer.
+const ANSWER_TIMEOUT: Span = Span::from_secs(15);
 
-/// A verb that brought nothing.
+/// The reason why an operator command failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum ClientError {
-    /// The command line asks for nothing there is.
+    /// The command line is invalid; holds the usage line.
     Usage(&'static str),
-    /// A file can't be read.
+    /// A file can't be read or written.
     File(PathBuf),
-    /// The host can't be reached or broke off.
+    /// The host can't be reached, or it closed the connection before the whole answer.
     Unreachable(SocketAddr),
     /// The answer is not the expected document.
     Malformed,
@@ -67,44 +67,45 @@
 }
 
 fn try_patch(args: &PatchArgs) -> Result<ExitCode> {
-    let desk = Desk::new(args.to, args.key.as_deref(), args.json);
+    let client = OperatorClient::new(args.to, args.key.as_deref(), args.json);
     let body = match (&args.file, args.back) {
         (Some(file), None) => {
             std::fs::read(file).change_context_lazy(|| ClientError::File(file.clone()))?
         }
         (None, Some(to)) => {
-            let answer = desk.get(&format!("/config/back?to={to}"))?;
+            let answer = client.get(&format!("/config/back?to={to}"))?;
             if !answer.is_success() {
-                return answer.refuse();
+                return answer.print_refusal();
             }
             answer.text.into_bytes()
         }
         _ => return Err(Report::new(ClientError::Usage("patch FILE | --back N"))),
     };
     if args.dry_run {
-        let answer = desk.post("/patches?dry-run=true", body)?;
-        return desk.show(answer, |dry: &DryRunAnswer| tables::dry(dry));
+        let answer = client.post("/patches?dry-run=true", body)?;
+        return client.show(answer, |dry: &DryRunAnswer| tables::dry_run(dry));
     }
-    let answer = desk.post("/patches", body)?;
+    let answer = client.post("/patches", body)?;
     let accepted = answer.is_success();
-    desk.show(answer, |verdict: &VerdictAnswer| tables::verdict(verdict))
-        .map(|code| if accepted { code } else { refused() })
+    client
+        .show(answer, |verdict: &VerdictAnswer| tables::verdict(verdict))
+        .map(|code| if accepted { code } else { refused_code() })
 }
 
-/// Prints a configuration, or what changed between two.
+/// Prints a configuration, or the changes between two versions.
 pub(crate) fn config(args: &ConfigArgs) -> ExitCode {
     finish(try_config(args))
 }
 
 fn try_config(args: &ConfigArgs) -> Result<ExitCode> {
-    let desk = Desk::new(args.to, args.key.as_deref(), args.json);
+    let client = OperatorClient::new(args.to, args.key.as_deref(), args.json);
     let words: Vec<&str> = args.words.iter().map(String::as_str).collect();
     match (words.as_slice(), args.at) {
-        ([], None) => desk.show(desk.get("/config")?, tables::config),
-        ([], Some(at)) => desk.show(desk.get(&format!("/config?at={at}"))?, tables::config),
+        ([], None) => client.show(client.get("/config")?, tables::config),
+        ([], Some(at)) => client.show(client.get(&format!("/config?at={at}"))?, tables::config),
         (["diff", from, to], None) => {
             let path = format!("/config/diff?from={from}&to={to}");
-            desk.show(desk.get(&path)?, |delta: &Delta| tables::delta(delta))
+            client.show(client.get(&path)?, |delta: &Delta| tables::delta(delta))
         }
         _ => Err(Report::new(ClientError::Usage(
             "config [--at N] | config diff N M",
@@ -112,37 +113,38 @@
     }
 }
 
-/// Prints the last versions.
+/// Prints the latest versions.
 pub(crate) fn history(args: &HistoryArgs) -> ExitCode {
     finish(try_history(args))
 }
 
 fn try_history(args: &HistoryArgs) -> Result<ExitCode> {
-    let desk = Desk::new(args.to, args.key.as_deref(), args.json);
+    let client = OperatorClient::new(args.to, args.key.as_deref(), args.json);
     let path = match args.last {
         Some(last) => format!("/history?last={last}"),
         None => "/history".into(),
     };
-    desk.show(desk.get(&path)?, |lines: &Vec<HistoryLine>| {
+    client.show(client.get(&path)?, |lines: &Vec<HistoryLine>| {
         tables::history(lines)
     })
 }
 
-/// Prints what a host knows.
-pub(crate) fn status(args: &DeskArgs) -> ExitCode {
+/// Prints the state of a host.
+pub(crate) fn status(args: &StatusArgs) -> ExitCode {
     finish(try_status(args))
 }
 
-fn try_status(args: &DeskArgs) -> Result<ExitCode> {
-    let desk = Desk::new(args.to, args.key.as_deref(), args.json);
-    let answer = desk.get("/status")?;
-    desk.show(answer, |report: &StatusReport| tables::status(report))
+fn try_status(args: &StatusArgs) -> Result<ExitCode> {
+    let client = OperatorClient::new(args.to, args.key.as_deref(), args.json);
+    let answer = client.get("/status")?;
+    client.show(answer, |report: &StatusReport| tables::status(report))
 }
 
-fn refused() -> ExitCode {
+fn refused_code() -> ExitCode {
     ExitCode::from(exit::REFUSED)
 }
 
+/// Returns the exit code of a command, and prints its error if it failed.
 pub(crate) fn finish(result: Result<ExitCode>) -> ExitCode {
     result.unwrap_or_else(|report| {
         eprintln!("snipemast: {}", report.current_context());
@@ -150,14 +152,14 @@
     })
 }
 
-/// The operators' interface of one host.
-pub(crate) struct Desk<'a> {
+/// A client of one host's operator interface.
+pub(crate) struct OperatorClient<'a> {
     address: SocketAddr,
     key: Option<&'a str>,
     json: bool,
 }
 
-/// An answer as it came.
+/// The status and the text of an answer.
 pub(crate) struct Answer {
     status: u16,
     text: String,
@@ -168,40 +170,40 @@
         (200..300).contains(&self.status)
     }
 
-    /// Prints a problem as it came.
-    /// Reads the document.
-    pub(crate) fn read<T: DeserializeOwned>(&self) -> Result<T> {
+    /// Parses the text as a JSON document.
+    pub(crate) fn read_document<T: DeserializeOwned>(&self) -> Result<T> {
         serde_json::from_str(&self.text).change_context(ClientError::Malformed)
     }
 
-    pub(crate) fn refuse(&self) -> Result<ExitCode> {
+    /// Prints the problem that the host reported, and returns the exit code of a refusal.
+    pub(crate) fn print_refusal(&self) -> Result<ExitCode> {
         eprintln!("snipemast: {}", tables::problem(&self.text));
-        Ok(refused())
+        Ok(refused_code())
     }
 }
 
-impl<'a> Desk<'a> {
+impl<'a> OperatorClient<'a> {
     pub(crate) fn new(address: Option<SocketAddr>, key: Option<&'a str>, json: bool) -> Self {
         Self {
-            address: address.unwrap_or(DEFAULT_DESK),
+            address: address.unwrap_or(DEFAULT_ADDRESS),
             key,
             json,
         }
     }
 
     pub(crate) fn get(&self, path: &str) -> Result<Answer> {
-        self.ask(client().get(self.url(path).as_str()))
+        self.send(http_client().get(self.url(path).as_str()))
     }
 
     fn post(&self, path: &str, body: Vec<u8>) -> Result<Answer> {
-        self.ask(client().post(self.url(path).as_str()).with_body(body))
+        self.send(http_client().post(self.url(path).as_str()).with_body(body))
     }
 
     fn url(&self, path: &str) -> String {
         format!("http://{}{path}", self.address)
     }
 
-    fn ask(&self, mut conn: Conn) -> Result<Answer> {
+    fn send(&self, mut conn: Conn) -> Result<Answer> {
         if let Some(key) = self.key {
             let value = format!("Bearer {key}");
             conn.request_headers_mut()
@@ -213,15 +215,15 @@
             let text = conn.response_body().read_string().await.ok()?;
             Some(Answer { status, text })
         };
-        let late = async {
-            smol::Timer::after(TIMEOUT.as_duration()).await;
+        let timeout = async {
+            smol::Timer::after(ANSWER_TIMEOUT.as_duration()).await;
             None
         };
-        let answer = smol::block_on(answer.or(late));
+        let answer = smol::block_on(answer.or(timeout));
         answer.ok_or_else(|| Report::new(ClientError::Unreachable(self.address)))
     }
 
-    /// Prints an answer: as it came, or as a table.
+    /// Prints an answer: with `--json` as it was received, else as a table.
     pub(crate) fn show<T: DeserializeOwned>(
         &self,
         answer: Answer,
@@ -229,7 +231,7 @@
     ) -> Result<ExitCode> {
         let document = serde_json::from_str::<T>(&answer.text);
         if !answer.is_success() && document.is_err() {
-            return answer.refuse();
+            return answer.print_refusal();
         }
         if self.json {
             println!("{}", answer.text);
@@ -243,6 +245,6 @@
     }
 }
 
-fn client() -> Client {
+fn http_client() -> Client {
     Client::new(ClientConfig::default())
 }
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,4 +1,5 @@
-//! `demo`: entry, agents, control and fakes in one process on loopback.
+//! The command `demo`: an entry host with the control role, agents and fake backend servers, all in one
+//! process on loopback.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -26,28 +27,28 @@
 use crate::args::DemoArgs;
 use crate::exit;
 use crate::serve::start_incarnation;
-use crate::servers::servers;
+use crate::servers::run_servers;
 use crate::timeline::table;
 
-/// The result of a step of the demonstration.
+/// The result of one step of the demonstration.
 type Result<T> = std::result::Result<T, Report<DemoError>>;
 
 /// The key of the demonstration's workspace.
 const KEY: &str = "demo-key";
 
-/// A small bordereau, made up for the purpose.
+/// A made-up bordereau that serves as prompt.
 const BORDEREAU: &str = "treaty,period,ceded premium,paid losses\n\
     QS-2026-01,2026Q3,120000,45000\n\
     XL-2026-07,2026Q3,80000,0\n";
 
-/// A step of the demonstration that failed.
+/// The reason why a step of the demonstration failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DemoError {
     /// A part of the fleet did not start.
     Start,
     /// A patch was refused.
     Patch,
-    /// A request had no whole answer.
+    /// A request got no complete answer.
     Request,
 }
 
@@ -56,7 +57,7 @@
         f.write_str(match self {
             Self::Start => "a part of the fleet did not start",
             Self::Patch => "a patch was refused",
-            Self::Request => "a request had no whole answer",
+            Self::Request => "a request got no complete answer",
         })
     }
 }
@@ -66,7 +67,7 @@
 /// Runs the demonstration.
 pub(crate) fn demo(args: &DemoArgs) -> ExitCode {
     if args.servers {
-        return servers();
+        return run_servers();
     }
     match smol::block_on(run(args.serve)) {
         Ok(()) => ExitCode::SUCCESS,
@@ -77,7 +78,7 @@
     }
 }
 
-async fn run(stay: bool) -> Result<()> {
+async fn run(keep_running: bool) -> Result<()> {
     let mut fleet = Fleet::start().await?;
     fleet.patch(json!({
         "workspaces": { "cordillera": { "keys": [KeyHash::from_key(KEY)] } },
@@ -88,7 +89,7 @@
         },
     }))?;
     println!("callers connect to http://{}", fleet.entry.callers());
-    if stay {
+    if keep_running {
         fleet.print_hint();
         smol::future::pending::<()>().await;
     }
@@ -106,13 +107,13 @@
     Ok(())
 }
 
-/// An answer, and the id of its request.
+/// The text of an answer and the id of its request.
 struct Answer {
     text: String,
     request: String,
 }
 
-/// A whole small fleet in this process.
+/// A small fleet in this process.
 struct Fleet {
     entry: Entry,
     agents: Vec<Agent>,
@@ -145,7 +146,7 @@
             let info = server_info(&format!("engine-{number}"), offer);
             let fake = listen(loopback(), FakeEngine::new(info)).await;
             fleet
-                .add(fake.change_context(DemoError::Start)?, number)
+                .add_agent(fake.change_context(DemoError::Start)?, number)
                 .await?;
         }
         let info = server_info(
@@ -155,12 +156,14 @@
             },
         );
         let fake = listen(loopback(), FakeService::new(info)).await;
-        fleet.add(fake.change_context(DemoError::Start)?, 4).await?;
-        fleet.wait_known().await;
+        fleet
+            .add_agent(fake.change_context(DemoError::Start)?, 4)
+            .await?;
+        fleet.wait_for_members().await;
         Ok(fleet)
     }
 
-    async fn add(&mut self, fake: Listening, number: usize) -> Result<()> {
+    async fn add_agent(&mut self, fake: Listening, number: usize) -> Result<()> {
         let settings = agent_settings(number, fake.address(), self.entry.own());
         let journal = journal(&settings.host);
         let agent = Agent::start(settings, start_incarnation(), journal).await;
@@ -169,7 +172,7 @@
         Ok(())
     }
 
-    async fn wait_known(&self) {
+    async fn wait_for_members(&self) {
         while self.entry.shared().registry.members().len() < self.agents.len() {
             smol::Timer::after(Span::from_millis(10).as_duration()).await;
         }
@@ -212,13 +215,13 @@
         Ok(())
     }
 
-    /// Where a request went, out of its events.
+    /// Prints the hosts that a request passed, as its events name them.
     async fn print_route(&self, answer: &Answer) {
-        let asked = TimelineQuery {
+        let query = TimelineQuery {
             request: Some(answer.request.clone()),
             since: None,
         };
-        let timeline = collect(self.entry.shared(), &asked).await;
+        let timeline = collect(self.entry.shared(), &query).await;
         let mut hosts: Vec<&str> = Vec::new();
         for record in &timeline.records {
             let host = record.process.host.as_str();
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,4 +1,5 @@
-//! `explain`: one request's story, out of the logs of several processes.
+//! The command `explain`: prints the log lines that concern one request, from the logs of several
+//! processes.
 
 use std::fmt;
 use std::fs::File;
@@ -14,12 +15,12 @@
 use crate::exit;
 use crate::summary::Summary;
 
-/// How long before and after a request's own lines those about its servers and processes are told, in
-/// microseconds: an outage of a group lasts some seconds.
-const AROUND: i128 = 2_000_000;
+/// How long before and after a request's own lines the lines about its servers and processes are
+/// included, in microseconds. An outage of a group lasts some seconds.
+const CONTEXT_MICROS: i128 = 2_000_000;
 
-/// Lines that explain what happens to every request of a process or service.
-const CONTEXT: [&str; 15] = [
+/// Events that affect every request of a process or service.
+const CONTEXT_EVENTS: [&str; 15] = [
     "ProcessStarted",
     "DrainBegun",
     "ProcessEnded",
@@ -37,14 +38,14 @@
     "GroupRestarted",
 ];
 
-/// A log that can't be read.
+/// The error when a log can't be read.
 #[derive(Debug)]
-pub(crate) struct Unreadable {
+pub(crate) struct LogError {
     path: PathBuf,
     cause: std::io::Error,
 }
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for LogError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.path.display(), self.cause)
     }
@@ -53,19 +54,19 @@
 /// One line of a log.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub(crate) struct Line {
-    /// When, as text of RFC 3339.
+    /// The time in the format of RFC 3339.
     pub(crate) ts: String,
-    /// The process: host and start.
+    /// The process: its host and its incarnation.
     pub(crate) process: String,
-    /// The event.
+    /// The name of the event.
     pub(crate) msg: String,
-    /// What it is about.
+    /// The id of what the event is about.
     pub(crate) subject: String,
-    /// Further facts.
+    /// The details of the event.
     pub(crate) detail: String,
 }
 
-/// Prints what became of a request, or of all that came to grief.
+/// Prints the lines that concern a request, or with `--summary` the counts of all failed requests.
 pub(crate) fn explain(args: &ExplainArgs) -> ExitCode {
     let (request, files) = match (args.summary, args.words.split_first()) {
         (true, _) => (None, args.words.as_slice()),
@@ -75,84 +76,89 @@
             return ExitCode::from(exit::USAGE);
         }
     };
-    let (lines, torn) = match read_all(files) {
+    let (lines, skipped) = match read_all(files) {
         Ok(read) => read,
-        Err(unreadable) => {
-            eprintln!("snipemast: {unreadable}");
+        Err(e) => {
+            eprintln!("snipemast: {e}");
             return ExitCode::from(exit::USAGE);
         }
     };
     let told = match &request {
-        Some(request) => text(&story(request, lines)),
+        Some(request) => format_lines(&request_lines(request, lines)),
         None => Summary::new(&lines).to_string(),
     };
     print!("{told}");
-    if torn > 0 {
-        println!("{torn} lines are no events, and were left out");
+    if skipped > 0 {
+        println!("{skipped} lines are not events and were skipped");
     }
     match request.filter(|_| told.is_empty()) {
         Some(request) => {
-            println!("no line names {request}");
+            println!("no line mentions {request}");
             ExitCode::from(exit::REFUSED)
         }
         None => ExitCode::SUCCESS,
     }
 }
 
-/// The lines of several logs, and how many can't be read.
-fn read_all(files: &[PathBuf]) -> Result<(Vec<Line>, usize), Unreadable> {
+/// Returns the lines of several logs, and the number of lines that can't be parsed.
+fn read_all(files: &[PathBuf]) -> Result<(Vec<Line>, usize), LogError> {
     let mut lines = Vec::new();
-    let mut torn = 0;
+    let mut skipped = 0;
     for path in files {
-        let (read, broken) = read(path)?;
+        let (read, unparsed) = read_file(path)?;
         lines.extend(read);
-        torn += broken;
+        skipped += unparsed;
     }
-    Ok((lines, torn))
+    Ok((lines, skipped))
 }
 
-/// The lines of a log, and how many of it can't be read: a process that is killed tears its last one.
-fn read(path: &Path) -> Result<(Vec<Line>, usize), Unreadable> {
-    let failed = |cause| Unreadable {
+/// Returns the lines of a log, and the number of lines that can't be parsed. A process that is killed
+/// leaves its last line incomplete.
+fn read_file(path: &Path) -> Result<(Vec<Line>, usize), LogError> {
+    let failed = |cause| LogError {
         path: path.into(),
         cause,
     };
     let mut lines = Vec::new();
-    let mut torn = 0;
+    let mut skipped = 0;
     for line in BufReader::new(File::open(path).map_err(failed)?).lines() {
         let line = line.map_err(failed)?;
         match serde_json::from_str::<Line>(&line) {
             Ok(read) if read.micros().is_some() => lines.push(read),
             _ if line.trim().is_empty() => {}
-            _ => torn += 1,
+            _ => skipped += 1,
         }
     }
-    Ok((lines, torn))
+    Ok((lines, skipped))
 }
 
-/// The lines about a request, and those about its servers and processes around it, in order.
-pub(crate) fn story(request: &str, mut lines: Vec<Line>) -> Vec<Line> {
+/// Returns the lines about a request and those about its servers and processes around that time, in order
+/// of time.
+pub(crate) fn request_lines(request: &str, mut lines: Vec<Line>) -> Vec<Line> {
     lines.sort_by_key(Line::micros);
-    let own: Vec<&Line> = lines.iter().filter(|l| l.is_about(request)).collect();
-    let (Some(first), Some(last)) = (own.first(), own.last()) else {
+    let own_lines: Vec<&Line> = lines.iter().filter(|l| l.is_about(request)).collect();
+    let (Some(first), Some(last)) = (own_lines.first(), own_lines.last()) else {
         return Vec::new();
     };
-    let from = first.micros().unwrap_or(0) - AROUND;
-    let until = last.micros().unwrap_or(0) + AROUND;
-    let processes: Vec<&str> = own.iter().map(|l| l.process.as_str()).collect();
-    let words: Vec<&str> = own.iter().flat_map(|l| split(&l.detail)).collect();
-    let told = lines.iter().filter(|line| {
+    let from = first.micros().unwrap_or(0) - CONTEXT_MICROS;
+    let until = last.micros().unwrap_or(0) + CONTEXT_MICROS;
+    let processes: Vec<&str> = own_lines.iter().map(|l| l.process.as_str()).collect();
+    let words: Vec<&str> = own_lines
+        .iter()
+        .flat_map(|l| split_words(&l.detail))
+        .collect();
+    let chosen = lines.iter().filter(|line| {
         let near = line.micros().is_some_and(|at| from <= at && at <= until);
-        let context = CONTEXT.contains(&line.msg.as_str());
-        let concerned =
+        let context = CONTEXT_EVENTS.contains(&line.msg.as_str());
+        let is_related =
             processes.contains(&line.process.as_str()) || words.contains(&line.subject.as_str());
-        line.is_about(request) || (near && context && concerned)
+        line.is_about(request) || (near && context && is_related)
     });
-    told.cloned().collect()
+    chosen.cloned().collect()
 }
 
-/// The lines as a table, with the seconds since the first of them.
-pub(crate) fn text(lines: &[Line]) -> String {
+/// Returns the lines as a table, with the seconds since the first line.
+pub(crate) fn format_lines(lines: &[Line]) -> String {
     let start = lines.first().and_then(Line::micros).unwrap_or(0);
     let line = |line: &Line| {
         let seconds = (line.micros().unwrap_or(start) - start) as f64 / 1e6;
@@ -169,18 +175,19 @@
 }
 
 impl Line {
+    /// Whether the line is about a request or mentions it in its detail.
     fn is_about(&self, request: &str) -> bool {
-        self.subject == request || split(&self.detail).any(|word| word == request)
+        self.subject == request || split_words(&self.detail).any(|word| word == request)
     }
 
-    /// Microseconds since 1970; nothing where the time can't be read.
+    /// Returns the time in microseconds since 1970, or `None` if it can't be parsed.
     pub(crate) fn micros(&self) -> Option<i128> {
         let at = OffsetDateTime::parse(&self.ts, &Rfc3339).ok()?;
         Some(at.unix_timestamp_nanos() / 1_000)
     }
 }
 
-/// The words of a detail.
-fn split(detail: &str) -> impl Iterator<Item = &str> {
+/// Returns the words of a detail.
+fn split_words(detail: &str) -> impl Iterator<Item = &str> {
     detail.split([' ', ',', ';', ':', '(', ')'])
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,13 @@
 //! The `snipemast` binary: a thin command line over the other packages.
+//!
+//! - `args`: the flags and subcommands.
+//! - `serve`: the commands `serve`, `check` and `hash`.
+//! - `platform`: the commands `gateway`, `controller` and `sidecar`.
+//! - `client`: the operator commands `patch`, `config`, `history` and `status`, with `tables` for their
+//!   output.
+//! - `timeline`: the command `timeline`, with `drawing` for its SVG output.
+//! - `explain`: the command `explain`, with `summary` for `--summary`.
+//! - `demo`: the command `demo`, with `servers` for `--servers`.
 
 mod args;
 mod client;
@@ -18,15 +27,15 @@
 
 use crate::args::{Args, Command};
 
-/// Exit codes that a script can use.
+/// The exit codes, which scripts may rely on.
 mod exit {
-    /// It was done.
+    /// The command succeeded.
     pub(crate) const DONE: u8 = 0;
-    /// What was asked for was refused.
+    /// The host refused the command, or nothing was found.
     pub(crate) const REFUSED: u8 = 1;
-    /// The command line or a file is faulty.
+    /// The command line or a file is invalid.
     pub(crate) const USAGE: u8 = 2;
-    /// A process can't be reached or started.
+    /// A process can't be reached or can't be started.
     pub(crate) const UNREACHABLE: u8 = 3;
 }
 
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -1,4 +1,4 @@
-//! `gateway` and `controller`: the roles of a host on the platform.
+//! The commands `gateway`, `controller` and `sidecar`: the roles of a process on the platform.
 
 use std::future::Future;
 use std::process::ExitCode;
@@ -18,10 +18,10 @@
 use crate::exit;
 use crate::serve::start_incarnation;
 
-/// How many events a process keeps for its time line.
-const EVENTS: usize = 2_000;
+/// The number of events that a process keeps for its time line.
+const RING_EVENTS: usize = 2_000;
 
-/// Runs an entry host's role until it is told to end.
+/// Runs the gateway role of an entry host until a signal ends the process.
 pub(crate) fn gateway(args: &GatewayArgs) -> ExitCode {
     let decisions = match &args.decisions {
         Some(path) => snipemast_settings::read(path),
@@ -41,7 +41,7 @@
     })
 }
 
-/// Runs a control host's role until it is told to end.
+/// Runs the controller role of a control host until a signal ends the process.
 pub(crate) fn controller() -> ExitCode {
     run(|settings, journal, end| async {
         snipemast_controller::run(settings, journal, end)
@@ -50,7 +50,7 @@
     })
 }
 
-/// Runs beside a rank until it is told to end.
+/// Runs the sidecar of a rank until a signal ends the process.
 pub(crate) fn sidecar() -> ExitCode {
     run(|settings, journal, end| async {
         snipemast_sidecar::run(settings, journal, end)
@@ -59,9 +59,10 @@
     })
 }
 
+/// Runs a role with the settings file that the environment names, and returns the exit code.
 fn run<R, F>(role: R) -> ExitCode
 where
-    R: FnOnce(Settings, Journal, End) -> F,
+    R: FnOnce(Settings, Journal, EndSignal) -> F,
     F: Future<Output = Result<(), String>>,
 {
     let settings = match settings::reread() {
@@ -79,10 +80,10 @@
         }
     };
     let process = ProcessId::new(settings.host.clone(), start_incarnation());
-    let ring = Arc::new(Ring::new(process, EVENTS));
+    let ring = Arc::new(Ring::new(process, RING_EVENTS));
     let (journal, _lines) = Journal::new(ring, LogLevel::Debug, LogOutput::Stdout);
     let end = Box::pin(async move {
-        // The thread that watches never ends before the process.
+        // The signal thread never ends before the process.
         let _ = signals.recv().await;
     });
     match exec::run(role(settings, journal, end)) {
@@ -94,25 +95,25 @@
     }
 }
 
-/// Ready when the process is told to end.
-type End = std::pin::Pin<Box<dyn Future<Output = ()> + Send>>;
+/// A future that is ready once a signal asks the process to end.
+type EndSignal = std::pin::Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// Watches for the signals that end a process.
+/// Starts a thread that watches for the signals that end a process.
 ///
-/// SIGHUP says that the settings file has changed; it is read again every few seconds anyway, so the
-/// signal only must not end the process.
+/// SIGHUP means that the settings file has changed. The file is read again every few seconds anyway, so
+/// the signal is ignored; it must not end the process.
 fn watch_signals() -> std::io::Result<Receiver<()>> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let (sender, receiver) = async_channel::bounded(1);
-    let work = move || {
+    let watch = move || {
         for signal in signals.forever().filter(|s| *s != SIGHUP) {
             let _ = signal;
-            // Nobody receives any more only where the process ends already.
+            // The receiver is gone only if the process is already ending.
             let _ = sender.try_send(());
         }
     };
     std::thread::Builder::new()
         .name("signals".into())
-        .spawn(work)?;
+        .spawn(watch)?;
     Ok(receiver)
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! `serve` and `check`: run an entry host, or only check its settings.
+//! The commands `serve`, `check` and `hash`: run an entry host, check a settings file, hash a key.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use crate::args::{CheckArgs, ServeArgs};
 use crate::exit;
 
-/// Runs an entry host until it is told to end.
+/// Runs an entry host until a signal ends the process.
 pub(crate) fn serve(args: &ServeArgs) -> ExitCode {
     match snipemast_settings::read::<EntrySettings>(&args.settings) {
         Ok(settings) => run(settings),
@@ -30,7 +30,7 @@
     }
 }
 
-/// Checks a settings file of either binary and prints every fault.
+/// Checks a settings file of an entry host or of an agent and prints every fault.
 pub(crate) fn check_file(args: &CheckArgs) -> ExitCode {
     let text = match std::fs::read_to_string(&args.file) {
         Ok(text) => text,
@@ -39,7 +39,7 @@
             return ExitCode::from(exit::USAGE);
         }
     };
-    let (kind, faults) = faults(&text);
+    let (kind, faults) = find_faults(&text);
     if args.json {
         print_json(kind, &faults);
     } else if faults.is_empty() {
@@ -58,8 +58,8 @@
     }
 }
 
-/// The faults of a text, read as the settings that it resembles most.
-fn faults(text: &str) -> (&'static str, Vec<Fault>) {
+/// Returns the kind of settings that a text resembles most, and its faults as settings of that kind.
+fn find_faults(text: &str) -> (&'static str, Vec<Fault>) {
     let entry = check::<EntrySettings>(text).err().unwrap_or_default();
     if entry.is_empty() {
         return ("an entry host", entry);
@@ -72,7 +72,8 @@
     }
 }
 
-/// Prints the hash of a key that is read from standard input, so that no shell remembers it.
+/// Prints the hash of a key. The key is read from standard input, so that it does not end up in a shell's
+/// history.
 pub(crate) fn hash() -> ExitCode {
     let mut key = String::new();
     if std::io::stdin().read_line(&mut key).is_err() || key.trim().is_empty() {
@@ -117,7 +118,8 @@
     }
 }
 
-/// The wall clock in milliseconds: later starts of a host get a larger one.
+/// Returns the incarnation of a process that starts now: the wall clock in milliseconds, so that a later
+/// start of a host gets a larger one.
 pub(crate) fn start_incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     Incarnation::new(since.map_or(0, |d| d.as_millis() as u64))
--- a/crates/cli/src/servers.rs
+++ b/crates/cli/src/servers.rs
@@ -1,4 +1,4 @@
-//! `demo --servers`: only backend servers, for agents that run as processes of their own.
+//! The command `demo --servers`: runs only backend servers, for agents that run as separate processes.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -13,11 +13,11 @@
 use crate::demo::{id, server_info};
 use crate::exit;
 
-/// The time that the model engine takes for a token.
-const PACE: Span = Span::from_millis(20);
+/// The time that the model engine takes per token.
+const TOKEN_TIME: Span = Span::from_millis(20);
 
-/// Runs the backend servers that the agents of `examples/loopback` stand beside.
-pub(crate) fn servers() -> ExitCode {
+/// Runs the backend servers for the agents of `examples/loopback` until a signal ends the process.
+pub(crate) fn run_servers() -> ExitCode {
     let mut signals = match Signals::new([SIGTERM, SIGINT]) {
         Ok(signals) => signals,
         Err(e) => {
@@ -32,7 +32,7 @@
             ExitCode::SUCCESS
         }
         Err(e) => {
-            eprintln!("snipemast: the ports 9001 and 9002 of loopback are needed: {e}");
+            eprintln!("snipemast: can't listen on the loopback ports 9001 and 9002: {e}");
             ExitCode::from(exit::UNREACHABLE)
         }
     }
@@ -47,7 +47,7 @@
     let service = Offer::Service {
         service: id("mesa"),
     };
-    let engine = FakeEngine::new(server_info("lector-a", model)).with_pace(PACE);
+    let engine = FakeEngine::new(server_info("lector-a", model)).with_pace(TOKEN_TIME);
     let engine = listen(loopback(9_001), engine).await?;
     println!(
         "a model engine for lector-1 listens on {}",
--- a/crates/cli/src/summary.rs
+++ b/crates/cli/src/summary.rs
@@ -1,29 +1,31 @@
-//! `explain --summary`: the requests that came to grief, counted by cause and by time.
+//! The command `explain --summary`: counts the requests that were refused, late, failed or queued, by
+//! cause and by time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 use crate::explain::Line;
 
-/// The width of a row, in microseconds: an outage or an uneven map lasts some seconds.
-const ROW: i128 = 2_000_000;
+/// The time that one row covers, in microseconds. An outage or an uneven map lasts some seconds.
+const ROW_MICROS: i128 = 2_000_000;
 
-/// Upper bounds of the longest pauses that late answers are sorted by, in milliseconds.
-const PAUSES: [u64; 5] = [120, 160, 240, 500, 1_000];
+/// The upper bounds by which the longest pauses of late answers are grouped, in milliseconds.
+const PAUSE_BOUNDS_MS: [u64; 5] = [120, 160, 240, 500, 1_000];
 
-/// What became of requests that were not answered well.
+/// Counts of the requests that were not answered well.
 #[derive(Debug, Default)]
 pub(crate) struct Summary {
-    /// By row: how many by cause.
+    /// The number of requests per cause, by row.
     rows: BTreeMap<i128, BTreeMap<String, u64>>,
-    /// The longest pause of answers that were late for one, by the bound that it is below.
+    /// The number of answers that were late because of a pause, by the bound that their longest pause is
+    /// below.
     pauses: BTreeMap<u64, u64>,
-    /// Lines that processes left out of their logs, as they said.
+    /// What processes reported about lines that they left out of their logs.
     left_out: Vec<String>,
 }
 
 impl Summary {
-    /// Counts lines.
+    /// Counts the requests that these lines report.
     pub(crate) fn new(lines: &[Line]) -> Self {
         let mut summary = Self::default();
         let start = lines.iter().filter_map(Line::micros).min().unwrap_or(0);
@@ -33,7 +35,7 @@
                 summary.left_out.push(left_out);
             }
             let Some(cause) = cause(line) else { continue };
-            let row = (line.micros().unwrap_or(start) - start) / ROW;
+            let row = (line.micros().unwrap_or(start) - start) / ROW_MICROS;
             *summary
                 .rows
                 .entry(row)
@@ -41,7 +43,7 @@
                 .entry(cause)
                 .or_default() += 1;
             if let Some(pause) = longest_pause(line) {
-                let bound = PAUSES.into_iter().find(|b| pause < b * 1_000);
+                let bound = PAUSE_BOUNDS_MS.into_iter().find(|b| pause < b * 1_000);
                 *summary.pauses.entry(bound.unwrap_or(u64::MAX)).or_default() += 1;
             }
         }
@@ -49,7 +51,7 @@
     }
 }
 
-/// Why a request came to grief, if a line says that one did.
+/// Returns why a request was not answered well, or `None` if the line reports no such request.
 fn cause(line: &Line) -> Option<String> {
     let first = line.detail.split([',', ':']).next().unwrap_or("").trim();
     match line.msg.as_str() {
@@ -61,15 +63,15 @@
         "RequestQueued" => Some(format!("waited: {first}")),
         "RequestRetried" if line.detail.ends_with("false") => Some("repeat not granted".into()),
         "AnswerFailed" => {
-            let how = [
+            let kinds = [
                 "silent",
                 "broken off",
                 "inside an event",
                 "no connection",
                 "not run",
             ];
-            let how = how.into_iter().find(|how| line.detail.contains(how));
-            Some(format!("failed: {}", how.unwrap_or("otherwise")))
+            let kind = kinds.into_iter().find(|kind| line.detail.contains(kind));
+            Some(format!("failed: {}", kind.unwrap_or("otherwise")))
         }
         "StreamResumed" => Some("resumed".into()),
         "CallerGone" => Some("caller gone".into()),
@@ -77,7 +79,7 @@
     }
 }
 
-/// The longest pause of a late answer, in microseconds.
+/// Returns the longest pause of an answer that was late because of a pause, in microseconds.
 fn longest_pause(line: &Line) -> Option<u64> {
     let late = line.msg == "AnswerLate" && line.detail.ends_with("pause");
     let rest = line
@@ -104,8 +106,13 @@
         }
         writeln!(f, "\nby time, in seconds since the first line:")?;
         for (row, counts) in &self.rows {
-            let told: Vec<String> = counts.iter().map(|(c, n)| format!("{n} {c}")).collect();
-            writeln!(f, "{:>6}  {}", row * ROW / 1_000_000, told.join(", "))?;
+            let cells: Vec<String> = counts.iter().map(|(c, n)| format!("{n} {c}")).collect();
+            writeln!(
+                f,
+                "{:>6}  {}",
+                row * ROW_MICROS / 1_000_000,
+                cells.join(", ")
+            )?;
         }
         for left_out in &self.left_out {
             writeln!(f, "not in the log: {left_out}")?;
--- a/crates/cli/src/tables.rs
+++ b/crates/cli/src/tables.rs
@@ -1,4 +1,4 @@
-//! Answers as tables that a person reads.
+//! Formats the answers of a host as tables and text for a terminal.
 
 use std::fmt::{Display, Write};
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// The verdict on a patch.
+/// Returns the verdict on a patch as text.
 pub(crate) fn verdict(verdict: &VerdictAnswer) -> String {
     match verdict {
         VerdictAnswer::Accepted { version } => format!("accepted: in force as version {version}\n"),
@@ -56,8 +56,8 @@
     }
 }
 
-/// What a patch would come to.
-pub(crate) fn dry(dry: &DryRunAnswer) -> String {
+/// Returns the verdict on a dry run and the changes that it would make.
+pub(crate) fn dry_run(dry: &DryRunAnswer) -> String {
     let mut text = format!("dry run, nothing changes\n{}", verdict(&dry.verdict));
     let change = dry.change.clone();
     if let Some(change) = change.and_then(|c| serde_json::from_value::<Delta>(c).ok()) {
@@ -66,15 +66,15 @@
     text
 }
 
-/// What changed between two versions.
+/// Returns the changes between two versions as a table.
 pub(crate) fn delta(delta: &Delta) -> String {
     let mut table = Table::new(&["", "NAME", "NOW"]);
-    changes("operators", &delta.operators, &mut table);
-    changes("workspaces", &delta.workspaces, &mut table);
-    changes("services", &delta.services, &mut table);
-    changes("models", &delta.models, &mut table);
-    changes("groups", &delta.groups, &mut table);
-    changes("servers", &delta.servers, &mut table);
+    add_changes("operators", &delta.operators, &mut table);
+    add_changes("workspaces", &delta.workspaces, &mut table);
+    add_changes("services", &delta.services, &mut table);
+    add_changes("models", &delta.models, &mut table);
+    add_changes("groups", &delta.groups, &mut table);
+    add_changes("servers", &delta.servers, &mut table);
     if let Some(keepers) = &delta.keepers {
         table.add(["~".into(), "keepers".into(), compact(keepers)]);
     }
@@ -86,7 +86,7 @@
     )
 }
 
-fn changes<K, V>(section: &str, changes: &Changes<K, V>, table: &mut Table)
+fn add_changes<K, V>(section: &str, changes: &Changes<K, V>, table: &mut Table)
 where
     K: Ord + Clone + Display,
     V: serde::Serialize,
@@ -99,22 +99,22 @@
     }
 }
 
-/// A whole configuration.
+/// Returns a configuration as a table.
 pub(crate) fn config(config: &Config) -> String {
     let mut table = Table::new(&["NAME", "VALUE"]);
-    entries("operators", &config.operators, &mut table);
-    entries("workspaces", &config.workspaces, &mut table);
-    entries("services", &config.services, &mut table);
-    entries("models", &config.models, &mut table);
-    entries("groups", &config.groups, &mut table);
-    entries("servers", &config.servers, &mut table);
+    add_entries("operators", &config.operators, &mut table);
+    add_entries("workspaces", &config.workspaces, &mut table);
+    add_entries("services", &config.services, &mut table);
+    add_entries("models", &config.models, &mut table);
+    add_entries("groups", &config.groups, &mut table);
+    add_entries("servers", &config.servers, &mut table);
     for (n, hosts) in config.keepers.iter().enumerate() {
         table.add([format!("keepers.{n}"), compact(hosts)]);
     }
     format!("version {}\n{}", config.version, table.to_text())
 }
 
-fn entries<K, V>(section: &str, entries: &Section<K, V>, table: &mut Table)
+fn add_entries<K, V>(section: &str, entries: &Section<K, V>, table: &mut Table)
 where
     K: Ord + Clone + Display,
     V: serde::Serialize,
@@ -124,7 +124,7 @@
     }
 }
 
-/// The last versions.
+/// Returns the latest versions as a table.
 pub(crate) fn history(lines: &[HistoryLine]) -> String {
     let mut table = Table::new(&["VERSION", "TIME", "AUTHOR", "PATCH", "CHANGED", "REASON"]);
     for line in lines {
@@ -135,14 +135,15 @@
             line.time.clone(),
             author.to_string(),
             patch.to_string(),
-            few(&line.touched),
+            shorten_names(&line.touched),
             line.reason.clone(),
         ]);
     }
     table.to_text()
 }
 
-fn few(names: &[String]) -> String {
+/// Returns the first name and the number of the others.
+fn shorten_names(names: &[String]) -> String {
     match names {
         [] => "-".into(),
         [one] => one.clone(),
@@ -150,18 +151,18 @@
     }
 }
 
-/// What a host knows.
+/// Returns the state of a host as text and tables.
 pub(crate) fn status(report: &StatusReport) -> String {
     let standing = &report.standing;
     let mut text = String::new();
-    let age = age(standing.age);
+    let age = format_age(standing.age);
     let linked = if report.linked {
         ""
     } else {
         ", no source answers"
     };
     let draining = if report.draining { ", draining" } else { "" };
-    // Writing to a string can't fail.
+    // Writing into a string never fails.
     let _ = writeln!(
         text,
         "{} in {}: version {} in force, news {age} old{linked}{draining}; {} requests in flight",
@@ -173,26 +174,26 @@
     }
     let _ = write!(text, "\n{}", versions.to_text());
     if !report.census.lagging.is_empty() {
-        let _ = write!(text, "\nbehind\n{}", lagging(report));
+        let _ = write!(text, "\nbehind\n{}", lagging_table(report));
     }
-    let _ = write!(text, "\n{}", members(report));
+    let _ = write!(text, "\n{}", members_table(report));
     text
 }
 
-fn lagging(report: &StatusReport) -> String {
+fn lagging_table(report: &StatusReport) -> String {
     let mut table = Table::new(&["PROCESS", "ZONE", "VERSION", "NEWS"]);
     for standing in &report.census.lagging {
         table.add([
             standing.process.to_string(),
             standing.zone.to_string(),
             standing.version.to_string(),
-            age(standing.age),
+            format_age(standing.age),
         ]);
     }
     table.to_text()
 }
 
-fn members(report: &StatusReport) -> String {
+fn members_table(report: &StatusReport) -> String {
     let mut table = Table::new(&[
         "SERVER", "ZONE", "AGENT", "OFFERS", "RUNNING", "WAITING", "",
     ]);
@@ -212,7 +213,7 @@
     table.to_text()
 }
 
-/// A problem document in one line; anything else as it came.
+/// Returns a problem document in one line, and any other text unchanged.
 pub(crate) fn problem(text: &str) -> String {
     let document = serde_json::from_str::<Value>(text).unwrap_or_default();
     match (document["title"].as_str(), document["detail"].as_str()) {
@@ -221,11 +222,11 @@
     }
 }
 
-fn age(age: Option<Span>) -> String {
+fn format_age(age: Option<Span>) -> String {
     age.map_or("never".into(), |age| format!("{:.1}s", age.as_secs_f64()))
 }
 
-/// An entry in one line, without the fields that say nothing.
+/// Returns an entry as JSON in one line, without the fields that are null.
 fn compact(entry: &impl serde::Serialize) -> String {
     let mut value = serde_json::to_value(entry).unwrap_or_default();
     if let Value::Object(fields) = &mut value {
--- a/crates/cli/src/timeline.rs
+++ b/crates/cli/src/timeline.rs
@@ -1,4 +1,4 @@
-//! `timeline`: the events of all processes, as a table, as JSON or as a drawing.
+//! The command `timeline`: shows the events of all processes as a table, as JSON or as a drawing.
 
 use std::fmt::Write;
 use std::process::ExitCode;
@@ -8,29 +8,29 @@
 use snipemast_operators::Timeline;
 
 use crate::args::TimelineArgs;
-use crate::client::{finish, ClientError, Desk};
+use crate::client::{finish, ClientError, OperatorClient};
 use crate::drawing;
 use crate::exit;
 
-/// Collects the time line and shows it.
+/// Fetches the time line from a host and shows it.
 pub(crate) fn timeline(args: &TimelineArgs) -> ExitCode {
     finish(run(args))
 }
 
 fn run(args: &TimelineArgs) -> crate::client::Result<ExitCode> {
-    let asked = TimelineQuery {
+    let query = TimelineQuery {
         since: args.since,
         request: args.request.clone(),
     };
-    let desk = Desk::new(args.to, args.key.as_deref(), args.json);
-    let answer = desk.get(&format!("{TIMELINE_PATH}?{}", asked.to_query()))?;
+    let client = OperatorClient::new(args.to, args.key.as_deref(), args.json);
+    let answer = client.get(&format!("{TIMELINE_PATH}?{}", query.to_query()))?;
     let Some(file) = &args.svg else {
-        return desk.show(answer, table);
+        return client.show(answer, table);
     };
     if !answer.is_success() {
-        return answer.refuse();
+        return answer.print_refusal();
     }
-    let timeline: Timeline = answer.read()?;
+    let timeline: Timeline = answer.read_document()?;
     let drawing = drawing::draw(&timeline);
     std::fs::write(file, drawing).map_err(|_| ClientError::File(file.clone()))?;
     println!(
@@ -41,7 +41,7 @@
     Ok(ExitCode::from(exit::DONE))
 }
 
-/// The time line as a table, with the seconds since its first event.
+/// Returns the time line as a table, with the seconds since its first event.
 pub(crate) fn table(timeline: &Timeline) -> String {
     let mut text = String::new();
     let start = timeline.records.first().map_or(0, |r| r.stamp.micros);
@@ -65,7 +65,10 @@
         let _ = writeln!(text, "no events of {process}: it did not answer");
     }
     if timeline.more {
-        let _ = writeln!(text, "there are more: ask with --since or --request");
+        let _ = writeln!(
+            text,
+            "there are more events: narrow them down with --since or --request"
+        );
     }
     text
 }
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `snipemast explain`: a request's story out of several processes' logs.
+//! Tests of `snipemast explain`: the lines that concern a request, and the summary of failed requests.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -22,10 +22,10 @@
     command.output().expect("the program runs")
 }
 
-/// An engineer asks why a reading failed: its own lines, those about its server from another process,
-/// and nothing about other requests, in order of time.
+/// Guards against an explanation that misses lines of other processes about the request's server, that
+/// shows lines of other requests, or that is out of order when the logs of two processes are merged.
 #[test]
-fn story_over_processes() {
+fn lines_of_processes() {
     let gateway = log(
         "gateway",
         &[
@@ -69,11 +69,14 @@
         "{text}"
     );
     assert!(!text.contains("r2") && !text.contains("i-8"), "{text}");
-    assert!(text.contains("1 lines are no events"), "{text}");
+    assert!(
+        text.contains("1 lines are not events and were skipped"),
+        "{text}"
+    );
     assert!(output.status.success());
 }
 
-/// A log that isn't there is named, and a request that no line names is said to be.
+/// Guards against silence when a log file is missing or when no line mentions the request.
 #[test]
 fn faults_named() {
     let missing = explain("r1", &[PathBuf::from("/nowhere/gateway.log")]);
@@ -81,12 +84,12 @@
     assert_eq!(missing.status.code(), Some(2));
     let empty = log("empty", "");
     let unknown = explain("r9", &[empty]);
-    assert!(String::from_utf8_lossy(&unknown.stdout).contains("no line names r9"));
+    assert!(String::from_utf8_lossy(&unknown.stdout).contains("no line mentions r9"));
     assert_eq!(unknown.status.code(), Some(1));
 }
 
-/// An engineer asks what all the lost requests of an hour had in common: counts by cause and by time, the
-/// pauses of late answers, and what the logs do not hold.
+/// Guards against a summary that miscounts failed requests by cause or by time, that drops the pauses of
+/// late answers, or that hides that lines are missing in a log.
 #[test]
 fn summary_by_cause() {
     let late = |pause: u64| {
@@ -128,7 +131,7 @@
     let output = output.expect("the program runs");
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).expect("it is text");
-    for told in [
+    for row in [
         "     2  refused: Out\n",
         "     2  late: pause\n",
         "     1  repeat not granted\n",
@@ -138,6 +141,6 @@
         "     4  2 late: pause, 1 repeat not granted\n",
         "not in the log: gw-1:1: 12 of AnswerLate\n",
     ] {
-        assert!(text.contains(told), "{told:?} in {text}");
+        assert!(text.contains(row), "{row:?} in {text}");
     }
 }
--- a/crates/cli/tests/unread_output.rs
+++ b/crates/cli/tests/unread_output.rs
@@ -1,4 +1,4 @@
-//! A process whose standard output nobody reads.
+//! A test of a process whose standard output is not read.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::process::{Command, Stdio};
@@ -12,18 +12,18 @@
 use snipemast_site::hosts::{self, free_port};
 use snipemast_site::{calls, document, start_executor};
 
-/// How long a call may take, and the end of the process.
-const CALL: Span = Span::from_secs(2);
-const END: Duration = Duration::from_secs(3);
+/// The time limits for one call and for the end of the process.
+const CALL_TIMEOUT: Span = Span::from_secs(2);
+const END_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Sends a configuration that has many faults, each of which is logged by name.
+/// Sends a configuration that has many faults, each of which the process logs.
 fn put_faulty(to: SocketAddr) -> Option<u16> {
     let text = document::faulty(400).to_string();
-    smol::block_on(within(CALL, calls::put_configuration(to, text))).flatten()
+    smol::block_on(within(CALL_TIMEOUT, calls::put_configuration(to, text))).flatten()
 }
 
-/// Everything stops for an engineer's users: what collects a process's output has hung, its pipe is
-/// full, and the process waits for its own log. It must answer on, and end when it is told to.
+/// Guards against a process that blocks on its own log: the collector of its output has hung, and the pipe
+/// is full. The process must still answer calls, and end when it gets SIGTERM.
 #[test]
 fn unread_output_stops_nothing() {
     start_executor();
@@ -47,22 +47,26 @@
         .spawn()
         .expect("the program starts");
     let start = Instant::now();
-    while put_faulty(control).is_none() && start.elapsed() < END {
+    while put_faulty(control).is_none() && start.elapsed() < END_TIMEOUT {
         std::thread::sleep(Duration::from_millis(20));
     }
-    // Some 15 kB a line: the pipe is full after five of them.
+    // A line has about 15 kB, so the pipe is full after five of them.
     for n in 0..40 {
         assert_eq!(put_faulty(control), Some(400), "call {n}");
     }
-    kill_process(Pid::from_child(&process), Signal::TERM).expect("it runs");
-    let told = Instant::now();
-    while process.try_wait().expect("it is ours").is_none() {
-        if told.elapsed() > END {
-            process.kill().expect("it is ours");
-            panic!("it does not end");
+    kill_process(Pid::from_child(&process), Signal::TERM).expect("the process runs");
+    let signalled = Instant::now();
+    while process
+        .try_wait()
+        .expect("the process is a child")
+        .is_none()
+    {
+        if signalled.elapsed() > END_TIMEOUT {
+            process.kill().expect("the process is a child");
+            panic!("the process does not end after SIGTERM");
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    // Nothing of it is needed any more.
+    // A folder that is left over lies among the temporary files.
     let _ = std::fs::remove_dir_all(folder);
 }
