--- a/crates/cli/benches/soak.rs
+++ b/crates/cli/benches/soak.rs
@@ -1,4 +1,4 @@
-//! A randomized soak of the real programs: `cargo bench --bench soak -- --seed 7 --minutes 2`.
+//! A randomized soak test of the real programs: `cargo bench --bench soak -- --seed 7 --minutes 2`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,21 +10,21 @@
 
 #[derive(Debug, gumdrop::Options)]
 struct Arguments {
-    /// Shows this text.
+    /// Prints this help.
     help: bool,
-    /// Given by the test runner.
+    /// Passed by the test runner.
     #[options(no_short)]
     bench: bool,
-    /// The first seed; it decides every trouble (1).
+    /// The first seed, which determines all injected faults (1).
     #[options(default = "1")]
     seed: u64,
-    /// How many seeds are played, one after another (1).
+    /// The number of seeds to run, one after another (1).
     #[options(default = "1")]
     seeds: u64,
-    /// How long each lasts, in minutes (1).
+    /// The length of each run in minutes (1).
     #[options(default = "1")]
     minutes: f64,
-    /// How many processes run, three controllers among them (7).
+    /// The number of processes, of which three are controllers (7).
     #[options(default = "7")]
     processes: u8,
 }
@@ -43,21 +43,21 @@
         };
         match run(&options) {
             Ok(outcome) => {
-                let (asked, served) = (outcome.asked, outcome.served);
+                let (requests, served) = (outcome.requests, outcome.served);
                 println!(
-                    "seed {seed}: {} troubles, {asked} requests, {served} served, {} changes, {} broken promises",
-                    outcome.troubles.len(),
+                    "seed {seed}: {} faults, {requests} requests, {served} served, {} changes, {} violated guarantees",
+                    outcome.faults.len(),
                     outcome.changes,
-                    outcome.broken.len(),
+                    outcome.violations.len(),
                 );
-                if !outcome.broken.is_empty() {
+                if !outcome.violations.is_empty() {
                     failed = true;
                     println!("logs in {}", folder.display());
-                    for planned in &outcome.troubles {
-                        println!("  {} {:?}", planned.at, planned.trouble);
+                    for planned in &outcome.faults {
+                        println!("  {} {:?}", planned.at, planned.fault);
                     }
-                    for broken in outcome.broken.iter().take(10) {
-                        println!("  {broken}");
+                    for violation in outcome.violations.iter().take(10) {
+                        println!("  {violation}");
                     }
                 }
             }
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak of the real programs, and the seeds that once failed.
+//! A short soak test of the real programs.
 
 use std::path::Path;
 
@@ -15,17 +15,18 @@
         folder: folder.clone(),
     };
     let outcome = run(&options).expect("the programs start");
-    let (broken, troubles) = (&outcome.broken, &outcome.troubles);
+    let (violations, faults) = (&outcome.violations, &outcome.faults);
     assert!(
-        broken.is_empty(),
-        "seed {seed}, logs in {}: {broken:#?}, {troubles:?}",
+        violations.is_empty(),
+        "seed {seed}, logs in {}: {violations:#?}, {faults:?}",
         folder.display()
     );
-    assert!(outcome.served * 10 >= outcome.asked * 8, "{outcome:?}");
-    assert!(outcome.changes > 0 && !troubles.is_empty());
+    assert!(outcome.served * 10 >= outcome.requests * 8, "{outcome:?}");
+    assert!(outcome.changes > 0 && !faults.is_empty());
 }
 
-/// Callers, servers and operators see every promise kept while processes are killed, stopped and cut off.
+/// Guards against broken guarantees to callers, servers and operators while processes are killed, stopped
+/// and cut off from the network.
 #[test]
 fn short_soak() {
     soak(1, 30, 6);
--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -1,9 +1,10 @@
-//! A small fleet over loopback, for the tests of the whole path.
+//! Fleets over loopback, for tests and benches of whole request paths.
 //!
-//! - [`Fleet`]: one entry with the control role, agents and fakes, in this process.
-//! - [`soak`]: the real programs as processes, with troubles from outside.
-//! - [`wired`]: a fleet whose agents stand behind wires that misbehave.
-//! - [`zones`]: three entries of three zones before shared agents.
+//! - [`Fleet`]: one entry with the control role, agents and fake backend servers, in this process.
+//! - [`soak`]: the real programs as processes, with faults injected from outside.
+//! - [`wired`]: a fleet whose agents are reached through fake wires, which delay, double, silence or reset
+//!   what they carry.
+//! - [`zones`]: three entries that share agents.
 
 pub mod soak;
 pub mod wired;
@@ -32,7 +33,7 @@
 /// The key of the fleet's one workspace.
 pub const KEY: &str = "workspace-key";
 
-/// One entry with the control role, agents and fakes, all in this process.
+/// One entry with the control role, agents and fake backend servers, all in this process.
 #[derive(Debug)]
 pub struct Fleet {
     /// The entry.
@@ -43,7 +44,7 @@
     patches: u64,
 }
 
-/// A request that was answered.
+/// An answer to a request.
 #[derive(Debug)]
 pub struct Answer {
     /// The HTTP status.
@@ -55,7 +56,7 @@
 }
 
 impl Answer {
-    /// The body as a JSON document.
+    /// Parses the body as a JSON document.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).expect("the body is JSON")
     }
@@ -94,14 +95,14 @@
             .await;
     }
 
-    /// Adds any backend server and its agent.
+    /// Adds a backend server of any kind and its agent.
     pub async fn add_fake(&mut self, name: &str, fake: impl Handler) {
         let fake = listen(loopback(), fake).await;
         self.add_agent(name, fake.expect("a fake starts on port 0"))
             .await;
     }
 
-    /// Where the backend server listens that was added at this place.
+    /// Returns the address of a backend server, by the order in which it was added.
     pub fn fake(&self, place: usize) -> SocketAddr {
         self.fakes[place].address()
     }
@@ -135,7 +136,11 @@
         }
     }
 
-    /// Submits a patch against the version in force; it must be accepted.
+    /// Submits a patch against the version in force and returns the new version.
+    ///
+    /// # Panics
+    ///
+    /// If the patch is not accepted.
     pub fn patch(&mut self, set: Value) -> Version {
         self.patches += 1;
         let patch = Patch {
@@ -150,7 +155,7 @@
         }
     }
 
-    /// Asks for a completion by a model.
+    /// Requests a completion of 4 tokens from a model service.
     pub async fn complete(&self, service: &str, stream: bool) -> Answer {
         let body = json!({ "model": service, "prompt": "p", "max_tokens": 4, "stream": stream });
         let conn = self
@@ -194,7 +199,7 @@
     smol::Timer::after(Span::from_millis(millis).as_duration()).await;
 }
 
-/// The settings of an entry on port 0 with the control role.
+/// Returns the settings of an entry on port 0 with the control role.
 pub fn entry_settings(host: &str) -> EntrySettings {
     EntrySettings {
         host: id(host),
@@ -216,7 +221,7 @@
     }
 }
 
-/// The settings of an agent on port 0.
+/// Returns the settings of an agent on port 0.
 pub fn agent_settings(host: &str, server: SocketAddr, seed: SocketAddr) -> AgentSettings {
     AgentSettings {
         host: id(host),
@@ -233,7 +238,7 @@
     }
 }
 
-/// A backend server that offers one thing.
+/// Returns the description of a backend server with one offer.
 pub fn info(name: &str, offer: Offer) -> ServerInfo {
     let capabilities = Capabilities::default();
     ServerInfo {
@@ -245,18 +250,18 @@
     }
 }
 
-/// A journal that logs nothing.
+/// Returns a journal that keeps events and logs nothing.
 pub fn journal(host: &HostId) -> Journal {
     let process = ProcessId::new(host.clone(), Incarnation::new(1));
     Journal::silent(Arc::new(Ring::new(process, 1_024)))
 }
 
-/// Any port on loopback.
+/// Returns the loopback address with port 0, which stands for any free port.
 pub fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A valid id.
+/// Parses an id that is known to be valid.
 pub fn id<T: FromStr<Err = IdError>>(text: &str) -> T {
     text.parse().expect("a valid name")
 }
--- a/tests/src/soak.rs
+++ b/tests/src/soak.rs
@@ -1,12 +1,12 @@
-//! A randomized soak: the real programs as processes on loopback, troubles from outside of them, and
-//! checks of every promise that callers, servers and operators can see.
+//! A randomized soak test: the real programs run as processes on loopback, faults are injected from
+//! outside, and every guarantee that callers, servers and operators can observe is checked.
 //!
-//! - [`plan`](mod@plan): which troubles come when, by the seed.
-//! - [`fleet`]: the processes, and signals to them.
-//! - [`proxy`]: delays, silences and resets connections.
-//! - [`servers`]: stand-ins for model servers, which leave, crash and misbehave.
-//! - [`load`]: callers and operators.
-//! - [`verdict`]: which promise what was seen breaks.
+//! - [`plan`](mod@plan): which faults occur when, derived from the seed.
+//! - [`fleet`]: the processes and the signals to them.
+//! - [`proxy`]: delays, silences and resets connections between them.
+//! - [`servers`]: fake model servers, which leave, crash and misbehave.
+//! - [`load`]: the callers and operators.
+//! - [`verdict`]: which guarantees the recorded observations violate.
 
 pub mod fleet;
 pub mod load;
@@ -30,77 +30,77 @@
 
 use fleet::Fleet;
 use load::Versions;
-use plan::{plan, Planned, Sizes, Trouble};
+use plan::{plan, Fault, FleetSize, PlannedFault};
 use servers::Servers;
-use verdict::{Broken, Cause, End, Kind, Record, Whom};
+use verdict::{Cause, End, Kind, Record, Target, Violation};
 
-/// How long the fleet may take to serve at first, and to serve again after the last trouble.
-const UP: Duration = Duration::from_secs(20);
+/// The time limit for serving after the start, and for serving again after the last fault.
+const SERVE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How often the promises are checked, and ended processes started again.
-const CHECK: Span = Span::from_secs(2);
-const RESTART: Span = Span::from_millis(300);
+/// The interval of the checks, and of the restarts of processes that have ended.
+const CHECK_INTERVAL: Span = Span::from_secs(2);
+const RESTART_INTERVAL: Span = Span::from_millis(300);
 
-/// How long a process has to end after it was told to.
-const GRACE: Duration = Duration::from_secs(8);
+/// The time limit for the end of a process after SIGTERM.
+const END_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Callers for each gateway, and operators.
+/// The number of callers per gateway, and the number of operators.
 const CALLERS: usize = 3;
 const OPERATORS: u64 = 2;
 
-/// What a soak is to do.
+/// The parameters of a soak.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Decides every trouble.
+    /// The seed, which determines every fault.
     pub seed: u64,
     /// How long traffic lasts.
     pub length: Span,
-    /// How many processes run: three controllers, and gateways.
+    /// The number of processes: three controllers, and gateways.
     pub processes: u8,
-    /// The program.
+    /// The path of the program.
     pub binary: PathBuf,
-    /// Where settings, disks and logs go; removed where nothing was broken.
+    /// The folder for settings, disks and logs. It is removed if no guarantee was violated.
     pub folder: PathBuf,
 }
 
-/// What a soak saw.
+/// The result of a soak.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Promises that were broken.
-    pub broken: Vec<Broken>,
-    /// Requests, and those among them that were answered with success.
-    pub asked: usize,
-    /// Requests that were answered with success.
+    /// The guarantees that were violated.
+    pub violations: Vec<Violation>,
+    /// The number of requests.
+    pub requests: usize,
+    /// The number of requests that were answered with success.
     pub served: usize,
-    /// Changes that were acknowledged.
+    /// The number of configuration changes that were acknowledged.
     pub changes: usize,
-    /// Troubles.
-    pub troubles: Vec<Planned>,
+    /// The faults that were planned.
+    pub faults: Vec<PlannedFault>,
 }
 
-/// Everything that the tasks of one soak share.
+/// The state that the tasks of one soak share.
 struct Soak {
     fleet: Arc<Fleet>,
     servers: Arc<Servers>,
     record: Arc<Mutex<Record>>,
 }
 
-/// Plays one soak.
+/// Runs one soak.
 pub fn run(options: &Options) -> std::io::Result<Outcome> {
     start_executor();
-    smol::block_on(play(options))
+    smol::block_on(run_soak(options))
 }
 
-async fn play(options: &Options) -> std::io::Result<Outcome> {
+async fn run_soak(options: &Options) -> std::io::Result<Outcome> {
     let gateways = options.processes.saturating_sub(3).max(1);
-    let sizes = Sizes {
+    let sizes = FleetSize {
         controllers: 3,
         gateways,
         servers: gateways.max(3),
     };
-    let net = (std::process::id() as u64 * 31 + options.seed) % 250 + 1;
+    let subnet = (std::process::id() as u64 * 31 + options.seed) % 250 + 1;
     std::fs::create_dir_all(&options.folder)?;
-    let fleet = Fleet::new(&options.binary, &options.folder, net as u8, sizes)?;
+    let fleet = Fleet::new(&options.binary, &options.folder, subnet as u8, sizes)?;
     let fleet = Arc::new(fleet);
     let soak = Arc::new(Soak {
         servers: Servers::start(Arc::clone(&fleet), sizes.servers),
@@ -111,43 +111,53 @@
         fleet.start(host, true)?;
     }
     let versions: Arc<Mutex<Versions>> = Arc::default();
-    if !soak.first_served().await {
+    if !soak.configure_first().await {
         fleet.stop();
-        return Ok(soak.outcome(Vec::new(), vec![Broken("nothing was served".into())]));
+        return Ok(soak.outcome(
+            Vec::new(),
+            vec![Violation("no request was served after the start".into())],
+        ));
     }
     let planned = plan(options.seed, options.length, sizes);
-    let mut tasks = soak.use_it(options.seed, &versions);
-    tasks.push(spawn(Arc::clone(&soak).keep_up()));
+    let mut tasks = soak.start_load(options.seed, &versions);
+    tasks.push(spawn(Arc::clone(&soak).restart_ended()));
     tasks.extend(planned.iter().map(|planned| {
         let (soak, planned) = (Arc::clone(&soak), *planned);
         spawn(async move {
             pause(planned.at).await;
-            soak.trouble(planned.trouble).await;
+            soak.inject(planned.fault).await;
         })
     }));
     let end = Instant::now() + options.length.as_duration();
-    let mut broken = Vec::new();
-    while Instant::now() < end && broken.is_empty() {
-        pause(CHECK).await;
-        broken = soak.record.lock().broken(&soak.servers.ran());
+    let mut violations = Vec::new();
+    while Instant::now() < end && violations.is_empty() {
+        pause(CHECK_INTERVAL).await;
+        violations = soak
+            .record
+            .lock()
+            .violations(&soak.servers.served_requests());
     }
-    if broken.is_empty() {
-        broken = soak.recovered(&versions).await;
+    if violations.is_empty() {
+        violations = soak.check_recovery(&versions).await;
     }
     drop(tasks);
     fleet.stop();
-    broken.extend(soak.record.lock().broken(&soak.servers.ran()));
-    if broken.is_empty() {
-        // What can't be removed is in a temporary folder.
+    violations.extend(
+        soak.record
+            .lock()
+            .violations(&soak.servers.served_requests()),
+    );
+    if violations.is_empty() {
+        // A folder that can't be removed is among the temporary files.
         let _ = std::fs::remove_dir_all(&options.folder);
     }
-    Ok(soak.outcome(planned, broken))
+    Ok(soak.outcome(planned, violations))
 }
 
 impl Soak {
-    fn outcome(&self, troubles: Vec<Planned>, broken: Vec<Broken>) -> Outcome {
+    fn outcome(&self, faults: Vec<PlannedFault>, violations: Vec<Violation>) -> Outcome {
         let record = self.record.lock();
-        let good = |end: &End| {
+        let is_success = |end: &End| {
             matches!(
                 end,
                 End::Answer {
@@ -158,31 +168,35 @@
             )
         };
         Outcome {
-            broken,
-            asked: record.asked.len(),
-            served: record.asked.iter().filter(|a| good(&a.end)).count(),
+            violations,
+            requests: record.requests.len(),
+            served: record
+                .requests
+                .iter()
+                .filter(|r| is_success(&r.end))
+                .count(),
             changes: record.acked.len(),
-            troubles,
+            faults,
         }
     }
 
-    /// Sends the first configuration and waits until every gateway serves.
-    async fn first_served(&self) -> bool {
+    /// Sends the first configuration and waits until every gateway serves; returns whether all did.
+    async fn configure_first(&self) -> bool {
         let document = document::lenient(1).to_string();
-        load::come_true(UP, || async {
-            let put = calls::put_configuration(self.fleet.outside(1), document.clone());
+        load::wait_until(SERVE_TIMEOUT, || async {
+            let put = calls::put_configuration(self.fleet.external_address(1), document.clone());
             put.await == Some(200)
         })
         .await
             && self.serves_everywhere().await
     }
 
-    /// Waits until every gateway answers one request of each kind.
+    /// Waits until every gateway answers one request of each kind; returns whether all did.
     async fn serves_everywhere(&self) -> bool {
         for gateway in self.fleet.gateways() {
             for kind in [Kind::Once, Kind::Safe, Kind::Stream] {
-                let served = load::come_true(UP, || async {
-                    let at = self.fleet.outside(gateway);
+                let served = load::wait_until(SERVE_TIMEOUT, || async {
+                    let at = self.fleet.external_address(gateway);
                     let Ok(open) = connect(at, Span::from_secs(1)).await else {
                         return false;
                     };
@@ -204,8 +218,8 @@
         true
     }
 
-    /// Starts callers, operators and readers.
-    fn use_it(&self, seed: u64, versions: &Arc<Mutex<Versions>>) -> Vec<Task<()>> {
+    /// Starts the callers, the operators and the reader.
+    fn start_load(&self, seed: u64, versions: &Arc<Mutex<Versions>>) -> Vec<Task<()>> {
         let (fleet, record) = (&self.fleet, &self.record);
         let callers = CALLERS * fleet.gateways().count();
         let mut tasks: Vec<Task<()>> = (0..callers)
@@ -213,13 +227,13 @@
                 let name = format!("caller-{n}");
                 let seed = seed.wrapping_add(1_000 + n as u64);
                 let (fleet, record) = (Arc::clone(fleet), Arc::clone(record));
-                spawn(load::call_on(fleet, record, name, seed))
+                spawn(load::run_caller(fleet, record, name, seed))
             })
             .collect();
         for n in 0..OPERATORS {
             let seed = seed.wrapping_add(2_000 + n);
             let (fleet, record) = (Arc::clone(fleet), Arc::clone(record));
-            tasks.push(spawn(load::operate(
+            tasks.push(spawn(load::run_operator(
                 fleet,
                 record,
                 Arc::clone(versions),
@@ -227,179 +241,179 @@
             )));
         }
         let (fleet, record) = (Arc::clone(fleet), Arc::clone(record));
-        tasks.push(spawn(load::read_on(fleet, record, seed)));
+        tasks.push(spawn(load::run_reader(fleet, record, seed)));
         tasks
     }
 
-    /// Starts processes again that have ended; one that ended by itself is a broken promise.
-    async fn keep_up(self: Arc<Self>) {
+    /// Restarts processes that have ended. A process that ended by itself violates a guarantee.
+    async fn restart_ended(self: Arc<Self>) {
         loop {
-            pause(RESTART).await;
+            pause(RESTART_INTERVAL).await;
             for host in self.fleet.controllers().chain(self.fleet.gateways()) {
                 if self.fleet.is_running(host) {
                     continue;
                 }
-                self.record.lock().note_end(host);
-                // One that can't be started shows as not serving.
+                self.record.lock().record_end(host);
+                // A process that can't be started is noticed because its host does not serve.
                 let _ = self.fleet.start(host, false);
             }
         }
     }
 
-    /// After the last trouble: everything is served again, and what was acknowledged is there.
-    async fn recovered(&self, versions: &Mutex<Versions>) -> Vec<Broken> {
-        let mut broken = Vec::new();
+    /// Checks that after the last fault everything is served again and no acknowledged change is lost.
+    async fn check_recovery(&self, versions: &Mutex<Versions>) -> Vec<Violation> {
+        let mut violations = Vec::new();
         if !self.serves_everywhere().await {
-            broken.push(Broken("not served again after the last trouble".into()));
+            violations.push(Violation("not served again after the last fault".into()));
         }
         let acked = self.record.lock().acked.iter().map(|(v, _)| *v).max();
         for host in self.fleet.controllers() {
-            let read = || async { load::read(&self.fleet, host).await.is_some() };
-            if !load::come_true(UP, read).await {
-                broken.push(Broken(format!("host {host} has no configuration")));
+            let read = || async { load::read_configuration(&self.fleet, host).await.is_some() };
+            if !load::wait_until(SERVE_TIMEOUT, read).await {
+                violations.push(Violation(format!("host {host} has no configuration")));
                 continue;
             }
-            let Some(document) = load::read(&self.fleet, host).await else {
+            let Some(document) = load::read_configuration(&self.fleet, host).await else {
                 continue;
             };
             let version = document::version(&document);
             if acked.is_some_and(|acked| version < acked) {
-                broken.push(Broken(format!(
+                violations.push(Violation(format!(
                     "host {host}: version {version}, acknowledged {acked:?}"
                 )));
             }
             let sent = versions.lock().sent.get(&version).cloned();
             if sent.is_some_and(|sent| sent != document) {
-                broken.push(Broken(format!("version {version} isn't what was sent")));
+                violations.push(Violation(format!(
+                    "version {version} differs from what was sent"
+                )));
             }
         }
-        broken
+        violations
     }
 
-    /// Whom a trouble gives a reason to break an answer off, or to be late.
-    fn concerned(&self, trouble: Trouble) -> Vec<Whom> {
-        match trouble {
-            Trouble::Terminate(host) => vec![Whom::Ending(host)],
-            Trouble::Kill(host)
-            | Trouble::Pause(host, _)
-            | Trouble::Wipe(host)
-            | Trouble::Full(host, _)
-            | Trouble::Link(host, ..) => vec![Whom::Host(host)],
-            Trouble::KillControllers => self.fleet.controllers().map(Whom::Host).collect(),
-            Trouble::ServerLink(server, ..)
-            | Trouble::Behave(server, ..)
-            | Trouble::Crash(server) => vec![Whom::Server(server)],
-            // Neither leaving in order nor a limit nor a rest is a reason to lose anything.
-            Trouble::Replace(_) | Trouble::Limit(..) | Trouble::Rest(..) | Trouble::Leave(..) => {
-                Vec::new()
+    /// Returns the targets whose answers a fault may break off or delay.
+    fn excused_targets(&self, fault: Fault) -> Vec<Target> {
+        match fault {
+            Fault::Terminate(host) => vec![Target::Ending(host)],
+            Fault::Kill(host)
+            | Fault::Pause(host, _)
+            | Fault::Wipe(host)
+            | Fault::Full(host, _)
+            | Fault::Link(host, ..) => vec![Target::Host(host)],
+            Fault::KillControllers => self.fleet.controllers().map(Target::Host).collect(),
+            Fault::ServerLink(server, ..) | Fault::Behave(server, ..) | Fault::Crash(server) => {
+                vec![Target::Server(server)]
             }
+            // A clean leave, a limit or a rest excuses no lost answer.
+            Fault::Replace(_) | Fault::Limit(..) | Fault::Rest(..) | Fault::Leave(..) => Vec::new(),
         }
     }
 
-    /// Makes one trouble, and undoes it.
-    async fn trouble(&self, trouble: Trouble) {
+    /// Injects one fault, and undoes it after its time.
+    async fn inject(&self, fault: Fault) {
         let fleet = &self.fleet;
-        let whom = self.concerned(trouble);
-        let begun: Vec<usize> = whom.into_iter().map(|whom| self.begin(whom)).collect();
-        match trouble {
-            Trouble::Terminate(host) => self.terminate(host).await,
-            Trouble::Kill(host) => {
+        let targets = self.excused_targets(fault);
+        let begun: Vec<usize> = targets.into_iter().map(|t| self.begin_cause(t)).collect();
+        match fault {
+            Fault::Terminate(host) => self.terminate(host).await,
+            Fault::Kill(host) => {
                 fleet.kill(host);
-                self.running_again(host).await;
+                self.wait_running(host).await;
             }
-            Trouble::KillControllers => {
+            Fault::KillControllers => {
                 fleet.controllers().for_each(|host| fleet.kill(host));
                 for host in fleet.controllers() {
-                    self.running_again(host).await;
+                    self.wait_running(host).await;
                 }
             }
-            Trouble::Pause(host, span) => {
+            Fault::Pause(host, span) => {
                 fleet.signal(host, Signal::STOP);
                 pause(span).await;
                 fleet.signal(host, Signal::CONT);
             }
-            Trouble::Wipe(host) => {
+            Fault::Wipe(host) => {
                 fleet.kill(host);
                 fleet.wipe(host);
-                self.running_again(host).await;
+                self.wait_running(host).await;
             }
-            Trouble::Full(host, span) => {
+            Fault::Full(host, span) => {
                 fleet.set_full(host, true);
                 pause(span).await;
                 fleet.set_full(host, false);
             }
-            Trouble::Link(host, port, disturbance, span) => {
+            Fault::Link(host, port, disturbance, span) => {
                 fleet.disturb(host, port, Some(disturbance));
                 pause(span).await;
                 fleet.disturb(host, port, None);
             }
-            Trouble::ServerLink(server, disturbance, span) => {
+            Fault::ServerLink(server, disturbance, span) => {
                 self.servers.disturb(server, Some(disturbance));
                 pause(span).await;
                 self.servers.disturb(server, None);
             }
-            Trouble::Behave(server, behavior, span) => {
+            Fault::Behave(server, behavior, span) => {
                 self.servers.behave(server, behavior, span).await;
             }
-            Trouble::Replace(server) => match self.servers.replace(server).await {
+            Fault::Replace(server) => match self.servers.replace(server).await {
                 Ok(drained) => self.record.lock().drained.push(drained),
-                // It went without an acknowledgement.
+                // It left without an acknowledgement.
                 Err(since) => {
-                    let at = self.begin(Whom::Server(server));
+                    let at = self.begin_cause(Target::Server(server));
                     self.record.lock().causes[at].from = since;
-                    self.end(at);
+                    self.end_cause(at);
                 }
             },
-            Trouble::Crash(server) => self.servers.crash(server).await,
-            Trouble::Limit(server, rate, span) => {
+            Fault::Crash(server) => self.servers.crash(server).await,
+            Fault::Limit(server, rate, span) => {
                 let limited = self.servers.limit(server, rate, span).await;
                 self.record.lock().limited.extend(limited);
             }
-            Trouble::Rest(server, span, rest) => {
+            Fault::Rest(server, span, rest) => {
                 let rested = self.servers.rest(server, span, rest).await;
                 self.record.lock().rested.extend(rested);
             }
-            Trouble::Leave(server, span) => {
-                if let Some((left, stays)) = self.servers.tell_leaving(server, span).await {
-                    self.record.lock().left.push(left);
+            Fault::Leave(server, span) => {
+                if let Some((leaving, stays)) = self.servers.tell_leaving(server, span).await {
+                    self.record.lock().leaving.push(leaving);
                     if stays {
-                        let at = self.begin(Whom::Server(server));
+                        let at = self.begin_cause(Target::Server(server));
                         self.servers.crash(server).await;
-                        self.end(at);
+                        self.end_cause(at);
                     }
                 }
             }
         }
-        begun.into_iter().for_each(|at| self.end(at));
+        begun.into_iter().for_each(|at| self.end_cause(at));
     }
 
-    /// Tells a process to end, and kills it where it takes too long.
+    /// Asks a process to end, and kills it if it takes too long.
     async fn terminate(&self, host: u8) {
-        // Another trouble may end it first, and another process be there when the time is over.
-        let told = self.fleet.id(host);
+        // Another fault may end the process first, and a new one may run when the time is over.
+        let process = self.fleet.process_id(host);
         self.fleet.signal(host, Signal::TERM);
-        let gone = || async { self.fleet.id(host) != told };
-        if !load::come_true(GRACE, gone).await {
+        let gone = || async { self.fleet.process_id(host) != process };
+        if !load::wait_until(END_TIMEOUT, gone).await {
             self.fleet.kill(host);
         }
-        self.running_again(host).await;
+        self.wait_running(host).await;
     }
 
-    async fn running_again(&self, host: u8) {
-        load::come_true(UP, || async { self.fleet.is_running(host) }).await;
+    async fn wait_running(&self, host: u8) {
+        load::wait_until(SERVE_TIMEOUT, || async { self.fleet.is_running(host) }).await;
     }
 
-    fn begin(&self, whom: Whom) -> usize {
+    fn begin_cause(&self, target: Target) -> usize {
         let causes = &mut self.record.lock().causes;
         causes.push(Cause {
-            whom,
+            target,
             from: Instant::now(),
             until: None,
         });
         causes.len() - 1
     }
 
-    fn end(&self, at: usize) {
+    fn end_cause(&self, at: usize) {
         self.record.lock().causes[at].until = Some(Instant::now());
     }
 }
--- a/tests/src/soak/fleet.rs
+++ b/tests/src/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! The real programs as processes on loopback, and signals to them.
+//! Runs the real programs as processes on loopback, and sends them signals.
 
 use std::fs::File;
 use std::io;
@@ -13,20 +13,21 @@
 use snipemast_platform::settings::{Settings, SETTINGS_VARIABLE};
 use snipemast_site::hosts::{self, Ports};
 
-use super::plan::{Disturbance, Port, Sizes, GATEWAY};
+use super::plan::{Disturbance, FleetSize, Port, FIRST_GATEWAY};
 use super::proxy::Proxy;
 
-/// How far the address that a process listens at lies above the one that leads to it.
-const BEHIND: u8 = 100;
+/// The distance from a host's address, at which its proxies listen, to the address at which its process
+/// listens.
+const PROCESS_OFFSET: u8 = 100;
 
-/// The processes of one soak; dropping it kills those that are left.
+/// The processes of one soak. Dropping the fleet kills those that still run.
 #[derive(Debug)]
 pub struct Fleet {
     binary: PathBuf,
     folder: PathBuf,
-    net: u8,
+    subnet: u8,
     ports: Ports,
-    sizes: Sizes,
+    sizes: FleetSize,
     hosts: Vec<Host>,
     stopped: AtomicBool,
 }
@@ -36,47 +37,49 @@
     number: u8,
     child: Mutex<Option<Child>>,
     internal: Proxy,
-    outside: Proxy,
+    external: Proxy,
 }
 
 impl Fleet {
-    /// Lays out the hosts; no process runs yet.
-    pub fn new(binary: &Path, folder: &Path, net: u8, sizes: Sizes) -> io::Result<Self> {
+    /// Prepares the hosts and their proxies, without starting a process.
+    pub fn new(binary: &Path, folder: &Path, subnet: u8, sizes: FleetSize) -> io::Result<Self> {
         let ports = Ports::free();
         let mut fleet = Self {
             binary: binary.to_owned(),
             folder: folder.to_owned(),
-            net,
+            subnet,
             ports,
             sizes,
             hosts: Vec::new(),
             stopped: AtomicBool::new(false),
         };
         let controllers = 1..=sizes.controllers;
-        let gateways = GATEWAY..GATEWAY + sizes.gateways;
+        let gateways = FIRST_GATEWAY..FIRST_GATEWAY + sizes.gateways;
         for number in controllers.chain(gateways) {
-            let outside = fleet.outside(number);
+            let external = fleet.external_address(number);
             let internal = SocketAddr::new(fleet.ip(number), ports.internal);
-            let behind = |at: SocketAddr| SocketAddr::new(fleet.ip(number + BEHIND), at.port());
+            let process_address =
+                |at: SocketAddr| SocketAddr::new(fleet.ip(number + PROCESS_OFFSET), at.port());
             let host = Host {
                 number,
                 child: Mutex::new(None),
-                internal: Proxy::start(internal, behind(internal))?,
-                outside: Proxy::start(outside, behind(outside))?,
+                internal: Proxy::start(internal, process_address(internal))?,
+                external: Proxy::start(external, process_address(external))?,
             };
             fleet.hosts.push(host);
         }
         Ok(fleet)
     }
 
-    /// A host's address.
+    /// Returns a host's address.
     pub fn ip(&self, host: u8) -> IpAddr {
-        IpAddr::V4(Ipv4Addr::new(127, 78, self.net, host))
+        IpAddr::V4(Ipv4Addr::new(127, 78, self.subnet, host))
     }
 
-    /// Where operators and servers, or callers, reach a host.
-    pub fn outside(&self, host: u8) -> SocketAddr {
-        let port = if host < GATEWAY {
+    /// Returns the address of a host for clients outside of the fleet: for operators and servers at a
+    /// controller, for callers at a gateway.
+    pub fn external_address(&self, host: u8) -> SocketAddr {
+        let port = if host < FIRST_GATEWAY {
             self.ports.control
         } else {
             self.ports.front
@@ -84,23 +87,23 @@
         SocketAddr::new(self.ip(host), port)
     }
 
-    /// The hosts that run controllers.
+    /// Returns the hosts that run controllers.
     pub fn controllers(&self) -> impl Iterator<Item = u8> {
         1..=self.sizes.controllers
     }
 
-    /// The hosts that run gateways.
+    /// Returns the hosts that run gateways.
     pub fn gateways(&self) -> impl Iterator<Item = u8> {
-        GATEWAY..GATEWAY + self.sizes.gateways
+        FIRST_GATEWAY..FIRST_GATEWAY + self.sizes.gateways
     }
 
-    /// Starts a host's process; `first` where the whole system starts for the first time.
+    /// Starts a host's process. `first` is true if the whole system starts for the first time.
     pub fn start(&self, number: u8, first: bool) -> io::Result<()> {
         let mut child = self.host(number).child.lock();
         if self.stopped.load(Ordering::SeqCst) {
             return Err(io::ErrorKind::Interrupted.into());
         }
-        let folder = self.disk(number);
+        let folder = self.data_folder(number);
         std::fs::create_dir_all(&folder)?;
         let settings = self.folder.join(format!("host-{number}.toml"));
         std::fs::write(&settings, hosts::text(&self.settings(number, first)))?;
@@ -108,14 +111,14 @@
             .create(true)
             .append(true)
             .open(self.folder.join(format!("host-{number}.log")))?;
-        let role = if number < GATEWAY {
+        let role = if number < FIRST_GATEWAY {
             "controller"
         } else {
             "gateway"
         };
-        // A write beyond the limit that stands for a full disk is to fail, not to end the process:
-        // the shell leaves the signal ignored, and is replaced by the program.
-        let started = Command::new("sh")
+        // A limit on the file size simulates a full disk. A write beyond it must fail instead of ending the
+        // process, so the shell ignores SIGXFSZ before the program replaces it.
+        let process = Command::new("sh")
             .args(["-c", "trap '' XFSZ; exec \"$0\" \"$1\""])
             .arg(&self.binary)
             .arg(role)
@@ -124,19 +127,22 @@
             .stdout(log.try_clone()?)
             .stderr(log)
             .spawn()?;
-        *child = Some(started);
+        *child = Some(process);
         Ok(())
     }
 
     fn settings(&self, number: u8, first: bool) -> Settings {
-        let (ip, behind) = (self.ip(number), self.ip(number + BEHIND));
-        let at = |port| Some(SocketAddr::new(behind, port));
-        let (gateway, ports) = (number >= GATEWAY, self.ports);
+        let (ip, own) = (self.ip(number), self.ip(number + PROCESS_OFFSET));
+        let at = |port| Some(SocketAddr::new(own, port));
+        let (gateway, ports) = (number >= FIRST_GATEWAY, self.ports);
         Settings {
             internal_listen: at(ports.internal),
-            seeds: self.controllers().map(|c| self.outside(c)).collect(),
+            seeds: self
+                .controllers()
+                .map(|c| self.external_address(c))
+                .collect(),
             bootstrap: first,
-            data_dir: Some(self.disk(number)),
+            data_dir: Some(self.data_folder(number)),
             front: at(ports.front).filter(|_| gateway),
             ready: at(ports.ready).filter(|_| gateway),
             control: at(ports.control).filter(|_| !gateway),
@@ -159,8 +165,8 @@
         }
     }
 
-    /// The id of a host's process, if it runs.
-    pub fn id(&self, number: u8) -> Option<u32> {
+    /// Returns the id of a host's process, if it runs.
+    pub fn process_id(&self, number: u8) -> Option<u32> {
         let running = self.is_running(number);
         let child = self.host(number).child.lock();
         child.as_ref().filter(|_| running).map(Child::id)
@@ -170,24 +176,24 @@
     pub fn signal(&self, number: u8, signal: Signal) {
         let child = self.host(number).child.lock();
         if let Some(pid) = child.as_ref().and_then(pid) {
-            // One that has just ended needs none.
+            // A process that has just ended needs no signal.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Kills a host's process, and waits until it is gone.
+    /// Kills a host's process and waits until it has ended.
     pub fn kill(&self, number: u8) {
         if let Some(mut child) = self.host(number).child.lock().take() {
-            // One that has ended already can't be killed, and is only waited for.
+            // A process that has already ended can't be killed, and is only waited for.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Kills all processes, for good.
+    /// Kills all processes and prevents later starts.
     ///
-    /// Failure guarded against: a soak is over, and its processes run on, started anew by a task that
-    /// has not been dropped yet: tasks are cancelled a moment later, if the executor still runs.
+    /// A dropped task is cancelled only a moment later, and only if the executor still runs. Until then it
+    /// could start processes again, which would outlive the soak.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::SeqCst);
         for host in &self.hosts {
@@ -197,11 +203,11 @@
 
     /// Removes a host's folder.
     pub fn wipe(&self, number: u8) {
-        // A folder that was never written to is as good as removed.
-        let _ = std::fs::remove_dir_all(self.disk(number));
+        // A folder that was never created needs no removal.
+        let _ = std::fs::remove_dir_all(self.data_folder(number));
     }
 
-    /// Lets a host's files grow no further, or again.
+    /// Prevents a host's files from growing, or allows it again.
     pub fn set_full(&self, number: u8, full: bool) {
         let child = self.host(number).child.lock();
         let Some(pid) = child.as_ref().and_then(pid) else {
@@ -212,20 +218,20 @@
             current,
             maximum: None,
         };
-        // A process that has just ended has no limits.
+        // A process that has just ended needs no limit.
         let _ = prlimit(Some(pid), Resource::Fsize, limit);
     }
 
-    /// Disturbs a host's connections from now on, or no more.
+    /// Starts a disturbance of a host's connections, or ends it with `None`.
     pub fn disturb(&self, number: u8, port: Port, disturbance: Option<Disturbance>) {
         let host = self.host(number);
         match port {
             Port::Internal => host.internal.disturb(disturbance),
-            Port::Outside => host.outside.disturb(disturbance),
+            Port::External => host.external.disturb(disturbance),
         }
     }
 
-    fn disk(&self, number: u8) -> PathBuf {
+    fn data_folder(&self, number: u8) -> PathBuf {
         self.folder.join(format!("disk-{number}"))
     }
 
--- a/tests/src/soak/load.rs
+++ b/tests/src/soak/load.rs
@@ -1,4 +1,4 @@
-//! Callers and an operator, who use the fleet while it suffers.
+//! The callers and operators that use the fleet while faults are injected.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,55 +15,58 @@
 use snipemast_site::document::{self, SITE_KEY};
 
 use super::fleet::Fleet;
-use super::verdict::{Asked, End, Kind, ReadBack, Record};
+use super::verdict::{CallerRequest, End, Kind, ReadBack, Record};
 
-/// The longest pause of a caller between two requests, and of the operator between two changes.
-const THINK: Span = Span::from_millis(60);
-const CHANGE: Span = Span::from_millis(1_500);
+/// The longest pause of a caller between two requests, and of an operator between two changes.
+const CALLER_PAUSE: Span = Span::from_millis(60);
+const CHANGE_PAUSE: Span = Span::from_millis(1_500);
 
-/// How long a caller waits in all before it gives up, and how long it tries to connect.
-const PATIENCE: Span = Span::from_secs(7);
-const CONNECT: Span = Span::from_secs(1);
+/// The time limits of a caller for a whole answer, and of every client for a connection or a
+/// configuration call.
+const ANSWER_TIMEOUT: Span = Span::from_secs(7);
+const CONNECT_TIMEOUT: Span = Span::from_secs(1);
 
-/// What operators sent and had acknowledged.
+/// The configurations that operators sent.
 #[derive(Debug, Default)]
 pub struct Versions {
-    /// By number, as sent.
+    /// The documents as sent, by version number.
     pub sent: BTreeMap<u64, Value>,
 }
 
-/// Sends requests to one gateway after another, on connections that it keeps.
-pub async fn call_on(fleet: Arc<Fleet>, record: Arc<Mutex<Record>>, name: String, seed: u64) {
-    let mut chance = SplitMix64::new(seed);
+/// Sends requests to randomly chosen gateways, mostly over a kept connection.
+pub async fn run_caller(fleet: Arc<Fleet>, record: Arc<Mutex<Record>>, name: String, seed: u64) {
+    let mut random = SplitMix64::new(seed);
     let mut kept: Option<(u8, Connection)> = None;
     let gateways: Vec<u8> = fleet.gateways().collect();
     for number in 0_u64.. {
-        pause(chance.span_below(THINK)).await;
-        let kind = match chance.below(3) {
+        pause(random.span_below(CALLER_PAUSE)).await;
+        let kind = match random.below(3) {
             0 => Kind::Once,
             1 => Kind::Safe,
             _ => Kind::Stream,
         };
-        // Most requests go on an open connection, for as long as it lasts.
-        if chance.next_u64().is_multiple_of(8) {
+        // Most requests reuse the open connection for as long as it lasts.
+        if random.next_u64().is_multiple_of(8) {
             kept = None;
         }
         let gateway = match &kept {
             Some((gateway, _)) => *gateway,
-            None => gateways[chance.below(gateways.len() as u64) as usize],
+            None => gateways[random.below(gateways.len() as u64) as usize],
         };
         let attempt = format!("{name}-{number}");
         let sent = Instant::now();
         let connection = match kept.take() {
             Some((_, open)) if open.is_ready() => Some(open),
-            _ => connect(fleet.outside(gateway), CONNECT).await.ok(),
+            _ => connect(fleet.external_address(gateway), CONNECT_TIMEOUT)
+                .await
+                .ok(),
         };
         let (end, open) = match connection {
             Some(open) => ask(open, kind, &attempt).await,
             None => (End::Unconnected, None),
         };
         kept = open.map(|open| (gateway, open));
-        record.lock().asked.push(Asked {
+        record.lock().requests.push(CallerRequest {
             attempt,
             kind,
             gateway,
@@ -74,7 +77,7 @@
     }
 }
 
-/// Sends one request, and returns the connection if it can carry another.
+/// Sends one request and returns how it ended, with the connection if it can carry another request.
 pub async fn ask(
     mut connection: Connection,
     kind: Kind,
@@ -86,7 +89,7 @@
         Kind::Stream => "/stream/read",
     };
     let work = calls::send_request(&mut connection, path, attempt, SITE_KEY);
-    let end = match within(PATIENCE, work).await {
+    let end = match within(ANSWER_TIMEOUT, work).await {
         None => End::Silent,
         Some(None) => End::Closed,
         Some(Some(reply)) => End::Answer {
@@ -101,24 +104,24 @@
     (end, reusable.then_some(connection))
 }
 
-/// Changes the configuration again and again; each change is sent until it is acknowledged.
+/// Changes the configuration repeatedly, and sends each change until it is acknowledged.
 ///
-/// Several operators race: each takes the next number that none has taken.
-pub async fn operate(
+/// Several operators run at once. Each uses the next version number that no other has used.
+pub async fn run_operator(
     fleet: Arc<Fleet>,
     record: Arc<Mutex<Record>>,
     versions: Arc<Mutex<Versions>>,
     seed: u64,
 ) {
-    let mut chance = SplitMix64::new(seed);
+    let mut random = SplitMix64::new(seed);
     loop {
-        pause(chance.span_below(CHANGE)).await;
-        let (number, document) = versions.lock().next(&mut chance);
+        pause(random.span_below(CHANGE_PAUSE)).await;
+        let (number, document) = versions.lock().create_next(&mut random);
         let text = document.to_string();
         loop {
-            let host = 1 + chance.below(fleet.controllers().count() as u64) as u8;
-            let (to, text) = (fleet.outside(host), text.clone());
-            let status = within(CONNECT, calls::put_configuration(to, text))
+            let host = 1 + random.below(fleet.controllers().count() as u64) as u8;
+            let (to, text) = (fleet.external_address(host), text.clone());
+            let status = within(CONNECT_TIMEOUT, calls::put_configuration(to, text))
                 .await
                 .flatten();
             if status == Some(200) {
@@ -131,23 +134,24 @@
 }
 
 impl Versions {
-    fn next(&mut self, chance: &mut SplitMix64) -> (u64, Value) {
+    /// Creates the next document to send.
+    fn create_next(&mut self, random: &mut SplitMix64) -> (u64, Value) {
         let last = self.sent.keys().next_back().copied().unwrap_or(1);
-        let number = last + 1 + chance.below(3);
+        let number = last + 1 + random.below(3);
         let document = document::lenient(number);
         self.sent.insert(number, document.clone());
         (number, document)
     }
 }
 
-/// Reads the configuration at one controller after another.
-pub async fn read_on(fleet: Arc<Fleet>, record: Arc<Mutex<Record>>, seed: u64) {
-    let mut chance = SplitMix64::new(seed);
+/// Reads the configuration at randomly chosen controllers.
+pub async fn run_reader(fleet: Arc<Fleet>, record: Arc<Mutex<Record>>, seed: u64) {
+    let mut random = SplitMix64::new(seed);
     loop {
-        pause(chance.span_below(THINK.times(4))).await;
-        let host = 1 + chance.below(fleet.controllers().count() as u64) as u8;
+        pause(random.span_below(CALLER_PAUSE.times(4))).await;
+        let host = 1 + random.below(fleet.controllers().count() as u64) as u8;
         let sent = Instant::now();
-        if let Some(document) = read(&fleet, host).await {
+        if let Some(document) = read_configuration(&fleet, host).await {
             let version = document::version(&document);
             let read = ReadBack {
                 host,
@@ -159,16 +163,16 @@
     }
 }
 
-/// The configuration at a controller, if it says one.
-pub async fn read(fleet: &Fleet, host: u8) -> Option<Value> {
-    let get = calls::read_configuration(fleet.outside(host));
-    let reply = within(CONNECT, get).await.flatten()?;
+/// Returns the configuration of a controller, if it answers with one.
+pub async fn read_configuration(fleet: &Fleet, host: u8) -> Option<Value> {
+    let get = calls::read_configuration(fleet.external_address(host));
+    let reply = within(CONNECT_TIMEOUT, get).await.flatten()?;
     let found = reply.status == 200 && reply.whole;
     found.then(|| serde_json::from_str(&reply.body).ok())?
 }
 
-/// Waits until something is true, at most for a time; whether it is.
-pub async fn come_true<F: std::future::Future<Output = bool>>(
+/// Waits until a condition holds, at most for `limit`, and returns whether it does.
+pub async fn wait_until<F: std::future::Future<Output = bool>>(
     limit: Duration,
     holds: impl Fn() -> F,
 ) -> bool {
--- a/tests/src/soak/proxy.rs
+++ b/tests/src/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy before one listener, which delays, silences and resets connections.
+//! A loopback proxy in front of one listener, which delays, silences and resets connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 
 use super::plan::Disturbance;
 
-/// How much is passed on at a time.
-const PIECE: usize = 16 << 10;
+/// The size of the buffer for each direction of a connection, in bytes.
+const BUFFER_SIZE: usize = 16 << 10;
 
-/// A proxy; dropping it closes its listener and all connections.
+/// A running proxy. Dropping it closes its listener and all connections.
 #[derive(Debug)]
 pub struct Proxy {
     shared: Arc<Shared>,
@@ -34,20 +34,20 @@
 
 #[derive(Debug, Default)]
 struct State {
-    now: Option<Disturbance>,
-    /// Counts resets; connections of an earlier one are gone.
+    disturbance: Option<Disturbance>,
+    /// The number of resets so far. A connection ends once this number changes.
     resets: u64,
 }
 
-/// Which way bytes go.
+/// The direction of bytes, as seen from the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Direction {
     Inward,
     Outward,
 }
 
 impl Proxy {
-    /// A proxy that passes everything on.
+    /// Starts a proxy that forwards everything.
     pub fn start(listen: SocketAddr, target: SocketAddr) -> std::io::Result<Self> {
         let listener = socket::listen(listen)?;
         let shared = Arc::new(Shared {
@@ -55,12 +55,12 @@
             state: Mutex::default(),
             changed: Signal::new(),
         });
-        let of_task = Arc::clone(&shared);
+        let task_shared = Arc::clone(&shared);
         let task = spawn(async move {
             let mut open: Vec<Task<()>> = Vec::new();
             while let Ok((caller, _)) = listener.accept().await {
                 open.retain(|t| !t.is_finished());
-                open.push(spawn(carry(Arc::clone(&of_task), caller)));
+                open.push(spawn(forward(Arc::clone(&task_shared), caller)));
             }
         });
         Ok(Self {
@@ -69,28 +69,28 @@
         })
     }
 
-    /// Disturbs connections from now on, or no more.
+    /// Starts a disturbance of the connections, or ends it with `None`.
     pub fn disturb(&self, disturbance: Option<Disturbance>) {
         let mut state = self.shared.state.lock();
         if disturbance == Some(Disturbance::Reset) {
             state.resets += 1;
         }
-        state.now = disturbance;
+        state.disturbance = disturbance;
         drop(state);
         self.shared.changed.notify(usize::MAX);
     }
 }
 
 impl Shared {
-    /// Waits until bytes that go one way may be passed on.
-    async fn pass(&self, way: Way) {
+    /// Waits until bytes of a direction may be forwarded.
+    async fn wait_passable(&self, direction: Direction) {
         loop {
             let changed = self.changed.listen();
-            let now = self.state.lock().now;
-            let held = match now {
+            let disturbance = self.state.lock().disturbance;
+            let held = match disturbance {
                 Some(Disturbance::Silence) => true,
-                Some(Disturbance::Inward) => way == Way::Inward,
-                Some(Disturbance::Outward) => way == Way::Outward,
+                Some(Disturbance::Inward) => direction == Direction::Inward,
+                Some(Disturbance::Outward) => direction == Direction::Outward,
                 Some(Disturbance::Delay(span)) => {
                     pause(span).await;
                     false
@@ -104,7 +104,8 @@
         }
     }
 
-    async fn is_reset(&self, since: u64) {
+    /// Waits until connections are reset again after the reset number `since`.
+    async fn wait_reset(&self, since: u64) {
         loop {
             let changed = self.changed.listen();
             if self.state.lock().resets != since {
@@ -115,21 +116,21 @@
     }
 }
 
-/// Carries one connection until either end closes it or it is reset.
-async fn carry(shared: Arc<Shared>, caller: TcpStream) {
+/// Forwards one connection until either end closes it or it is reset.
+async fn forward(shared: Arc<Shared>, caller: TcpStream) {
     let since = shared.state.lock().resets;
-    shared.pass(Way::Inward).await;
+    shared.wait_passable(Direction::Inward).await;
     let Ok(target) = TcpStream::connect(shared.target).await else {
         reset(&caller);
         return;
     };
-    // Small pieces are passed on as they come.
+    // Small writes are forwarded without delay.
     let _ = (caller.set_nodelay(true), target.set_nodelay(true));
-    let inward = pump(&shared, caller.clone(), target.clone(), Way::Inward);
-    let outward = pump(&shared, target.clone(), caller.clone(), Way::Outward);
+    let inward = copy_bytes(&shared, caller.clone(), target.clone(), Direction::Inward);
+    let outward = copy_bytes(&shared, target.clone(), caller.clone(), Direction::Outward);
     let ended = futures_lite::future::or(inward, outward);
     let cut = async {
-        shared.is_reset(since).await;
+        shared.wait_reset(since).await;
         true
     };
     if futures_lite::future::or(ended, cut).await {
@@ -138,25 +139,30 @@
     }
 }
 
-/// Passes bytes on one way; whether the connection broke, rather than ended.
-async fn pump(shared: &Shared, mut from: TcpStream, mut to: TcpStream, way: Way) -> bool {
-    let mut piece = vec![0; PIECE];
+/// Copies bytes in one direction. Returns true if the connection broke, and false if it was closed.
+async fn copy_bytes(
+    shared: &Shared,
+    mut from: TcpStream,
+    mut to: TcpStream,
+    direction: Direction,
+) -> bool {
+    let mut buffer = vec![0; BUFFER_SIZE];
     loop {
-        let Ok(length) = from.read(&mut piece).await else {
+        let Ok(length) = from.read(&mut buffer).await else {
             return true;
         };
-        shared.pass(way).await;
+        shared.wait_passable(direction).await;
         if length == 0 {
             return false;
         }
-        if to.write_all(&piece[..length]).await.is_err() {
+        if to.write_all(&buffer[..length]).await.is_err() {
             return true;
         }
     }
 }
 
-/// Makes the close of a connection a reset.
+/// Makes the close of a connection send a reset.
 fn reset(stream: &TcpStream) {
-    // One that is closed already needs none.
+    // A connection that is already closed needs no reset.
     let _ = sockopt::set_socket_linger(stream, Some(std::time::Duration::ZERO));
 }
--- a/tests/src/soak/servers.rs
+++ b/tests/src/soak/servers.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for model servers behind proxies: they announce themselves, leave, crash, misbehave.
+//! Fake model servers behind proxies, which announce themselves, leave, crash and misbehave.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,35 +16,35 @@
 use super::fleet::Fleet;
 use super::plan::Disturbance;
 use super::proxy::Proxy;
-use super::verdict::{Drained, Left, Limited, Rested};
+use super::verdict::{DrainedServer, LeavingServer, LimitedServer, RestedServer};
 
-/// The pause between two announcements, before an address is tried again, and how long a call may take.
-const BEAT: Span = Span::from_millis(400);
-const AGAIN: Span = Span::from_millis(5);
-const ANSWER: Span = Span::from_secs(1);
+/// The pauses between two announcements and before an address is tried again, and the time limit of a call.
+const ANNOUNCE_PAUSE: Span = Span::from_millis(400);
+const RETRY_PAUSE: Span = Span::from_millis(5);
+const CALL_TIMEOUT: Span = Span::from_secs(1);
 
-/// How long a server that leaves serves after its acknowledgement, and how long it waits for one.
-const DRAIN: Span = Span::from_millis(2_600);
-const UNHEARD: Span = Span::from_secs(6);
+/// How long a leaving server still serves after its acknowledgement, and how long it waits for one.
+const DRAIN_TIME: Span = Span::from_millis(2_600);
+const ACK_TIMEOUT: Span = Span::from_secs(6);
 
-/// The first host that runs a server, and how far the server itself lies above its proxy.
-const FIRST: u8 = 50;
-const BEHIND: u8 = 150;
+/// The first host of a server's proxy, and the distance from it to the host of the server itself.
+const FIRST_SERVER: u8 = 50;
+const SERVER_OFFSET: u8 = 150;
 
 /// The servers of one soak.
 #[derive(Debug)]
 pub struct Servers {
     fleet: Arc<Fleet>,
     places: Vec<Mutex<Place>>,
-    /// What servers ran that are gone.
-    gone: Mutex<HashMap<String, Vec<ServedRequest>>>,
+    /// The requests that ended servers served, by the server's id.
+    ended: Mutex<HashMap<String, Vec<ServedRequest>>>,
 }
 
-/// An address at which one server after another runs.
+/// An address at which servers run one after another.
 #[derive(Debug)]
 struct Place {
     address: SocketAddr,
-    /// Counts the servers there.
+    /// The number of servers that have been started here.
     count: u32,
     running: Option<Running>,
 }
@@ -53,14 +53,14 @@
 struct Running {
     server: Arc<ModelServer>,
     proxy: Proxy,
-    _beats: Task<()>,
+    _announcing: Task<()>,
 }
 
 impl Servers {
-    /// Starts so many servers.
+    /// Starts this many servers.
     pub fn start(fleet: Arc<Fleet>, count: u8) -> Arc<Self> {
         let places = (0..count).map(|n| {
-            let address = SocketAddr::new(fleet.ip(FIRST + n), free_port());
+            let address = SocketAddr::new(fleet.ip(FIRST_SERVER + n), free_port());
             Mutex::new(Place {
                 address,
                 count: 0,
@@ -70,17 +70,17 @@
         let servers = Self {
             places: places.collect(),
             fleet,
-            gone: Mutex::default(),
+            ended: Mutex::default(),
         };
         for place in 0..count {
-            servers.run(place);
+            servers.start_server(place);
         }
         Arc::new(servers)
     }
 
-    /// What each server ran, also those that are gone.
-    pub fn ran(&self) -> HashMap<String, Vec<ServedRequest>> {
-        let mut all = self.gone.lock().clone();
+    /// Returns the requests that each server served, by its id, also of servers that have ended.
+    pub fn served_requests(&self) -> HashMap<String, Vec<ServedRequest>> {
+        let mut all = self.ended.lock().clone();
         for place in &self.places {
             if let Some(running) = &place.lock().running {
                 all.insert(running.server.id.clone(), running.server.served_requests());
@@ -89,14 +89,14 @@
         all
     }
 
-    /// Disturbs connections to a server from now on, or no more.
+    /// Starts a disturbance of the connections to a server, or ends it with `None`.
     pub fn disturb(&self, place: u8, disturbance: Option<Disturbance>) {
         if let Some(running) = &self.place(place).lock().running {
             running.proxy.disturb(disturbance);
         }
     }
 
-    /// Lets a server behave in another way for a time.
+    /// Lets a server misbehave for a time.
     pub async fn behave(&self, place: u8, behavior: Behavior, span: Span) {
         let server = self.server(place);
         let Some(server) = server else { return };
@@ -106,13 +106,13 @@
     }
 
     /// Lets a server name a limit for a time.
-    pub async fn limit(&self, place: u8, rate: Rate, span: Span) -> Option<Limited> {
+    pub async fn limit(&self, place: u8, rate: Rate, span: Span) -> Option<LimitedServer> {
         let server = self.server(place)?;
         server.name_limit(Some(&rate.as_per_second().to_string()));
         let from = Instant::now();
         pause(span).await;
         server.name_limit(None);
-        Some(Limited {
+        Some(LimitedServer {
             server: server.id.clone(),
             rate,
             from,
@@ -120,45 +120,48 @@
         })
     }
 
-    /// Lets a server turn requests away for a time, and ask for rest.
-    pub async fn rest(&self, place: u8, span: Span, rest: Span) -> Option<Rested> {
+    /// Lets a server reject requests for a time and ask for rest.
+    pub async fn rest(&self, place: u8, span: Span, rest: Span) -> Option<RestedServer> {
         let server = self.server(place)?;
         server.ask_rest(Some(&rest.as_secs_f64().to_string()));
         let from = Instant::now();
         pause(span).await;
         server.ask_rest(None);
-        let mut turned = server.rejected_requests();
-        turned.retain(|turned| turned.at >= from);
-        Some(Rested {
+        let mut rejected = server.rejected_requests();
+        rejected.retain(|r| r.at >= from);
+        Some(RestedServer {
             server: server.id.clone(),
             rest: rest.as_duration(),
-            turned,
+            rejected,
         })
     }
 
-    /// Lets a server say in its answers that it leaves; whether it is there still after a time.
-    pub async fn tell_leaving(&self, place: u8, span: Span) -> Option<(Left, bool)> {
+    /// Lets a server announce in its answers that it leaves. Also returns whether it still runs after `span`.
+    pub async fn tell_leaving(&self, place: u8, span: Span) -> Option<(LeavingServer, bool)> {
         let server = self.server(place)?;
         server.set_leaving();
         let (id, from) = (server.id.clone(), Instant::now());
         drop(server);
         pause(span).await;
         let stays = self.server(place).is_some_and(|s| s.id == id);
-        Some((Left { server: id, from }, stays))
+        Some((LeavingServer { server: id, from }, stays))
     }
 
-    /// Lets a server be gone at once, and another one come at its address.
+    /// Ends a server without notice and starts another one at its address.
     pub async fn crash(&self, place: u8) {
-        self.end(place);
-        // The listener of the one before is closed by its task, a moment later.
-        while !self.run(place) {
-            pause(AGAIN).await;
+        self.stop_server(place);
+        // The task of the previous server closes its listener a moment later.
+        while !self.start_server(place) {
+            pause(RETRY_PAUSE).await;
         }
     }
 
-    /// Lets a server leave in order, and another one come; since when it was gone, where nobody
-    /// acknowledged that it leaves.
-    pub async fn replace(&self, place: u8) -> Result<Drained, Instant> {
+    /// Lets a server announce that it leaves, drain and end, and starts another one.
+    ///
+    /// # Errors
+    ///
+    /// Returns the time at which the server began to leave if no controller acknowledged it.
+    pub async fn replace(&self, place: u8) -> Result<DrainedServer, Instant> {
         let Some(server) = self.server(place) else {
             return Err(Instant::now());
         };
@@ -166,27 +169,27 @@
         let address = self.place(place).lock().address;
         let start = Instant::now();
         let mut acked = None;
-        while acked.is_none() && start.elapsed() < UNHEARD.as_duration() {
+        while acked.is_none() && start.elapsed() < ACK_TIMEOUT.as_duration() {
             for host in self.fleet.controllers() {
-                let told = server.announce_to(self.fleet.outside(host), address);
-                if within(ANSWER, told).await == Some(true) {
+                let call = server.announce_to(self.fleet.external_address(host), address);
+                if within(CALL_TIMEOUT, call).await == Some(true) {
                     acked = Some(Instant::now());
                     break;
                 }
             }
         }
-        pause(DRAIN).await;
-        let host = self.fleet.outside(1);
-        // A server that can't say good-bye is found to be silent.
-        let _ = within(ANSWER, calls::deregister(host, &server.id)).await;
-        // Another trouble may have put another server there meanwhile.
+        pause(DRAIN_TIME).await;
+        let host = self.fleet.external_address(1);
+        // A server that can't deregister is removed because it stops announcing itself.
+        let _ = within(CALL_TIMEOUT, calls::deregister(host, &server.id)).await;
+        // Another fault may have started another server here in the meantime.
         let id = server.id.clone();
         drop(server);
         if self.server(place).is_some_and(|s| s.id == id) {
             self.crash(place).await;
         }
         match acked {
-            Some(at) => Ok(Drained { server: id, at }),
+            Some(at) => Ok(DrainedServer { server: id, at }),
             None => Err(start),
         }
     }
@@ -200,30 +203,33 @@
         &self.places[usize::from(place)]
     }
 
-    fn end(&self, place: u8) {
+    fn stop_server(&self, place: u8) {
         let running = self.place(place).lock().running.take();
         if let Some(running) = running {
             let id = running.server.id.clone();
-            self.gone
+            self.ended
                 .lock()
                 .insert(id, running.server.served_requests());
         }
     }
 
-    /// Starts a server at a place; false where its address is still taken.
-    fn run(&self, at: u8) -> bool {
+    /// Starts a server at a place. Returns false if its address is still in use.
+    fn start_server(&self, at: u8) -> bool {
         let mut place = self.place(at).lock();
         if place.running.is_some() {
             return true;
         }
         place.count += 1;
         let id = name(at, place.count);
-        let server = Arc::new(ModelServer::listen(self.fleet.ip(FIRST + BEHIND + at), &id));
+        let server = Arc::new(ModelServer::listen(
+            self.fleet.ip(FIRST_SERVER + SERVER_OFFSET + at),
+            &id,
+        ));
         let address = place.address;
         let Ok(proxy) = Proxy::start(address, server.address) else {
             return false;
         };
-        let beats = spawn(beat(
+        let announcing = spawn(announce(
             Arc::clone(&self.fleet),
             Arc::downgrade(&server),
             address,
@@ -231,7 +237,7 @@
         place.running = Some(Running {
             server,
             proxy,
-            _beats: beats,
+            _announcing: announcing,
         });
         true
     }
@@ -241,16 +247,16 @@
     format!("i-{place}-{count}")
 }
 
-/// Announces a server again and again, to whichever controller answers.
-async fn beat(fleet: Arc<Fleet>, server: std::sync::Weak<ModelServer>, address: SocketAddr) {
+/// Announces a server repeatedly, each time to the first controller that answers.
+async fn announce(fleet: Arc<Fleet>, server: std::sync::Weak<ModelServer>, address: SocketAddr) {
     while let Some(server) = server.upgrade() {
         for host in fleet.controllers() {
-            let told = server.announce_to(fleet.outside(host), address);
-            if within(ANSWER, told).await == Some(true) {
+            let call = server.announce_to(fleet.external_address(host), address);
+            if within(CALL_TIMEOUT, call).await == Some(true) {
                 break;
             }
         }
         drop(server);
-        pause(BEAT).await;
+        pause(ANNOUNCE_PAUSE).await;
     }
 }
--- a/tests/src/wired.rs
+++ b/tests/src/wired.rs
@@ -1,4 +1,5 @@
-//! A fleet whose agents stand behind wires that misbehave.
+//! A fleet whose agents are reached through fake wires, which delay, double, silence or reset what they
+//! carry.
 
 use std::sync::Arc;
 
@@ -12,9 +13,9 @@
 
 use crate::{agent_settings, id, info, journal, loopback, pause, Fleet};
 
-/// One agent behind a wire.
+/// An agent that is reached through a wire.
 #[derive(Debug)]
-pub struct Behind {
+pub struct WiredAgent {
     /// The wire.
     pub wire: FakeWire,
     /// The agent.
@@ -22,13 +23,13 @@
     _fake: Listening,
 }
 
-/// A fleet whose agents stand behind wires.
+/// A fleet whose agents are reached through wires.
 #[derive(Debug)]
 pub struct Wired {
     /// The entry, with the control role.
     pub fleet: Fleet,
     /// The agents, in the order in which they were added.
-    pub agents: Vec<Behind>,
+    pub agents: Vec<WiredAgent>,
     service: Option<FakeService>,
 }
 
@@ -62,7 +63,7 @@
         self.add(name, fake).await;
     }
 
-    /// Adds the plain service `mesa`; all of its servers count together.
+    /// Adds a server of the plain service `mesa`. All of its servers share one count of runs.
     pub async fn add_service(&mut self, name: &str) {
         let offer = Offer::Service {
             service: id("mesa"),
@@ -79,11 +80,12 @@
         let wire = FakeWire::start().await.expect("port 0");
         let settings = agent_settings(name, fake.address(), self.fleet.entry.own());
         let journal = journal(&settings.host);
-        let reached = Some(wire.address());
-        let agent = Agent::start_advertised(settings, Incarnation::new(1), journal, reached).await;
+        let advertised = Some(wire.address());
+        let agent =
+            Agent::start_advertised(settings, Incarnation::new(1), journal, advertised).await;
         let agent = agent.expect("an agent starts on port 0");
         wire.aim(agent.address());
-        self.agents.push(Behind {
+        self.agents.push(WiredAgent {
             wire,
             agent,
             _fake: fake,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// A stream of so many tokens.
+    /// Builds a request for a stream of this many tokens.
     pub fn stream(&self, tokens: u32) -> Conn {
         let body =
             json!({ "model": "lector", "prompt": "p", "max_tokens": tokens, "stream": true });
@@ -101,23 +103,23 @@
         request.with_body(body.to_string())
     }
 
-    /// An order, which may not run twice.
+    /// Builds an order, a request that may not run twice.
     pub fn order(&self, body: &str) -> Conn {
         let request = self.fleet.request("POST", "/services/mesa/orders");
         request.with_body(body.to_string())
     }
 
-    /// How often an order ran.
+    /// Returns how often an order ran.
     pub fn runs_of(&self, body: &str) -> u64 {
         self.service.as_ref().map_or(0, |s| s.runs_of(body))
     }
 
-    /// How many orders ran.
+    /// Returns how many orders ran.
     pub fn runs(&self) -> u64 {
         self.service.as_ref().map_or(0, FakeService::runs)
     }
 
-    /// How often the entry recorded an event.
+    /// Returns how often the entry recorded an event.
     pub fn events(&self, event: Event) -> usize {
         let ring = Arc::clone(self.fleet.entry.shared().journal.ring());
         let records = ring.since(Stamp::default());
--- a/tests/src/zones.rs
+++ b/tests/src/zones.rs
@@ -1,4 +1,4 @@
-//! Three entries of three zones before shared agents.
+//! Three entries that share agents.
 
 use std::net::SocketAddr;
 
@@ -15,10 +15,10 @@
 
 use crate::{agent_settings, entry_settings, id, journal, loopback, pause, KEY};
 
-/// How long claims are held here; keepers wait for it after a start of all.
-const HOLD: Span = Span::from_secs(3);
+/// How long claims are held. Keepers wait this long after all of them have started.
+const CLAIM_HOLD: Span = Span::from_secs(3);
 
-/// Three entries, of which the first also decides on the configuration.
+/// Three entries, of which the first has the control role.
 #[derive(Debug)]
 pub struct Zones {
     /// The entries.
@@ -29,7 +29,7 @@
 }
 
 impl Zones {
-    /// Starts the entries; each keeps every key's claims.
+    /// Starts the entries, each of which is a keeper of the claims of every key.
     pub async fn start(services: Value) -> Self {
         let mut zones = Self {
             entries: Vec::new(),
@@ -38,7 +38,7 @@
         };
         for n in 0..3 {
             let mut settings = entry_settings(&format!("entry-{n}"));
-            settings.limits.hold = HOLD;
+            settings.limits.hold = CLAIM_HOLD;
             settings.limits.notice = Span::from_millis(200);
             if let Some(first) = zones.entries.first() {
                 settings.seeds = vec![first.own()];
@@ -46,7 +46,7 @@
                 settings.operators = None;
             }
             let entry = start(&settings, 1).await;
-            // A restart finds the same addresses.
+            // A restarted entry uses the same addresses.
             settings.own = entry.own();
             settings.callers = entry.callers();
             zones.settings.push(settings);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Waits until every entry has a say as a keeper.
+    /// Waits until every entry can answer as a keeper.
     pub async fn keepers_ready(&self) {
         for entry in &self.entries {
             let shared = entry.shared();
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Adds an agent before a backend server, known to every entry.
+    /// Adds an agent in front of a backend server and waits until every entry knows it.
     pub async fn add_agent(&mut self, name: &str, server: SocketAddr) {
         let agent = self.start_agent(name, server, 1).await;
         self.agents.push(agent);
@@ -144,13 +144,13 @@
         self.entries.insert(place, entry);
     }
 
-    /// Builds a request to an entry.
+    /// Builds a request to an entry, with the workspace's key.
     pub fn request(&self, entry: usize, method: &str, path: &str) -> Conn {
         request(self.entries[entry].callers(), method, path)
     }
 }
 
-/// Builds a request with the workspace's key.
+/// Builds a request to an address, with the workspace's key.
 pub fn request(address: SocketAddr, method: &str, path: &str) -> Conn {
     let url = format!("http://{address}{path}");
     let method: trillium_client::Method = method.parse().expect("a method");
@@ -159,7 +159,7 @@
         .with_request_header(KnownHeaderName::Authorization, format!("Bearer {KEY}"))
 }
 
-/// Serves a fake on any port.
+/// Serves a fake backend server on any free port.
 pub async fn serve(fake: impl trillium::Handler) -> Listening {
     let fake = snipemast_wire::listen(loopback(), fake).await;
     fake.expect("a fake starts on port 0")
