--- a/tests/tests/callers.rs
+++ b/tests/tests/callers.rs
@@ -1,4 +1,4 @@
-//! What callers may send, and what they read when it is not that.
+//! Tests of requests that an entry refuses, and of the answers that callers get.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,7 +9,7 @@
 use snipemast_core::prelude::*;
 use snipemast_tests::{answer, entry_settings, Answer, Fleet, KEY};
 
-async fn fleet() -> Fleet {
+async fn start_fleet() -> Fleet {
     let mut settings = entry_settings("entry-0");
     settings.limits.body = Size::from_bytes(1_000);
     let mut fleet = Fleet::start_with(settings).await;
@@ -25,17 +25,17 @@
     fleet
 }
 
-/// A refusal must be typed, must say that nothing ran, and must name the request.
+/// Whether an answer is a refusal with this status and title that says that nothing ran.
 fn is_refusal(answer: &Answer, status: u16, kind: &str) -> bool {
     answer.status == status
         && answer.outcome.as_deref() == Some("not-run")
         && answer.json()["title"] == kind
 }
 
-/// Sends bytes as they are and reads what comes back.
-fn raw(address: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(address).expect("it listens");
-    // The other side may refuse in the middle and close.
+/// Sends bytes unchanged and reads until the connection ends.
+fn send_raw(address: SocketAddr, bytes: &[u8]) -> String {
+    let mut stream = TcpStream::connect(address).expect("the entry listens");
+    // The entry may refuse the request and close the connection before all bytes are sent.
     let _ = stream.write_all(bytes);
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer);
@@ -51,6 +51,7 @@
     .into_bytes()
 }
 
+/// Guards against a refusal that does not name its cause, the request, or that nothing ran.
 #[test]
 fn faults_named() {
     let long = format!(r#"{{"model":"lector","prompt":"{}"}}"#, "x".repeat(2_000));
@@ -97,10 +98,12 @@
         ("/services/mesa/a/../b", "", 400, "malformed", "path"),
     ];
     smol::block_on(async {
-        let fleet = fleet().await;
+        let fleet = start_fleet().await;
         for (path, body, status, kind, word) in cases {
-            let answer = raw(fleet.entry.callers(), &post(path, body));
-            let (head, document) = answer.split_once("\r\n\r\n").expect("a whole answer");
+            let answer = send_raw(fleet.entry.callers(), &post(path, body));
+            let (head, document) = answer
+                .split_once("\r\n\r\n")
+                .expect("an answer with a head");
             assert!(
                 head.starts_with(&format!("HTTP/1.1 {status}")),
                 "{path} {body}: {answer}"
@@ -116,8 +119,8 @@
     });
 }
 
-// A caller reads a server's load, or gives it an order that its agent would have refused. It asks
-// for a path of a plain service that is read as one of the server's own paths further on.
+/// Guards against callers who reach a server's own paths, which show its load and accept orders. Such a
+/// caller requests a path of a plain service that the server reads as one of its own paths.
 #[test]
 fn reserved_paths() {
     let paths = [
@@ -131,12 +134,12 @@
         "/services/mesa/\\engine/info",
     ];
     smol::block_on(async {
-        let fleet = fleet().await;
+        let fleet = start_fleet().await;
         for path in paths {
-            let answer = raw(fleet.entry.callers(), &post(path, ""));
+            let answer = send_raw(fleet.entry.callers(), &post(path, ""));
             assert!(answer.starts_with("HTTP/1.1 4"), "{path}: {answer}");
         }
-        let answer = raw(
+        let answer = send_raw(
             fleet.entry.callers(),
             &post("/services/mesa/engines/info", ""),
         );
@@ -144,31 +147,32 @@
     });
 }
 
+/// Guards against a request head of any size being read, and against an entry that then answers no one.
 #[test]
 fn large_head() {
     smol::block_on(async {
-        let fleet = fleet().await;
+        let fleet = start_fleet().await;
         let head = format!(
             "GET /v1/models HTTP/1.1\r\nx: {}\r\n\r\n",
             "y".repeat(20_000)
         );
-        let answer = raw(fleet.entry.callers(), head.as_bytes());
+        let answer = send_raw(fleet.entry.callers(), head.as_bytes());
         assert!(!answer.contains(" 200 "), "{answer}");
-        let whole = answer_models(&fleet).await;
+        let whole = list_models(&fleet).await;
         assert_eq!(whole.json()["data"][0]["id"], "lector");
     });
 }
 
-async fn answer_models(fleet: &Fleet) -> Answer {
+async fn list_models(fleet: &Fleet) -> Answer {
     answer(fleet.request("GET", "/v1/models")).await
 }
 
-// One customer reads what another asked, or what it may ask: the second one's key opens the first
-// one's door.
+/// Guards against access with a key that is missing, cut short or extended, while another workspace's key is
+/// valid.
 #[test]
 fn keys_apart() {
     smol::block_on(async {
-        let mut fleet = fleet().await;
+        let mut fleet = start_fleet().await;
         let keys = [snipemast_config::KeyHash::from_key("other-key")];
         fleet.patch(json!({ "workspaces": { "vandermeulen": { "keys": keys } } }));
         for key in [
@@ -192,10 +196,10 @@
     });
 }
 
-// A host stops to answer everyone after one caller sent something odd.
+/// Guards against an entry that stops answering every caller after one caller sent malformed bytes.
 #[test]
 fn odd_bytes() {
-    let fleet = smol::block_on(fleet());
+    let fleet = smol::block_on(start_fleet());
     let address = fleet.entry.callers();
     let refused = move |path: String, body: Vec<u8>| {
         let path: String = path.chars().filter(|c| c.is_ascii_graphic()).collect();
@@ -203,8 +207,8 @@
             return TestResult::discard();
         }
         let body = String::from_utf8_lossy(&body).into_owned();
-        let completion = raw(address, &post("/v1/completions", &body));
-        let odd = raw(address, &post(&format!("/v1/{path}"), &body));
+        let completion = send_raw(address, &post("/v1/completions", &body));
+        let odd = send_raw(address, &post(&format!("/v1/{path}"), &body));
         TestResult::from_bool(
             completion.starts_with("HTTP/1.1 4")
                 && (odd.is_empty() || odd.starts_with("HTTP/1.1 4")),
@@ -222,5 +226,5 @@
         .rng(gen)
         .tests(150)
         .quickcheck(Property(refused));
-    assert_eq!(smol::block_on(answer_models(&fleet)).status, 200);
+    assert_eq!(smol::block_on(list_models(&fleet)).status, 200);
 }
--- a/tests/tests/configuration.rs
+++ b/tests/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration on its way: several entry hosts over loopback.
+//! Tests of the distribution of the configuration among several entry hosts over loopback.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,17 +12,17 @@
 use snipemast_settings::EntrySettings;
 use snipemast_tests::{entry_settings, id, journal, pause};
 
-/// Starts an entry that decides alone.
-async fn control() -> Entry {
+/// Starts an entry that decides on the configuration alone.
+async fn start_control() -> Entry {
     start(entry_settings("control-0")).await
 }
 
-/// Starts an entry that follows these.
-async fn follower(host: &str, seeds: &[SocketAddr]) -> Entry {
-    start(following(host, seeds)).await
+/// Starts an entry that follows the hosts at these addresses.
+async fn start_follower(host: &str, seeds: &[SocketAddr]) -> Entry {
+    start(follower_settings(host, seeds)).await
 }
 
-fn following(host: &str, seeds: &[SocketAddr]) -> EntrySettings {
+fn follower_settings(host: &str, seeds: &[SocketAddr]) -> EntrySettings {
     EntrySettings {
         seeds: seeds.to_vec(),
         control: None,
@@ -55,8 +55,8 @@
     assert_eq!(verdict, Some(Verdict::Accepted { version }));
 }
 
-/// Waits until a version is in force; a fault shows as a test that gives up.
-async fn reach(shared: &Arc<Shared>, version: u64) {
+/// Waits until a version is in force, and panics after some time.
+async fn wait_version(shared: &Arc<Shared>, version: u64) {
     for _ in 0..3_000 {
         if shared.config().version >= Version::new(version) {
             return;
@@ -66,40 +66,41 @@
     panic!("{} stays at {}", shared.process, shared.config().version);
 }
 
-fn folder(name: &str) -> PathBuf {
+/// Returns an empty folder for a test.
+fn new_folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
     folder
 }
 
+/// Guards against an entry that misses versions or deltas because it knows only a relay of its zone.
 #[test]
 fn through_a_relay() {
-    // An entry that knows only a relay of its zone gets each version, by deltas.
     smol::block_on(async {
-        let control = control().await;
-        let relay = follower("relay-0", &[control.own()]).await;
-        let edge = follower("edge-0", &[relay.own()]).await;
+        let control = start_control().await;
+        let relay = start_follower("relay-0", &[control.own()]).await;
+        let edge = start_follower("edge-0", &[relay.own()]).await;
         for n in 1..=20 {
             submit(&control, n);
         }
-        reach(edge.shared(), 20).await;
+        wait_version(edge.shared(), 20).await;
         assert_eq!(edge.shared().config(), control.shared().config());
         assert_eq!(relay.shared().config(), control.shared().config());
     });
 }
 
+/// Guards against an entry that loses its configuration when its only relay dies, or that does not reach the
+/// newest version once a relay is back after hundreds of changes.
 #[test]
 fn cut_off_catches_up() {
-    // An entry's only relay dies. The entry goes on with what it has, and after hundreds of
-    // changes a relay is there again: the entry goes straight to the newest version.
     smol::block_on(async {
-        let control = control().await;
-        let mut settings = following("relay-0", &[control.own()]);
+        let control = start_control().await;
+        let mut settings = follower_settings("relay-0", &[control.own()]);
         let relay = start(settings.clone()).await;
         settings.own = relay.own();
-        let edge = follower("edge-0", &[relay.own()]).await;
+        let edge = start_follower("edge-0", &[relay.own()]).await;
         submit(&control, 1);
-        reach(edge.shared(), 1).await;
+        wait_version(edge.shared(), 1).await;
         relay.stop().await;
         for n in 2..=300 {
             submit(&control, n);
@@ -107,40 +108,40 @@
         assert!(edge.shared().config().services.contains_key(&id("s1")));
         settings.host = id("relay-1");
         let _relay = start(settings).await;
-        reach(edge.shared(), 300).await;
+        wait_version(edge.shared(), 300).await;
         assert_eq!(edge.shared().config(), control.shared().config());
     });
 }
 
+/// Guards against an entry that refuses every caller after a restart without a disk while its zone is cut off
+/// from control. It must get the configuration from a peer of the zone.
 #[test]
 fn starts_in_partition() {
-    // A zone is cut off from control, and one of its processes restarts without a disk. It
-    // must not refuse every caller: a peer of the zone hands it the copy it holds.
     smol::block_on(async {
-        let control = control().await;
-        let peer = follower("peer-0", &[control.own()]).await;
+        let control = start_control().await;
+        let peer = start_follower("peer-0", &[control.own()]).await;
         submit(&control, 1);
-        reach(peer.shared(), 1).await;
+        wait_version(peer.shared(), 1).await;
         let gone = control.own();
         control.stop().await;
-        let fresh = follower("fresh-0", &[gone, peer.own()]).await;
-        reach(fresh.shared(), 1).await;
+        let fresh = start_follower("fresh-0", &[gone, peer.own()]).await;
+        wait_version(fresh.shared(), 1).await;
         assert_eq!(fresh.shared().config(), peer.shared().config());
     });
 }
 
+/// Guards against an entry that does not start after a power outage because no other process can be reached
+/// yet. It must use its local copy.
 #[test]
 fn starts_from_disk() {
-    // Power returns to a zone before the network: no other process can be reached, and the
-    // local copy is all there is.
     smol::block_on(async {
-        let data = folder("starts_from_disk");
-        let control = control().await;
-        let mut settings = following("edge-0", &[control.own()]);
+        let data = new_folder("starts_from_disk");
+        let control = start_control().await;
+        let mut settings = follower_settings("edge-0", &[control.own()]);
         settings.data = Some(data.clone());
         let edge = start(settings.clone()).await;
         submit(&control, 1);
-        reach(edge.shared(), 1).await;
+        wait_version(edge.shared(), 1).await;
         while !data.join("configuration").exists() {
             pause(10).await;
         }
@@ -151,42 +152,44 @@
     });
 }
 
+/// Guards against an entry that serves with a copy in which the disk has flipped a bit, or which is cut short.
+/// It must fetch the configuration again and record the event.
 #[test]
 fn damaged_copy_refused() {
-    // A disk flips a bit of the copy. The process must not serve with it; it fetches the
-    // configuration again and says what happened.
     smol::block_on(async {
-        let data = folder("damaged_copy_refused");
-        let control = control().await;
+        let data = new_folder("damaged_copy_refused");
+        let control = start_control().await;
         submit(&control, 1);
         let copy = snipemast_entry::copy::Copy::new(&data);
-        copy.write(&control.shared().config()).expect("a folder");
-        let bytes = std::fs::read(copy.path()).expect("a file");
+        copy.write(&control.shared().config())
+            .expect("a writable folder");
+        let bytes = std::fs::read(copy.path()).expect("a file that can be read and written");
         for at in 0..bytes.len() {
             let mut flipped = bytes.clone();
             flipped[at] ^= 1;
-            std::fs::write(copy.path(), &flipped).expect("a file");
+            std::fs::write(copy.path(), &flipped).expect("a file that can be read and written");
             assert!(copy.read().is_err(), "byte {at} flipped");
-            std::fs::write(copy.path(), &bytes[..at]).expect("a file");
+            std::fs::write(copy.path(), &bytes[..at]).expect("a file that can be read and written");
             assert!(copy.read().is_err(), "cut at byte {at}");
         }
-        let mut settings = following("edge-0", &[control.own()]);
+        let mut settings = follower_settings("edge-0", &[control.own()]);
         settings.data = Some(data);
         let edge = start(settings).await;
-        reach(edge.shared(), 1).await;
+        wait_version(edge.shared(), 1).await;
         let records = edge.shared().journal.ring().since(Stamp::default());
         assert!(records.iter().any(|r| r.event == Event::StorageRefused));
     });
 }
 
+/// Guards against a census that misses processes which follow through a relay.
 #[test]
-fn laggards_named() {
+fn census_complete() {
     smol::block_on(async {
-        let control = control().await;
-        let relay = follower("relay-0", &[control.own()]).await;
-        let edge = follower("edge-0", &[relay.own()]).await;
+        let control = start_control().await;
+        let relay = start_follower("relay-0", &[control.own()]).await;
+        let edge = start_follower("edge-0", &[relay.own()]).await;
         submit(&control, 1);
-        reach(edge.shared(), 1).await;
+        wait_version(edge.shared(), 1).await;
         let mut total = 0;
         for _ in 0..3_000 {
             let (standing, _) = snipemast_wire::Sink::standing(control.shared().as_ref());
@@ -200,12 +203,12 @@
     });
 }
 
+/// Guards against an older version that replaces a newer one because two tasks of a process apply versions
+/// out of order.
 #[test]
-fn older_passed_over() {
-    // Two tasks of a process bring versions, and the earlier one comes last. Requests would
-    // be served by a version that was replaced.
+fn older_version_ignored() {
     smol::block_on(async {
-        let entry = follower("edge-0", &[]).await;
+        let entry = start_follower("edge-0", &[]).await;
         let versions: Vec<_> = [2, 1]
             .into_iter()
             .map(|n| snipemast_config::Config {
--- a/tests/tests/control_hosts.rs
+++ b/tests/tests/control_hosts.rs
@@ -1,4 +1,4 @@
-//! Three control hosts and an entry behind them, each a whole process, over loopback.
+//! Tests of three control hosts and an entry that follows them, over loopback.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -13,7 +13,7 @@
 use snipemast_settings::{ControlSettings, EntrySettings};
 use snipemast_tests::{entry_settings, id, journal, pause};
 
-/// The hosts of one test; each test has an address on loopback that nobody else binds.
+/// The hosts of one test. Each test has its own range of loopback addresses, which no other test binds.
 struct Cluster {
     settings: Vec<EntrySettings>,
     hosts: Vec<Option<Entry>>,
@@ -23,7 +23,7 @@
 impl Cluster {
     async fn start(test: u8) -> Self {
         let voters: Vec<SocketAddr> = (1..=3).map(|n| free_address(test, n)).collect();
-        let folder = folder(&format!("control-hosts-{test}"));
+        let folder = new_folder(&format!("control-hosts-{test}"));
         let settings: Vec<_> = (0..3)
             .map(|n| settings(n, &voters, &folder.join(n.to_string())))
             .collect();
@@ -38,7 +38,8 @@
         }
     }
 
-    fn live(&self) -> impl Iterator<Item = &Entry> {
+    /// Returns the hosts that run.
+    fn running_hosts(&self) -> impl Iterator<Item = &Entry> {
         self.hosts.iter().flatten()
     }
 
@@ -48,7 +49,8 @@
         }
     }
 
-    async fn leader(&self) -> usize {
+    /// Waits until a host leads, and returns its index.
+    async fn find_leader(&self) -> usize {
         loop {
             let leads = |host: &Option<Entry>| {
                 let control = host.as_ref().and_then(|h| h.shared().control());
@@ -61,8 +63,8 @@
         }
     }
 
-    /// A patch of its own service against a version.
-    fn patch(&mut self, base: Version) -> Submission {
+    /// Returns a patch against a version that adds a new service.
+    fn new_patch(&mut self, base: Version) -> Submission {
         self.patches += 1;
         let name = format!("s{}", self.patches);
         Submission::new(Patch {
@@ -93,7 +95,8 @@
     listener.local_addr().expect("a bound address")
 }
 
-fn folder(name: &str) -> PathBuf {
+/// Returns an empty folder for a test.
+fn new_folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
     folder
@@ -105,7 +108,8 @@
     entry.expect("an entry starts")
 }
 
-async fn reach(entry: &Entry, version: Version) {
+/// Waits until a version is in force at a host, and panics after some time.
+async fn wait_version(entry: &Entry, version: Version) {
     for _ in 0..3_000 {
         if entry.shared().config().version >= version {
             return;
@@ -116,24 +120,24 @@
     panic!("{} stays at {}", shared.process, shared.config().version);
 }
 
-/// Submits until there is a verdict, as an operator does whose answers get lost.
-async fn insist(entry: &Entry, submission: &Submission) -> Verdict {
+/// Submits a patch until there is a verdict, like an operator whose answers get lost.
+async fn submit_until_verdict(entry: &Entry, submission: &Submission) -> Verdict {
     let mut last = None;
     for _ in 0..120 {
         match submit(entry.shared(), submission).await {
             Ok(verdict) => return verdict,
             Err(e) => last = Some(e),
         }
-        // A refusal comes at once, also while the first leader is being elected.
+        // A refusal arrives at once, also while the first leader is being elected.
         pause(250).await;
     }
     panic!("no verdict on {}: {last:?}", submission.patch.id);
 }
 
+/// Guards against a patch that is lost or decided twice because operators submit it at any control host, or at
+/// an entry that only follows one. All processes must end with the same configuration.
 #[test]
 fn any_host_takes_patches() {
-    // Operators submit at each control host and at an entry that only follows one of them. One
-    // history comes of it, and all processes have it.
     smol::block_on(async {
         let mut cluster = Cluster::start(1).await;
         let seeds = cluster.settings.iter().map(|s| s.own).collect();
@@ -144,72 +148,80 @@
         };
         let edge = start(edge, 1).await;
         for n in 0..12 {
-            let submission = cluster.patch(Version::new(n));
+            let submission = cluster.new_patch(Version::new(n));
             let host = match n % 4 {
                 3 => &edge,
-                host => cluster.hosts[host as usize].as_ref().expect("a live host"),
+                host => cluster.hosts[host as usize]
+                    .as_ref()
+                    .expect("a running host"),
             };
             let version = Version::new(n + 1);
             assert_eq!(
-                insist(host, &submission).await,
+                submit_until_verdict(host, &submission).await,
                 Verdict::Accepted { version }
             );
-            // The next host hears of the version before it patches against it.
-            for host in cluster.live().chain([&edge]) {
-                reach(host, version).await;
+            // The next host must know the version before it submits a patch against it.
+            for host in cluster.running_hosts().chain([&edge]) {
+                wait_version(host, version).await;
             }
         }
         assert_eq!(edge.shared().config().services.len(), 12);
     });
 }
 
+/// Guards against a changed verdict when an operator resends a patch to another host after the leader stopped,
+/// and against an old leader that does not catch up after it restarts from its disk.
 #[test]
 fn leader_lost_and_back() {
-    // The leader stops after it accepted patches; an operator resends its last patch to
-    // another host and must hear the first verdict. The old leader comes back from its disk
-    // and catches up.
     smol::block_on(async {
         let mut cluster = Cluster::start(2).await;
-        let first = cluster.leader().await;
-        let submission = cluster.patch(Version::new(0));
-        let entry = cluster.hosts[first].as_ref().expect("a live host");
+        let first = cluster.find_leader().await;
+        let submission = cluster.new_patch(Version::new(0));
+        let entry = cluster.hosts[first].as_ref().expect("a running host");
         let version = Version::new(1);
         let verdict = Verdict::Accepted { version };
-        assert_eq!(insist(entry, &submission).await, verdict);
+        assert_eq!(submit_until_verdict(entry, &submission).await, verdict);
         cluster.stop(first).await;
         let other = (first + 1) % 3;
-        let entry = cluster.hosts[other].as_ref().expect("a live host");
-        assert_eq!(insist(entry, &submission).await, verdict);
-        let next = cluster.patch(version);
-        let entry = cluster.hosts[other].as_ref().expect("a live host");
+        let entry = cluster.hosts[other].as_ref().expect("a running host");
+        assert_eq!(submit_until_verdict(entry, &submission).await, verdict);
+        let next = cluster.new_patch(version);
+        let entry = cluster.hosts[other].as_ref().expect("a running host");
         let version = Version::new(2);
-        assert_eq!(insist(entry, &next).await, Verdict::Accepted { version });
+        assert_eq!(
+            submit_until_verdict(entry, &next).await,
+            Verdict::Accepted { version }
+        );
         let again = start(cluster.settings[first].clone(), 2).await;
-        reach(&again, version).await;
+        wait_version(&again, version).await;
         assert_eq!(again.shared().config(), entry.shared().config());
     });
 }
 
+/// Guards against a control host that accepts a patch while the two others are gone. It must refuse, and keep
+/// serving with the version in force.
 #[test]
 fn minority_refuses() {
-    // Two of three control hosts are gone. The third must not accept, and has to say so; it
-    // serves on with the version in force.
     smol::block_on(async {
         let mut cluster = Cluster::start(3).await;
-        let leader = cluster.leader().await;
-        let submission = cluster.patch(Version::new(0));
-        let entry = cluster.hosts[leader].as_ref().expect("a live host");
+        let leader = cluster.find_leader().await;
+        let submission = cluster.new_patch(Version::new(0));
+        let entry = cluster.hosts[leader].as_ref().expect("a running host");
         let version = Version::new(1);
         assert_eq!(
-            insist(entry, &submission).await,
+            submit_until_verdict(entry, &submission).await,
             Verdict::Accepted { version }
         );
         let left = (leader + 1) % 3;
-        reach(cluster.hosts[left].as_ref().expect("a live host"), version).await;
+        wait_version(
+            cluster.hosts[left].as_ref().expect("a running host"),
+            version,
+        )
+        .await;
         cluster.stop(leader).await;
         cluster.stop((leader + 2) % 3).await;
-        let late = cluster.patch(version);
-        let entry = cluster.hosts[left].as_ref().expect("a live host");
+        let late = cluster.new_patch(version);
+        let entry = cluster.hosts[left].as_ref().expect("a running host");
         for _ in 0..2 {
             let refused = submit(entry.shared(), &late).await;
             assert!(
--- a/tests/tests/engine_abort.rs
+++ b/tests/tests/engine_abort.rs
@@ -1,4 +1,4 @@
-//! What an engine sees when the answer of a call is abandoned.
+//! A test of an engine whose answer is abandoned.
 
 use futures_lite::AsyncReadExt;
 
@@ -8,12 +8,11 @@
 use snipemast_tests::{id, info, loopback, pause};
 use snipemast_wire::{listen, Call};
 
-/// Tokens of the abandoned answer: at 10 ms each they would keep the engine busy for minutes.
+/// The tokens of the abandoned answer. At 10 ms per token they would keep the engine busy for minutes.
 const TOKENS: u32 = 20_000;
 
-// A caller leaves in the middle of its stream, and the agent abandons the engine's answer. The
-// engine goes on for minutes all the same: the HTTP library read the rest of the body in the
-// background, to use the connection again.
+/// Guards against an engine that works for minutes on an answer that the agent abandoned because the caller
+/// left. It would go on if the HTTP library read the rest of the body in the background to reuse the connection.
 #[test]
 fn engine_stops() {
     smol::block_on(async {
@@ -28,7 +27,7 @@
             .expect("a fake starts on port 0");
         let engine = Engine::new(fake.address());
         let process = ProcessId::new(id("entry-0"), Incarnation::new(1));
-        let call = call();
+        let call = stream_call();
         let answer = engine.call(&DispatchId::new(process, 1), call).await;
         let mut answer = answer.expect("the engine answers");
         let mut some = [0; 4_096];
@@ -41,11 +40,12 @@
             }
             pause(20).await;
         }
-        panic!("the engine still works for nobody");
+        panic!("the engine still works on the abandoned answer");
     });
 }
 
-fn call() -> Call {
+/// Returns a call for a long stream.
+fn stream_call() -> Call {
     let body = format!(
         "{{\"model\":\"lector-1\",\"prompt\":\"p\",\"max_tokens\":{TOKENS},\"stream\":true}}"
     );
--- a/tests/tests/examples.rs
+++ b/tests/tests/examples.rs
@@ -1,4 +1,4 @@
-//! Every example in the repository is what a user could start from.
+//! Checks that the deployments in `examples` are valid.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -9,27 +9,27 @@
 use snipemast_settings::check::check;
 use snipemast_settings::{AgentSettings, EntrySettings, Settings};
 
-/// A deployment as its files describe it.
+/// A deployment, read from its files.
 struct Deployment {
     entries: Vec<EntrySettings>,
     agents: Vec<AgentSettings>,
     first: Config,
 }
 
-fn read(name: &str) -> Deployment {
+fn read_deployment(name: &str) -> Deployment {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../examples")
         .join(name);
     let patch = fs::read_to_string(folder.join("first-patch.json")).expect("a first patch");
     let patch: Patch = serde_json::from_str(&patch).expect("a patch");
     Deployment {
-        entries: files(&folder, "entry-")
+        entries: find_files(&folder, "entry-")
             .iter()
-            .map(|f| settings(f))
+            .map(|f| read_settings(f))
             .collect(),
-        agents: files(&folder, "agent-")
+        agents: find_files(&folder, "agent-")
             .iter()
-            .map(|f| settings(f))
+            .map(|f| read_settings(f))
             .collect(),
         first: patch
             .apply(&Config::default())
@@ -37,7 +37,8 @@
     }
 }
 
-fn files(folder: &Path, start: &str) -> Vec<PathBuf> {
+/// Returns the settings files in a folder whose names begin with `start`.
+fn find_files(folder: &Path, start: &str) -> Vec<PathBuf> {
     let entries = fs::read_dir(folder).expect("a folder of examples");
     let paths = entries.map(|entry| entry.expect("a readable folder").path());
     let named = |path: &PathBuf| {
@@ -50,13 +51,13 @@
     paths.filter(named).collect()
 }
 
-fn settings<T: Settings>(path: &Path) -> T {
+fn read_settings<T: Settings>(path: &Path) -> T {
     let text = fs::read_to_string(path).expect("a readable example");
     check(&text).unwrap_or_else(|faults| panic!("{}: {faults:?}", path.display()))
 }
 
-/// What holds for every deployment: names and addresses fit together over its files.
-fn check_whole(deployment: &Deployment) {
+/// Checks that names and addresses agree between the files of a deployment.
+fn check_deployment(deployment: &Deployment) {
     let Deployment {
         entries,
         agents,
@@ -85,10 +86,11 @@
     deployment.entries.iter().map(|e| e.zone.as_str()).collect()
 }
 
+/// Guards against an example with invalid settings, or with files that do not agree.
 #[test]
-fn cordillera_fits() {
-    let deployment = read("cordillera");
-    check_whole(&deployment);
+fn cordillera_valid() {
+    let deployment = read_deployment("cordillera");
+    check_deployment(&deployment);
     assert_eq!(
         zones(&deployment),
         ["cumbaya", "machachi", "pichincha"].into()
@@ -97,19 +99,21 @@
     assert_eq!(deployment.first.workspaces.len(), 10);
 }
 
+/// Guards against an example with invalid settings, or with files that do not agree.
 #[test]
-fn vandermeulen_fits() {
-    let deployment = read("vandermeulen");
-    check_whole(&deployment);
+fn vandermeulen_valid() {
+    let deployment = read_deployment("vandermeulen");
+    check_deployment(&deployment);
     assert_eq!(zones(&deployment), ["hall-a", "hall-b", "hall-c"].into());
     assert_eq!((deployment.entries.len(), deployment.agents.len()), (7, 19));
     let region: RegionId = "be-flanders".parse().expect("a valid name");
     assert!(deployment.agents.iter().all(|a| a.region == region));
 }
 
+/// Guards against an example with invalid settings, or with files that do not agree.
 #[test]
-fn loopback_fits() {
-    let deployment = read("loopback");
-    check_whole(&deployment);
+fn loopback_valid() {
+    let deployment = read_deployment("loopback");
+    check_deployment(&deployment);
     assert_eq!((deployment.entries.len(), deployment.agents.len()), (2, 2));
 }
--- a/tests/tests/groups.rs
+++ b/tests/tests/groups.rs
@@ -1,4 +1,5 @@
-//! The agents of a group agree over HTTP, in front of a fake group that steps in lock-step.
+//! Tests of a group's agents that agree on expert maps over HTTP, in front of a fake group of ranks that step
+//! together.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +13,7 @@
 use snipemast_wire::group::{path, GroupBody, GroupMessage, Taken};
 use snipemast_wire::{listen, Listening, Peer};
 
-/// Three agents, their engines, and the caller of the control role's orders.
+/// The agents of a group and their engines.
 struct Ranks {
     group: FakeGroup,
     agents: Vec<Agent>,
@@ -30,7 +31,7 @@
         for number in 0..count {
             ranks.add(number).await;
         }
-        ranks.introduce().await;
+        ranks.send_roster().await;
         ranks
     }
 
@@ -51,20 +52,21 @@
         };
         let engine = listen(loopback(), self.group.rank(number, info)).await;
         let engine = engine.expect("an engine starts on port 0");
-        self.agents.push(agent(&name, engine.address(), 1).await);
+        self.agents
+            .push(start_agent(&name, engine.address(), 1).await);
         self.engines.push(engine);
     }
 
-    /// Tells every agent where the others listen, and the fencing number.
-    async fn introduce(&self) {
+    /// Sends every agent the addresses of all agents and the fencing number.
+    async fn send_roster(&self) {
         let roster: Vec<SocketAddr> = self.agents.iter().map(Agent::address).collect();
         for agent in &self.agents {
-            tell(agent, GroupBody::Roster(roster.clone())).await;
-            tell(agent, GroupBody::Fence(Fence::new(1))).await;
+            send_message(agent, GroupBody::Roster(roster.clone())).await;
+            send_message(agent, GroupBody::Fence(Fence::new(1))).await;
         }
     }
 
-    /// Lets the engines step until they use a version.
+    /// Lets the engines step until they use a version of the map.
     async fn step_until(&self, version: u64) {
         for _ in 0..20_000 {
             self.group.advance();
@@ -77,7 +79,7 @@
         panic!("the group never steps with map {version}");
     }
 
-    /// Proposes a map to the lead again and again until every rank stands on the version.
+    /// Proposes a map to the lead repeatedly until every rank has committed the version.
     async fn propose_until(&self, lead: usize, base: u64, map: &Arc<ExpertMap>, version: u64) {
         for _ in 0..200 {
             let proposal = Proposal {
@@ -85,7 +87,7 @@
                 base: MapVersion::new(base),
                 map: Arc::clone(map),
             };
-            tell(&self.agents[lead], GroupBody::Propose(proposal)).await;
+            send_message(&self.agents[lead], GroupBody::Propose(proposal)).await;
             for _ in 0..50 {
                 self.group.advance();
                 pause(1).await;
@@ -95,11 +97,12 @@
             }
         }
         panic!(
-            "not every rank stands on map {version}: {:?}",
+            "not every rank has committed map {version}: {:?}",
             self.versions()
         );
     }
 
+    /// Returns the version of the map that each rank has committed.
     fn versions(&self) -> Vec<u64> {
         let standing = |a: &Agent| a.rank().and_then(|r| r.committed_map());
         let version = |a: &Agent| standing(a).map_or(0, |s| s.version.get());
@@ -107,57 +110,59 @@
     }
 }
 
-async fn agent(name: &str, engine: SocketAddr, start: u64) -> Agent {
+async fn start_agent(name: &str, engine: SocketAddr, start: u64) -> Agent {
     let settings = agent_settings(name, engine, loopback());
     let journal = journal(&settings.host);
     let agent = Agent::start(settings, Incarnation::new(start), journal).await;
     agent.expect("an agent starts on port 0")
 }
 
-async fn tell(agent: &Agent, body: GroupBody) {
+async fn send_message(agent: &Agent, body: GroupBody) {
     let message = GroupMessage {
         group: id("lector"),
         from: 0,
         body,
     };
-    let told = Peer::new(agent.address())
+    let answer = Peer::new(agent.address())
         .call::<_, Taken>(path::GROUP, &message, Span::from_secs(10))
         .await;
-    told.expect("an agent takes a message");
+    answer.expect("an agent accepts a message");
 }
 
-fn dealt(experts: u16) -> Arc<ExpertMap> {
+/// Returns a map that assigns the experts to the ranks in turn.
+fn round_robin(experts: u16) -> Arc<ExpertMap> {
     Arc::new(ExpertMap::round_robin(2, 3, 4, experts))
 }
 
+/// Guards against a second map that does not follow the first, and against ranks that step with different maps.
 #[test]
 fn maps_follow() {
     smol::block_on(async {
         let ranks = Ranks::start(3).await;
-        tell(&ranks.agents[0], GroupBody::Appoint).await;
-        ranks.propose_until(0, 0, &dealt(6), 1).await;
+        send_message(&ranks.agents[0], GroupBody::Appoint).await;
+        ranks.propose_until(0, 0, &round_robin(6), 1).await;
         ranks.step_until(1).await;
-        ranks.propose_until(0, 1, &dealt(9), 2).await;
+        ranks.propose_until(0, 1, &round_robin(9), 2).await;
         ranks.step_until(2).await;
         assert_eq!(ranks.group.steps().lock().torn(), None);
     });
 }
 
+/// Guards against a group that stays stopped after an agent restarts while its engine runs on. The agent has
+/// lost its promises, so the group must form again with its current map.
 #[test]
 fn restarted_agent_rejoins() {
-    // An agent dies and starts anew while its engine lives on: it forgot what it promised. The
-    // group must form anew with the map that it stepped with, and step on.
     smol::block_on(async {
         let mut ranks = Ranks::start(3).await;
-        tell(&ranks.agents[0], GroupBody::Appoint).await;
-        ranks.propose_until(0, 0, &dealt(6), 1).await;
+        send_message(&ranks.agents[0], GroupBody::Appoint).await;
+        ranks.propose_until(0, 0, &round_robin(6), 1).await;
         ranks.step_until(1).await;
         let before = ranks.group.steps().lock().completed();
         let old = ranks.agents.pop().expect("there are three");
         old.stop().await;
         let engine = ranks.engines[2].address();
-        ranks.agents.push(agent("rank-2", engine, 2).await);
-        ranks.introduce().await;
+        ranks.agents.push(start_agent("rank-2", engine, 2).await);
+        ranks.send_roster().await;
         for _ in 0..20_000 {
             ranks.group.advance();
             pause(1).await;
--- a/tests/tests/limits.rs
+++ b/tests/tests/limits.rs
@@ -1,11 +1,11 @@
-//! Limits and admission over the whole path.
+//! Tests of limits and admission over the whole path of a request.
 
 use serde_json::{json, Value};
 
 use snipemast_tests::{answer, Fleet};
 
-/// Sends a completion and returns status, outcome, seconds to come back, and body.
-async fn ask(fleet: &Fleet, tokens: u64) -> (u16, Option<String>, Option<u64>, Value) {
+/// Requests a completion and returns the status, the outcome, the seconds of `retry-after` and the body.
+async fn complete(fleet: &Fleet, tokens: u64) -> (u16, Option<String>, Option<u64>, Value) {
     let body = json!({ "model": "lector", "prompt": "p", "max_tokens": tokens });
     let mut conn = fleet
         .request("POST", "/v1/completions")
@@ -29,11 +29,11 @@
         status,
         outcome,
         retry,
-        serde_json::from_str(&body).expect("it is JSON"),
+        serde_json::from_str(&body).expect("the body is JSON"),
     )
 }
 
-async fn fleet() -> Fleet {
+async fn start_fleet() -> Fleet {
     let mut fleet = Fleet::start().await;
     fleet.patch(json!({
         "models": { "lector-1": { "version": "1" } },
@@ -42,18 +42,18 @@
     fleet
 }
 
+/// Guards against a caller over its rate limit who does not learn that the request did not run and when to
+/// retry. After a late or vague answer the caller retries at an arbitrary time.
 #[test]
 fn over_rate() {
-    // A caller sends more than its workspace may. It must learn at once that the request did not
-    // run and when to come back; a late or vague answer makes it send again at a guess.
     smol::block_on(async {
-        let mut fleet = fleet().await;
+        let mut fleet = start_fleet().await;
         fleet.add_engine("engine-0", "lector-1").await;
         fleet.patch(json!({ "workspaces": { "cordillera": { "limits": { "requests": "1/m" } } } }));
-        assert_eq!(ask(&fleet, 4).await.0, 200);
-        let (status, outcome, retry, _) = ask(&fleet, 4).await;
+        assert_eq!(complete(&fleet, 4).await.0, 200);
+        let (status, outcome, retry, _) = complete(&fleet, 4).await;
         assert_eq!((status, outcome.as_deref()), (429, Some("not-run")));
-        // Rates are kept in thousandths a second: one a minute is one in 62.5 s.
+        // Rates are kept in thousandths per second, so one per minute becomes one in 62.5 s.
         assert!(retry.is_some_and(|s| (50..=63).contains(&s)), "{retry:?}");
         let held = &fleet.entry.shared().admission.status().held;
         assert_eq!(held.len(), 1);
@@ -61,25 +61,25 @@
     });
 }
 
+/// Guards against a silent wait for a model that no engine has loaded, which looks like a lost request. The
+/// caller must be refused, and control must be asked to load the model.
 #[test]
 fn nothing_loaded() {
-    // A model is asked for that no engine has loaded. A silent wait would look like a lost
-    // request; the caller is told, and control gets the wish to load it.
     smol::block_on(async {
-        let fleet = fleet().await;
-        let (status, outcome, retry, _) = ask(&fleet, 4).await;
+        let fleet = start_fleet().await;
+        let (status, outcome, retry, _) = complete(&fleet, 4).await;
         assert_eq!((status, outcome.as_deref()), (503, Some("not-run")));
         assert!(retry.is_some_and(|s| s >= 2), "{retry:?}");
         assert_eq!(fleet.entry.shared().admission.due_loads().len(), 1);
     });
 }
 
+/// Guards against a leak of slots when more requests arrive than the engine has slots for. Leaked slots would
+/// make the entry refuse every request in the end.
 #[test]
 fn slots_come_free() {
-    // More requests come at once than the engine has slots for. All are answered, and nothing
-    // stays counted: a slot that leaks would make the entry refuse all in the end.
     smol::block_on(async {
-        let mut fleet = fleet().await;
+        let mut fleet = start_fleet().await;
         fleet.add_engine("engine-0", "lector-1").await;
         let many: Vec<_> = (0..40).map(|_| fleet.complete("lector", false)).collect();
         for one in many {
@@ -90,6 +90,7 @@
     });
 }
 
+/// Guards against a limit of a workspace that does not apply to plain services.
 #[test]
 fn service_limits() {
     smol::block_on(async {
--- a/tests/tests/membership.rs
+++ b/tests/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership over loopback: three entries of one zone and several agents.
+//! Tests of membership over loopback, with three entries of one zone and several agents.
 
 use std::net::SocketAddr;
 
@@ -9,10 +9,10 @@
 use snipemast_tests::{agent_settings, entry_settings, id, info, journal, loopback, pause};
 use snipemast_wire::{listen, Listening};
 
-/// How many steps of 20 ms a test waits for what must come about.
-const STEPS: usize = 1_500;
+/// The number of attempts, 20 ms apart, that a test waits for a state.
+const ATTEMPTS: usize = 1_500;
 
-/// Entries, agents and their fakes.
+/// Entries, agents and their fake backend servers.
 struct Zone {
     entries: Vec<Entry>,
     agents: Vec<Agent>,
@@ -59,27 +59,29 @@
         self.fakes.push(fake);
     }
 
-    /// Waits until every entry routes to exactly these agents.
-    async fn agree(&self, wanted: &[&str]) {
-        for _ in 0..STEPS {
+    /// Waits until every entry routes to exactly these agents, and panics after some time.
+    async fn wait_routable(&self, wanted: &[&str]) {
+        for _ in 0..ATTEMPTS {
             if self.entries.iter().all(|e| routable(e) == wanted) {
                 return;
             }
             pause(20).await;
         }
         let views: Vec<_> = self.entries.iter().map(routable).collect();
-        panic!("no agreement on {wanted:?}: {views:?}");
+        panic!("the entries do not route to {wanted:?}: {views:?}");
     }
 }
 
+/// Returns the agents that an entry routes requests to.
 fn routable(entry: &Entry) -> Vec<String> {
     let members = entry.shared().registry.members();
-    let taking = members.iter().filter(|m| !m.announce.draining);
-    taking.map(|m| m.announce.agent.host.to_string()).collect()
+    let accepting = members.iter().filter(|m| !m.announce.draining);
+    accepting
+        .map(|m| m.announce.agent.host.to_string())
+        .collect()
 }
 
-/// A caller's request may reach any entry. An agent knows but one of them from its settings; all
-/// three must be able to route to it.
+/// Guards against an agent that only the one entry in its settings can route to.
 #[test]
 fn known_everywhere() {
     smol::block_on(async {
@@ -88,13 +90,13 @@
         for number in 0..4 {
             zone.add_agent(number, vec![seed]).await;
         }
-        zone.agree(&["engine-0", "engine-1", "engine-2", "engine-3"])
+        zone.wait_routable(&["engine-0", "engine-1", "engine-2", "engine-3"])
             .await;
     });
 }
 
-/// The entry that all agents had in their settings ends. Nobody loses an agent: they have moved
-/// to entries that they learnt of.
+/// Guards against agents that are lost when the one entry in their settings ends. They must have moved to
+/// entries that they learned of.
 #[test]
 fn agents_move() {
     smol::block_on(async {
@@ -104,15 +106,15 @@
             zone.add_agent(number, vec![seed]).await;
         }
         let all = ["engine-0", "engine-1", "engine-2", "engine-3"];
-        zone.agree(&all).await;
+        zone.wait_routable(&all).await;
         zone.entries.remove(0).stop().await;
-        // Longer than a lease: what still stands was renewed elsewhere.
+        // This is longer than a lease, so the agents that remain have renewed theirs at another entry.
         pause(3_500).await;
-        zone.agree(&all).await;
+        zone.wait_routable(&all).await;
     });
 }
 
-/// A server is drained for maintenance; requests that reach any entry go elsewhere.
+/// Guards against an entry that still routes to a server which is drained for maintenance.
 #[test]
 fn drain_everywhere() {
     smol::block_on(async {
@@ -121,8 +123,9 @@
         for number in 0..3 {
             zone.add_agent(number, vec![seed]).await;
         }
-        zone.agree(&["engine-0", "engine-1", "engine-2"]).await;
+        zone.wait_routable(&["engine-0", "engine-1", "engine-2"])
+            .await;
         zone.agents[1].drain();
-        zone.agree(&["engine-0", "engine-2"]).await;
+        zone.wait_routable(&["engine-0", "engine-2"]).await;
     });
 }
--- a/tests/tests/operators.rs
+++ b/tests/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Operators over HTTP: races, resends, roles, and hosts that don't decide themselves.
+//! Tests of the operator interface over HTTP: races, resends, roles, and hosts without the control role.
 
 use serde_json::{json, Value};
 use trillium_client::{Client, KnownHeaderName};
@@ -10,8 +10,8 @@
 use snipemast_settings::EntrySettings;
 use snipemast_tests::{answer, entry_settings, journal, pause};
 
-/// Starts a control host whose first key is `first`, and an entry that follows it.
-async fn pair() -> (Entry, Entry) {
+/// Starts a control host whose first key is `first`, and an entry that follows it, with three operators.
+async fn start_pair() -> (Entry, Entry) {
     let mut settings = entry_settings("control-0");
     let control = settings.control.as_mut().expect("a control role");
     control.operator = Some(KeyHash::from_key("first"));
@@ -28,7 +28,7 @@
         "carl": { "key": KeyHash::from_key("carl"), "role": "read" },
     } });
     let body = patch("operators", 0, set);
-    let (status, verdict) = ask(&control, "first", "POST", "/patches", Some(body)).await;
+    let (status, verdict) = send(&control, "first", "POST", "/patches", Some(body)).await;
     assert_eq!((status, &verdict["version"]), (200, &json!(1)));
     while edge.shared().config().version < Version::new(1) {
         pause(5).await;
@@ -46,11 +46,12 @@
     json!({ "id": id, "base": base, "reason": "a test", "set": set })
 }
 
-fn service(name: &str) -> Value {
+/// Returns a change that adds a plain service.
+fn add_service(name: &str) -> Value {
     json!({ "services": { name: { "kind": "plain" } } })
 }
 
-async fn ask(
+async fn send(
     entry: &Entry,
     key: &str,
     method: &str,
@@ -70,16 +71,18 @@
     (answer.status, answer.json())
 }
 
+/// Guards against two operators who both win a race on one version, one of them at a host without the control
+/// role, and against a resend that gets another verdict or applies the change twice.
 #[test]
 fn race_and_resend() {
-    // Two operators patch version 1 at once, one of them at a host that does not decide
-    // itself. One wins, the other hears the current number. The winner's answer was lost: its
-    // resend gets the first verdict, and the change is there once.
     smol::block_on(async {
-        let (control, edge) = pair().await;
-        let (a, b) = (patch("a", 1, service("a")), patch("b", 1, service("b")));
-        let first = ask(&control, "ana", "POST", "/patches", Some(a.clone()));
-        let second = ask(&edge, "bea", "POST", "/patches", Some(b.clone()));
+        let (control, edge) = start_pair().await;
+        let (a, b) = (
+            patch("a", 1, add_service("a")),
+            patch("b", 1, add_service("b")),
+        );
+        let first = send(&control, "ana", "POST", "/patches", Some(a.clone()));
+        let second = send(&edge, "bea", "POST", "/patches", Some(b.clone()));
         let (first, second) = futures_lite::future::zip(first, second).await;
         let (won, lost, body, key) = if first.0 == 200 {
             (first, second, a, "ana")
@@ -89,38 +92,43 @@
         assert_eq!(won, (200, json!({ "outcome": "accepted", "version": 2 })));
         assert_eq!(lost, (409, json!({ "outcome": "conflict", "current": 2 })));
         for host in [&edge, &control] {
-            let again = ask(host, key, "POST", "/patches", Some(body.clone())).await;
+            let again = send(host, key, "POST", "/patches", Some(body.clone())).await;
             assert_eq!(again, won);
         }
         assert_eq!(control.shared().config().version, Version::new(2));
     });
 }
 
+/// Guards against accepted patches that share a version or have a wrong author in the history, when two
+/// operators patch without pause and resend every patch once.
 #[test]
 fn stream_of_races() {
-    // Two operators patch without pause, each resending every patch once. Every accepted patch
-    // has its own version, and its author stands in the history.
     smol::block_on(async {
-        let (control, edge) = pair().await;
-        let work = |host, key: &'static str| {
+        let (control, edge) = start_pair().await;
+        let submit_all = |host, key: &'static str| {
             let control = &control;
             async move {
                 let mut accepted = Vec::new();
                 for n in 0..30 {
                     let base = control.shared().config().version.get();
-                    let body = patch(&format!("{key}-{n}"), base, service(&format!("{key}{n}")));
-                    let first = ask(host, key, "POST", "/patches", Some(body.clone())).await;
-                    let again = ask(host, key, "POST", "/patches", Some(body)).await;
+                    let body = patch(
+                        &format!("{key}-{n}"),
+                        base,
+                        add_service(&format!("{key}{n}")),
+                    );
+                    let first = send(host, key, "POST", "/patches", Some(body.clone())).await;
+                    let again = send(host, key, "POST", "/patches", Some(body)).await;
                     assert_eq!(first, again);
                     accepted.extend(first.1["version"].as_u64().map(|v| (v, key, n)));
                 }
                 accepted
             }
         };
-        let (a, b) = futures_lite::future::zip(work(&control, "ana"), work(&edge, "bea")).await;
+        let (a, b) =
+            futures_lite::future::zip(submit_all(&control, "ana"), submit_all(&edge, "bea")).await;
         let mut accepted: Vec<_> = a.into_iter().chain(b).collect();
         accepted.sort_unstable();
-        let (_, history) = ask(&control, "carl", "GET", "/history?last=1000", None).await;
+        let (_, history) = send(&control, "carl", "GET", "/history?last=1000", None).await;
         let mut lines = history.as_array().cloned().expect("lines");
         lines.reverse();
         assert_eq!(lines.len(), accepted.len() + 1);
@@ -132,27 +140,30 @@
     });
 }
 
+/// Guards against patches with a key that may only read, that is unknown, or that only serves the first setup.
 #[test]
 fn roles_and_keys() {
     smol::block_on(async {
-        let (control, edge) = pair().await;
-        let body = Some(patch("x", 1, service("x")));
+        let (control, edge) = start_pair().await;
+        let body = Some(patch("x", 1, add_service("x")));
         for key in ["carl", "eve", "first"] {
-            let (status, _) = ask(&edge, key, "POST", "/patches", body.clone()).await;
+            let (status, _) = send(&edge, key, "POST", "/patches", body.clone()).await;
             assert_eq!(status, 401, "{key} must not write");
         }
-        assert_eq!(ask(&control, "carl", "GET", "/config", None).await.0, 200);
+        assert_eq!(send(&control, "carl", "GET", "/config", None).await.0, 200);
         assert_eq!(control.shared().config().version, Version::new(1));
     });
 }
 
+/// Guards against old versions, differences, restores or dry runs that show a wrong configuration, and against
+/// a dry run that changes it.
 #[test]
 fn versions_shown() {
     smol::block_on(async {
-        let (control, _edge) = pair().await;
-        let post = |path: &'static str, body| ask(&control, "ana", "POST", path, Some(body));
-        let get = |path: &'static str| ask(&control, "carl", "GET", path, None);
-        post("/patches", patch("a", 1, service("a"))).await;
+        let (control, _edge) = start_pair().await;
+        let post = |path: &'static str, body| send(&control, "ana", "POST", path, Some(body));
+        let get = |path: &'static str| send(&control, "carl", "GET", path, None);
+        post("/patches", patch("a", 1, add_service("a"))).await;
         post(
             "/patches",
             patch("b", 2, json!({ "services": { "a": null } })),
@@ -174,27 +185,27 @@
     });
 }
 
+/// Guards against a refused patch whose faults are not all listed.
 #[test]
-fn faults_told() {
+fn faults_listed() {
     smol::block_on(async {
-        let (_control, edge) = pair().await;
+        let (_control, edge) = start_pair().await;
         let set = json!({ "modles": {}, "workspaces": { "w": { "weight": 0 } } });
         let body = Some(patch("f", 1, set));
-        let (status, verdict) = ask(&edge, "ana", "POST", "/patches", body).await;
+        let (status, verdict) = send(&edge, "ana", "POST", "/patches", body).await;
         assert_eq!((status, &verdict["outcome"]), (422, &json!("faulty")));
         assert_eq!(verdict["faults"].as_array().map(Vec::len), Some(2));
     });
 }
 
+/// Guards against a patch that is accepted, or left without an answer, while no control host can be reached.
 #[test]
 fn control_unreachable() {
-    // The zone is cut off from every control host. Its operators hear so at once, and nothing
-    // is accepted.
     smol::block_on(async {
-        let (control, edge) = pair().await;
+        let (control, edge) = start_pair().await;
         control.stop().await;
-        let body = Some(patch("late", 1, service("late")));
-        let (status, problem) = ask(&edge, "ana", "POST", "/patches", body).await;
+        let body = Some(patch("late", 1, add_service("late")));
+        let (status, problem) = send(&edge, "ana", "POST", "/patches", body).await;
         assert_eq!(status, 503);
         assert!(problem["detail"].is_string());
         assert_eq!(edge.shared().config().version, Version::new(1));
--- a/tests/tests/orders.rs
+++ b/tests/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders on their whole way: patch, control leader, agent, engine.
+//! Tests of orders on their whole path: patch, control leader, agent, engine.
 
 use serde_json::json;
 
@@ -13,7 +13,7 @@
 use snipemast_wire::listen;
 use snipemast_wire::order::{Order, OrderAnswer, OrderRefusal};
 
-fn engine() -> FakeEngine {
+fn new_engine() -> FakeEngine {
     let offer = Offer::Model {
         model: id("lector-1"),
         version: "1".into(),
@@ -22,13 +22,12 @@
     FakeEngine::new(info("engine-0", offer))
 }
 
+/// Guards against a patch for another model that orders the engine to load it more than once, or not at all.
 #[test]
 fn patch_loads_model() {
-    // A patch asks a server for another model; the leader orders it, once, and the entries
-    // route requests there as soon as the server offers it.
     smol::block_on(async {
         let mut fleet = Fleet::start().await;
-        let engine = engine();
+        let engine = new_engine();
         let orders = engine.orders().clone();
         fleet.add_fake("engine-0", engine).await;
         fleet.patch(json!({
@@ -53,12 +52,13 @@
     });
 }
 
+/// Guards against the order of a deposed leader at an engine that ignores fencing numbers. Its agent must
+/// refuse the order.
 #[test]
 fn unchecked_engine() {
-    // A deposed leader's order reaches the agent of an engine that ignores fencing numbers.
     smol::block_on(async {
         let mut fleet = Fleet::start().await;
-        let engine = engine();
+        let engine = new_engine();
         let orders = engine.orders().clone();
         fleet.add_fake("engine-0", engine).await;
         let agent = &fleet.agents[0];
@@ -92,11 +92,12 @@
     });
 }
 
+/// Guards against an order that an agent passes on after a restart before it has learned the current fencing
+/// number, because it can reach no entry.
 #[test]
 fn no_control_in_reach() {
-    // An agent that restarts while it can reach no entry passes nothing on yet.
     smol::block_on(async {
-        let fake = listen(loopback(), engine()).await.expect("port 0");
+        let fake = listen(loopback(), new_engine()).await.expect("port 0");
         let settings = agent_settings("agent-0", fake.address(), loopback());
         let journal = journal(&settings.host);
         let agent = Agent::start(settings, Incarnation::new(1), journal).await;
@@ -119,8 +120,9 @@
     });
 }
 
+/// Guards against an agent that waits for less than a leader's lease, and so passes on the order of a deposed
+/// leader.
 #[test]
 fn hold_outlasts_lease() {
-    // An agent that waits for less than a leader's lease passes a deposed leader's order on.
     assert!(FENCE_HOLD.as_micros() > 2 * Timing::default().lease.as_micros());
 }
--- a/tests/tests/requests.rs
+++ b/tests/tests/requests.rs
@@ -1,17 +1,17 @@
-//! Requests over loopback while the wire between entry and agent misbehaves.
+//! Tests of requests over loopback while the wire between entry and agent is disturbed.
 
 use snipemast_core::prelude::*;
 use snipemast_fakes::WireMode;
 use snipemast_tests::wired::Wired;
 use snipemast_tests::{answer, pause, Answer};
 
-fn words(answer: &Answer) -> usize {
+/// Returns the number of tokens in a streamed answer.
+fn count_words(answer: &Answer) -> usize {
     answer.body.matches("data: {").count()
 }
 
-// A caller reads a stream and it stops for good in the middle; a second try works at once. The
-// cause: something between entry and agent lost track of the connection, which stays open and
-// carries nothing. Beats that stay out tell; the rest comes over a new connection.
+/// Guards against a stream that stops for good because the connection between entry and agent stays open and
+/// carries nothing. Missing heartbeats must reveal it, and the rest must arrive over a new connection.
 #[test]
 fn silent_stream() {
     smol::block_on(async {
@@ -22,13 +22,13 @@
             wired.agents[0].wire.silence();
         };
         let (answer, ()) = futures_lite::future::zip(answer(wired.stream(30)), cut).await;
-        assert_eq!(words(&answer), 30);
+        assert_eq!(count_words(&answer), 30);
         assert!(answer.body.trim_end().ends_with("data: [DONE]"));
         assert!(wired.events(Event::StreamResumed) >= 1);
     });
 }
 
-// The same with a connection that breaks: the caller sees nothing of it.
+/// Guards against a stream that ends early for the caller because the connection between entry and agent broke.
 #[test]
 fn broken_stream() {
     smol::block_on(async {
@@ -41,13 +41,13 @@
             wired.agents[0].wire.reset();
         };
         let (answer, ()) = futures_lite::future::zip(answer(wired.stream(30)), cut).await;
-        assert_eq!(words(&answer), 30);
+        assert_eq!(count_words(&answer), 30);
         assert!(answer.body.trim_end().ends_with("data: [DONE]"));
     });
 }
 
-// A doubled order is counted twice against a retention. The cause: something between the ends
-// sends what it carries twice, on two connections; both copies reach the agent.
+/// Guards against an order that runs twice because something on the wire sends it twice, on two connections,
+/// and both copies reach the agent.
 #[test]
 fn doubled_order() {
     smol::block_on(async {
@@ -66,8 +66,8 @@
     });
 }
 
-// An order goes out on a pooled connection that has gone silent. Without a settle the caller
-// hears "unknown" and a clerk keys it again by hand, or a blind retry runs it twice.
+/// Guards against an order with an unknown outcome, or with a second run, after it was sent on a pooled
+/// connection that has gone silent. The entry must settle the order with the agent.
 #[test]
 fn silent_pool() {
     smol::block_on(async {
@@ -85,7 +85,7 @@
     });
 }
 
-// A wire that delays everything is slow, and nothing else.
+/// Guards against a wire that is only slow being taken for a broken one.
 #[test]
 fn slow_wire() {
     smol::block_on(async {
@@ -93,12 +93,12 @@
         wired.add_engine("engine-0").await;
         let slow = WireMode::Delays(Span::from_millis(60));
         wired.agents[0].wire.set_mode(slow);
-        assert_eq!(words(&answer(wired.stream(6)).await), 6);
+        assert_eq!(count_words(&answer(wired.stream(6)).await), 6);
     });
 }
 
-// A caller leaves in the middle of its stream. Without a cancel the engine goes on for tokens
-// that nobody reads, and the workspace pays for them.
+/// Guards against an engine that goes on after its caller has left in the middle of the stream. The workspace
+/// would pay for tokens that no one reads.
 #[test]
 fn caller_leaves() {
     smol::block_on(async {
--- a/tests/tests/requests_keys.rs
+++ b/tests/tests/requests_keys.rs
@@ -1,4 +1,4 @@
-//! Keys and crashing requests over three entries.
+//! Tests of idempotency keys and of requests that crash servers, over three entries.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -12,35 +12,36 @@
 use snipemast_tests::{answer, id, info, loopback, pause, Answer};
 use snipemast_wire::Listening;
 
-fn mesa() -> serde_json::Value {
+fn mesa_service() -> serde_json::Value {
     json!({ "services": { "mesa": { "kind": "plain" } } })
 }
 
-async fn order(zones: &Zones, entry: usize, key: &str, body: &str) -> Answer {
+/// Sends an order with an idempotency key.
+async fn send_order(zones: &Zones, entry: usize, key: &str, body: &str) -> Answer {
     let request = zones.request(entry, "POST", "/services/mesa/orders");
     let request = request.with_request_header("idempotency-key", key.to_string());
     answer(request.with_body(body.to_string())).await
 }
 
-// A caller loses its answer and sends the order again, with the same key; the balancer takes it
-// to another entry. It gets the first run's answer, and the order ran once.
+/// Guards against an order that runs twice because its caller lost the answer and sends it again, with the
+/// same key, to another entry. The caller must get the answer of the first run.
 #[test]
 fn resend_elsewhere() {
     smol::block_on(async {
-        let mut zones = Zones::start(mesa()).await;
+        let mut zones = Zones::start(mesa_service()).await;
         let service = id("mesa");
         let fake = FakeService::new(info("desk-0", Offer::Service { service }));
         let served = serve(fake.clone()).await;
         zones.add_agent("desk-0", served.address()).await;
         zones.keepers_ready().await;
-        let first = order(&zones, 0, "key-1", "one order").await;
+        let first = send_order(&zones, 0, "key-1", "one order").await;
         assert_eq!(first.status, 200, "{}", first.body);
         for entry in [1, 2, 0] {
-            let again = order(&zones, entry, "key-1", "one order").await;
+            let again = send_order(&zones, entry, "key-1", "one order").await;
             assert_eq!((again.status, &again.body), (200, &first.body));
         }
         assert_eq!(fake.runs_of("one order"), 1);
-        let other = order(&zones, 1, "key-1", "another order").await;
+        let other = send_order(&zones, 1, "key-1", "another order").await;
         assert_eq!(
             (other.status, other.outcome.as_deref()),
             (422, Some("not-run"))
@@ -49,22 +50,22 @@
     });
 }
 
-// A caller sends one order to every entry at the same moment.
+/// Guards against an order that runs more than once because it reaches every entry at the same moment.
 #[test]
 fn sends_at_once() {
     smol::block_on(async {
-        let mut zones = Zones::start(mesa()).await;
+        let mut zones = Zones::start(mesa_service()).await;
         let service = id("mesa");
         let fake = FakeService::new(info("desk-0", Offer::Service { service }));
         let fake = fake.with_pace(Span::from_millis(100));
         let served = serve(fake.clone()).await;
         zones.add_agent("desk-0", served.address()).await;
         zones.keepers_ready().await;
-        let first = order(&zones, 0, "key-2", "at once");
-        let second = order(&zones, 1, "key-2", "at once");
+        let first = send_order(&zones, 0, "key-2", "at once");
+        let second = send_order(&zones, 1, "key-2", "at once");
         let both = futures_lite::future::zip(first, second);
         let (both, third) =
-            futures_lite::future::zip(both, order(&zones, 2, "key-2", "at once")).await;
+            futures_lite::future::zip(both, send_order(&zones, 2, "key-2", "at once")).await;
         let answers = [both.0, both.1, third];
         assert!(answers.iter().all(|a| a.status == 200));
         assert!(answers.iter().all(|a| a.body == answers[0].body));
@@ -72,31 +73,31 @@
     });
 }
 
-/// An engine that dies of one prompt.
+/// An engine that crashes on one prompt.
 #[derive(Debug, Clone)]
-struct Fragile {
+struct CrashingEngine {
     engine: FakeEngine,
-    dead: Arc<AtomicBool>,
+    has_crashed: Arc<AtomicBool>,
 }
 
 #[async_trait]
-impl Handler for Fragile {
+impl Handler for CrashingEngine {
     async fn run(&self, mut conn: Conn) -> Conn {
         if conn.path() != "/v1/completions" {
             return self.engine.run(conn).await;
         }
         let body = conn.request_body_string().await.unwrap_or_default();
         if body.contains("kill") {
-            self.dead.store(true, Ordering::SeqCst);
+            self.has_crashed.store(true, Ordering::SeqCst);
             pause(3_000).await;
         }
         conn.ok("{}")
     }
 }
 
-/// Lets a dead engine be gone: connections break, and new ones lead nowhere.
-async fn bury(wire: FakeWire, dead: Arc<AtomicBool>) {
-    while !dead.load(Ordering::SeqCst) {
+/// Waits until an engine has crashed, then breaks its connections and refuses new ones.
+async fn disconnect_crashed(wire: FakeWire, has_crashed: Arc<AtomicBool>) {
+    while !has_crashed.load(Ordering::SeqCst) {
         pause(2).await;
     }
     wire.aim(loopback());
@@ -104,10 +105,10 @@
     pause(60_000).await;
 }
 
-/// Five engines that die of one prompt, before three entries.
+/// Five engines that crash on one prompt, behind three entries.
 struct Pool {
     zones: Zones,
-    dead: Vec<Arc<AtomicBool>>,
+    crash_flags: Vec<Arc<AtomicBool>>,
     _served: Vec<Listening>,
 }
 
@@ -121,7 +122,7 @@
         });
         let mut pool = Self {
             zones: Zones::start(services).await,
-            dead: Vec::new(),
+            crash_flags: Vec::new(),
             _served: Vec::new(),
         };
         for n in 0..5 {
@@ -138,18 +139,18 @@
             version,
             adapters: Vec::new(),
         };
-        let dead = Arc::new(AtomicBool::new(false));
-        let fragile = Fragile {
+        let has_crashed = Arc::new(AtomicBool::new(false));
+        let engine = CrashingEngine {
             engine: FakeEngine::new(info(name, offer)),
-            dead: Arc::clone(&dead),
+            has_crashed: Arc::clone(&has_crashed),
         };
-        let served = serve(fragile).await;
+        let served = serve(engine).await;
         let wire = FakeWire::start().await.expect("port 0");
         wire.aim(served.address());
         self.zones.add_agent(name, wire.address()).await;
-        snipemast_wire::spawn(bury(wire, Arc::clone(&dead))).detach();
+        snipemast_wire::spawn(disconnect_crashed(wire, Arc::clone(&has_crashed))).detach();
         self._served.push(served);
-        self.dead.push(dead);
+        self.crash_flags.push(has_crashed);
     }
 
     async fn send(&self, entry: usize, prompt: &str) -> Answer {
@@ -165,14 +166,15 @@
         [first, second, third]
     }
 
-    fn lost(&self) -> usize {
-        let dead = |d: &&Arc<AtomicBool>| d.load(Ordering::SeqCst);
-        self.dead.iter().filter(dead).count()
+    /// Returns the number of engines that have crashed.
+    fn crashed(&self) -> usize {
+        let is_set = |d: &&Arc<AtomicBool>| d.load(Ordering::SeqCst);
+        self.crash_flags.iter().filter(is_set).count()
     }
 }
 
-// One request kills each server that runs it, and its caller sends it again, to every entry at
-// once. Without a bound the pool is gone within a minute; two servers are lost, and no third.
+/// Guards against the loss of a whole pool to one request that crashes each server that runs it, while its
+/// caller sends it again to every entry. Two servers may be lost, and no third.
 #[test]
 fn two_servers_lost() {
     smol::block_on(async {
@@ -183,26 +185,26 @@
             let outcome = refused.outcome.as_deref();
             assert_eq!((refused.status, outcome), (422, Some("not-run")));
         }
-        assert_eq!(pool.lost(), 2);
+        assert_eq!(pool.crashed(), 2);
         assert_eq!(pool.send(1, "read").await.status, 200);
     });
 }
 
-// The same request where the system may not repeat it by itself: after the first crash the caller
-// sends it to three entries at the same moment. All three know of the crash; one of them runs it.
+/// Guards against the loss of several servers to a request that the system may not repeat by itself. After the
+/// first crash the caller sends it to three entries at once, and only one of them may run it.
 #[test]
 fn suspect_runs_once() {
     smol::block_on(async {
         let pool = Pool::start(false).await;
         let first = pool.send(0, "kill").await;
         assert_eq!((first.status, first.outcome.as_deref()), (502, Some("ran")));
-        assert_eq!(pool.lost(), 1);
+        assert_eq!(pool.crashed(), 1);
         let answers = pool.send_to_all("kill").await;
         let denied = answers
             .iter()
             .filter(|a| a.outcome.as_deref() == Some("not-run"));
         assert_eq!(denied.count(), 2);
-        assert_eq!(pool.lost(), 2);
+        assert_eq!(pool.crashed(), 2);
         assert_eq!(pool.send(1, "read").await.status, 200);
     });
 }
--- a/tests/tests/requests_restarts.rs
+++ b/tests/tests/requests_restarts.rs
@@ -1,4 +1,4 @@
-//! A rolling restart of a whole fleet under load.
+//! A test of a rolling restart of a whole fleet under load.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -13,7 +13,7 @@
 use snipemast_tests::{answer, id, info, pause};
 use snipemast_wire::spawn;
 
-/// What the platform's balancer does: it sends to the hosts that are ready.
+/// A stand-in for the platform's load balancer, which sends requests to the hosts that are ready.
 #[derive(Debug, Default)]
 struct Balancer {
     ready: Mutex<Vec<SocketAddr>>,
@@ -23,14 +23,15 @@
 }
 
 impl Balancer {
-    fn next(&self) -> SocketAddr {
+    /// Returns the address of the next ready host.
+    fn next_host(&self) -> SocketAddr {
         let ready = self.ready.lock();
         ready[self.turn.fetch_add(1, Ordering::SeqCst) % ready.len()]
     }
 }
 
-/// Sends orders and streams until the restarts are done; every failure is told.
-async fn load(balancer: Arc<Balancer>, number: usize) -> Vec<String> {
+/// Sends orders or streams until the restarts are done, and returns every failure.
+async fn send_load(balancer: Arc<Balancer>, number: usize) -> Vec<String> {
     let mut failed = Vec::new();
     let mut count = 0;
     while !balancer.done.load(Ordering::SeqCst) {
@@ -38,11 +39,11 @@
         let order = number.is_multiple_of(2);
         let answer = if order {
             let body = format!("order {number} {count}");
-            let conn = request(balancer.next(), "POST", "/services/mesa/orders");
+            let conn = request(balancer.next_host(), "POST", "/services/mesa/orders");
             answer(conn.with_body(body)).await
         } else {
             let body = json!({ "model": "lector", "prompt": "p", "max_tokens": 6, "stream": true });
-            let conn = request(balancer.next(), "POST", "/v1/completions");
+            let conn = request(balancer.next_host(), "POST", "/v1/completions");
             answer(conn.with_body(body.to_string())).await
         };
         let whole = order || answer.body.trim_end().ends_with("[DONE]");
@@ -57,8 +58,8 @@
     failed
 }
 
-// Every agent and every entry of a fleet is restarted, one after the other, while callers send
-// orders that may not run twice and streams. No caller notices.
+/// Guards against failed requests while every agent and entry but the first restarts, one after the other.
+/// Callers send streams, and orders that may not run twice.
 #[test]
 fn rolling_restart() {
     smol::block_on(async {
@@ -94,13 +95,13 @@
         let callers = zones.entries.iter().map(|e| e.callers());
         balancer.ready.lock().extend(callers);
         let tasks: Vec<_> = (0..8)
-            .map(|n| spawn(load(Arc::clone(&balancer), n)))
+            .map(|n| spawn(send_load(Arc::clone(&balancer), n)))
             .collect();
         pause(200).await;
         for (place, server) in servers.iter().enumerate() {
             zones.restart_agent(place, server.address()).await;
         }
-        // The first entry decides on the configuration alone, without a disk: it stays.
+        // The first entry keeps running, because it decides on the configuration alone and without a disk.
         for place in [1, 2] {
             let address = zones.entries[place].callers();
             zones.entries[place].shared().drain();
--- a/tests/tests/second_server.rs
+++ b/tests/tests/second_server.rs
@@ -1,5 +1,4 @@
-//! A server written from `docs/SERVERS.md` alone: a listener, a few strings, and none of the
-//! system's types.
+//! Tests of a server that is written from `docs/SERVERS.md` alone, without any of the system's types.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -12,15 +11,15 @@
 
 use snipemast_tests::{answer, pause, Answer, Fleet};
 
-/// One request as it came.
-struct Asked {
+/// A request as it was received.
+struct Request {
     line: String,
     headers: HashMap<String, String>,
     body: Vec<u8>,
 }
 
-/// Reads a request, or nothing at the end of the connection.
-fn read(reader: &mut BufReader<TcpStream>) -> Option<Asked> {
+/// Reads a request, or returns `None` at the end of the connection.
+fn read_request(reader: &mut BufReader<TcpStream>) -> Option<Request> {
     let mut line = String::new();
     if reader.read_line(&mut line).ok()? == 0 {
         return None;
@@ -41,14 +40,15 @@
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
     let line = line.trim_end().to_string();
-    Some(Asked {
+    Some(Request {
         line,
         headers,
         body,
     })
 }
 
-fn whole(stream: &mut TcpStream, status: &str, body: &str) -> std::io::Result<()> {
+/// Writes an answer with a length.
+fn write_answer(stream: &mut TcpStream, status: &str, body: &str) -> std::io::Result<()> {
     let length = body.len();
     write!(
         stream,
@@ -56,21 +56,22 @@
     )
 }
 
-fn chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
+/// Writes one chunk of a stream.
+fn write_chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
     write!(stream, "{:x}\r\n{text}\r\n", text.len())
 }
 
-/// What the server was seen to do.
-enum Seen {
+/// Something that the server observed.
+enum Observation {
     Dispatch(String),
     Cancelled,
 }
 
-fn serve(stream: TcpStream, seen: &Sender<Seen>) -> std::io::Result<()> {
+fn serve(stream: TcpStream, sender: &Sender<Observation>) -> std::io::Result<()> {
     let mut out = stream.try_clone()?;
     let mut reader = BufReader::new(stream);
-    while let Some(asked) = read(&mut reader) {
-        let line = asked.line.as_str();
+    while let Some(request) = read_request(&mut reader) {
+        let line = request.line.as_str();
         if line.starts_with("GET /engine/info ") {
             let info = json!({
                 "server": "tiny",
@@ -81,26 +82,26 @@
                 "capabilities": {},
                 "slots": 4,
             });
-            whole(&mut out, "200 OK", &info.to_string())?;
+            write_answer(&mut out, "200 OK", &info.to_string())?;
         } else if line.starts_with("POST /v1/completions ") {
-            let id = asked
+            let id = request
                 .headers
                 .get("snipemast-dispatch")
                 .cloned()
                 .unwrap_or_default();
-            let _ = seen.send(Seen::Dispatch(id));
-            complete(&mut out, &asked.body, seen)?;
+            let _ = sender.send(Observation::Dispatch(id));
+            complete(&mut out, &request.body, sender)?;
         } else if line.starts_with("PUT /accounts/7?full=1 ") {
-            let body = String::from_utf8_lossy(&asked.body).into_owned();
-            whole(&mut out, "201 Created", &json!({ "put": body }).to_string())?;
+            let body = String::from_utf8_lossy(&request.body).into_owned();
+            write_answer(&mut out, "201 Created", &json!({ "put": body }).to_string())?;
         } else {
-            whole(&mut out, "404 Not Found", "{}")?;
+            write_answer(&mut out, "404 Not Found", "{}")?;
         }
     }
     Ok(())
 }
 
-fn complete(out: &mut TcpStream, body: &[u8], seen: &Sender<Seen>) -> std::io::Result<()> {
+fn complete(out: &mut TcpStream, body: &[u8], sender: &Sender<Observation>) -> std::io::Result<()> {
     let body: Value = serde_json::from_slice(body)?;
     let answer = json!({ "choices": [{ "text": format!("of {}", body["model"]) }] }).to_string();
     match body["prompt"].as_str() {
@@ -109,48 +110,48 @@
             Err(std::io::ErrorKind::ConnectionAborted.into())
         }
         Some("endless") => {
-            stream_head(out)?;
-            while chunk(out, "data: {\"choices\":[{\"text\":\"x\"}]}\n\n").is_ok() {
+            write_stream_head(out)?;
+            while write_chunk(out, "data: {\"choices\":[{\"text\":\"x\"}]}\n\n").is_ok() {
                 thread::sleep(Duration::from_millis(5));
             }
-            let _ = seen.send(Seen::Cancelled);
+            let _ = sender.send(Observation::Cancelled);
             Err(std::io::ErrorKind::BrokenPipe.into())
         }
         _ if body["stream"] == true => {
-            stream_head(out)?;
-            chunk(out, &format!("data: {answer}\n\n"))?;
-            chunk(out, "data: [DONE]\n\n")?;
+            write_stream_head(out)?;
+            write_chunk(out, &format!("data: {answer}\n\n"))?;
+            write_chunk(out, "data: [DONE]\n\n")?;
             out.write_all(b"0\r\n\r\n")
         }
-        _ => whole(out, "200 OK", &answer),
+        _ => write_answer(out, "200 OK", &answer),
     }
 }
 
-fn stream_head(out: &mut TcpStream) -> std::io::Result<()> {
+fn write_stream_head(out: &mut TcpStream) -> std::io::Result<()> {
     out.write_all(
         b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
     )
 }
 
-/// Starts the server; it ends with the test's process.
-fn start() -> (SocketAddr, Receiver<Seen>) {
+/// Starts the server, which runs until the test's process ends.
+fn start_server() -> (SocketAddr, Receiver<Observation>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    let (seen, told) = channel();
+    let (sender, observations) = channel();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let seen = seen.clone();
+            let sender = sender.clone();
             thread::spawn(move || {
-                // A connection that breaks ends its thread; the agent sees it too.
-                let _ = serve(stream, &seen);
+                // A broken connection ends its thread. The agent notices it as well.
+                let _ = serve(stream, &sender);
             });
         }
     });
-    (address, told)
+    (address, observations)
 }
 
-async fn fleet() -> (Fleet, Receiver<Seen>) {
-    let (address, told) = start();
+async fn start_fleet() -> (Fleet, Receiver<Observation>) {
+    let (address, observations) = start_server();
     let mut fleet = Fleet::start().await;
     fleet.patch(json!({
         "models": { "lector-1": { "version": "1" } },
@@ -160,7 +161,7 @@
         },
     }));
     fleet.add_beside("tiny", address).await;
-    (fleet, told)
+    (fleet, observations)
 }
 
 async fn complete_with(fleet: &Fleet, prompt: &str, stream: bool) -> Answer {
@@ -173,23 +174,25 @@
     .await
 }
 
+/// Guards against a page on servers that is incomplete for plain completions, or a dispatch without its id.
 #[test]
 fn answers_whole() {
     smol::block_on(async {
-        let (fleet, told) = fleet().await;
+        let (fleet, observations) = start_fleet().await;
         let answer = complete_with(&fleet, "p", false).await;
         assert_eq!(answer.json()["choices"][0]["text"], "of \"lector-1\"");
-        let Ok(Seen::Dispatch(id)) = told.recv() else {
+        let Ok(Observation::Dispatch(id)) = observations.recv() else {
             panic!("the server saw no completion");
         };
         assert!(id.starts_with("entry-0:1:"), "{id}");
     });
 }
 
+/// Guards against a page on servers that is incomplete for streams.
 #[test]
 fn streams_whole() {
     smol::block_on(async {
-        let (fleet, _told) = fleet().await;
+        let (fleet, _observations) = start_fleet().await;
         let answer = complete_with(&fleet, "p", true).await;
         assert!(
             answer.body.trim_end().ends_with("data: [DONE]"),
@@ -198,10 +201,11 @@
     });
 }
 
+/// Guards against requests to a plain service whose method, path, query, body or status is changed.
 #[test]
 fn serves_plainly() {
     smol::block_on(async {
-        let (fleet, _told) = fleet().await;
+        let (fleet, _observations) = start_fleet().await;
         let request = fleet.request("PUT", "/services/mesa/accounts/7?full=1");
         let created = answer(request.with_body("a record")).await;
         assert_eq!(
@@ -213,23 +217,23 @@
     });
 }
 
-// A reading that is short looks whole, and a line of the bordereau is missing from the account.
-// The server dies in the middle; the connection ends before the announced length.
+/// Guards against a cut answer that looks complete to its caller. The server dies in the middle, and the
+/// connection ends before the announced length.
 #[test]
-fn cut_is_told() {
+fn cut_is_reported() {
     smol::block_on(async {
-        let (fleet, _told) = fleet().await;
+        let (fleet, _observations) = start_fleet().await;
         let answer = complete_with(&fleet, "cut", false).await;
         assert!(answer.status >= 500, "{answer:?}");
         assert_ne!(answer.outcome.as_deref(), Some("not-run"));
     });
 }
 
-// A server works for nobody. The caller went away, and nothing tells the server.
+/// Guards against a server that keeps working after the caller has left.
 #[test]
 fn cancel_arrives() {
     smol::block_on(async {
-        let (fleet, told) = fleet().await;
+        let (fleet, observations) = start_fleet().await;
         let body = json!({ "model": "lector", "prompt": "endless", "stream": true });
         let request = fleet
             .request("POST", "/v1/completions")
@@ -242,7 +246,11 @@
         let read = futures_lite::AsyncReadExt::read(&mut conn.response_body(), &mut bytes).await;
         assert!(read.is_ok_and(|count| count > 0));
         drop(conn);
-        let cancelled = smol::unblock(move || told.iter().any(|s| matches!(s, Seen::Cancelled)));
+        let cancelled = smol::unblock(move || {
+            observations
+                .iter()
+                .any(|s| matches!(s, Observation::Cancelled))
+        });
         assert!(cancelled.await);
         while fleet.entry.shared().running() > 0 {
             pause(5).await;
--- a/tests/tests/shutdown.rs
+++ b/tests/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! A planned end cuts nothing: hosts and servers leave while they answer.
+//! Tests of planned shutdowns: hosts and servers leave while they answer requests, and no answer is cut.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -13,8 +13,8 @@
 use snipemast_tests::{answer, entry_settings, info, pause, Answer, Fleet, KEY};
 use snipemast_wire::spawn;
 
-/// A fleet whose engines take some time for each token.
-async fn slow_fleet(engines: usize, notice: Span) -> Fleet {
+/// Starts a fleet whose engines take 30 ms per token.
+async fn start_slow_fleet(engines: usize, notice: Span) -> Fleet {
     let mut settings = entry_settings("entry-0");
     settings.limits.notice = notice;
     let mut fleet = Fleet::start_with(settings).await;
@@ -42,31 +42,33 @@
     conn.with_body(body.to_string())
 }
 
+/// Whether an answer is complete.
 fn is_whole(answer: &Answer, stream: bool) -> bool {
     let end = if stream { "data: [DONE]" } else { "}" };
     answer.status == 200 && answer.body.contains("w29 ") && answer.body.trim_end().ends_with(end)
 }
 
+/// Waits until this many requests run.
 async fn wait_running(fleet: &Fleet, count: u64) {
     while fleet.entry.shared().running() < count {
         pause(2).await;
     }
 }
 
-// A caller loses a reading that was nearly done. The host is told to end while it streams, it
-// stops its process once it has read the last token, and the last bytes are still unwritten.
+/// Guards against an answer that loses its end because the host shuts down while it streams: it stops its
+/// process once it has read the last token, before the last bytes are written.
 #[test]
 fn entry_leaves() {
     smol::block_on(async {
-        let fleet = slow_fleet(1, Span::default()).await;
-        let asked: Vec<_> = [true, false, true, false]
+        let fleet = start_slow_fleet(1, Span::default()).await;
+        let requests: Vec<_> = [true, false, true, false]
             .map(|stream| (stream, spawn(answer(completion(&fleet, stream)))))
             .into_iter()
             .collect();
         wait_running(&fleet, 4).await;
         let shared = Arc::clone(fleet.entry.shared());
         fleet.entry.stop().await;
-        for (stream, task) in asked {
+        for (stream, task) in requests {
             let answer = task.await;
             assert!(is_whole(&answer, stream), "{answer:?}");
         }
@@ -76,31 +78,31 @@
     });
 }
 
-// A caller on a slow line loses the end of its answer. The host has read the whole answer from the
-// server and counts nothing in flight; most of the bytes still wait for the caller to read.
+/// Guards against a cut answer for a slow caller. The host has read the whole answer from the server and counts
+/// no request in flight, while most of the bytes still wait for the caller.
 #[test]
 fn slow_reader() {
     smol::block_on(async {
-        let mut fleet = slow_fleet(0, Span::default()).await;
+        let mut fleet = start_slow_fleet(0, Span::default()).await;
         fleet.add_engine("engine-0", "lector-1").await;
         let body = r#"{"model":"lector","prompt":"p","max_tokens":1500000}"#;
-        let mut caller = TcpStream::connect(fleet.entry.callers()).expect("it listens");
+        let mut caller = TcpStream::connect(fleet.entry.callers()).expect("the entry listens");
         let head = format!(
             "POST /v1/completions HTTP/1.1\r\nauthorization: Bearer {KEY}\r\n\
              connection: close\r\ncontent-length: {}\r\n\r\n{body}",
             body.len()
         );
-        caller.write_all(head.as_bytes()).expect("it reads");
+        caller.write_all(head.as_bytes()).expect("the entry reads");
         let shared = Arc::clone(fleet.entry.shared());
-        let is_read = || {
+        let is_delivered = || {
             let records = shared.journal.ring().since(Stamp::default());
             records.iter().any(|r| r.event == Event::AnswerDelivered)
         };
-        while !is_read() {
+        while !is_delivered() {
             pause(5).await;
         }
         let stopping = spawn(fleet.entry.stop());
-        // Longer than a stop takes that does not wait for the caller.
+        // This is longer than a stop that does not wait for the caller.
         pause(600).await;
         assert!(!stopping.is_finished());
         let answer = smol::unblock(move || {
@@ -113,12 +115,12 @@
     });
 }
 
-// The balancer sends requests to a host that refuses them. It asks `/readyz` only now and then;
-// until it has, a leaving host must still take what it is sent.
+/// Guards against requests that fail because the load balancer has not yet noticed that a host leaves. The
+/// balancer polls `/readyz` only now and then, so until then the host must still accept requests.
 #[test]
 fn notice_first() {
     smol::block_on(async {
-        let fleet = slow_fleet(1, Span::from_millis(800)).await;
+        let fleet = start_slow_fleet(1, Span::from_millis(800)).await;
         let ready = fleet.request("GET", "/readyz");
         let late = completion(&fleet, true);
         let shared = Arc::clone(fleet.entry.shared());
@@ -133,12 +135,12 @@
     });
 }
 
-// A caller on a kept connection is cut off, or its request runs on a host that is already gone.
-// It must read that the request did not run, so that it can send it elsewhere.
+/// Guards against a request on a kept connection that is cut off, or that runs on a host which has shut down.
+/// The answer must say that it did not run, so that the caller can send it to another host.
 #[test]
 fn closed_refuses() {
     smol::block_on(async {
-        let fleet = slow_fleet(1, Span::default()).await;
+        let fleet = start_slow_fleet(1, Span::default()).await;
         fleet.entry.shared().close();
         let answer = answer(completion(&fleet, false)).await;
         let outcome = answer.outcome.as_deref();
@@ -146,13 +148,13 @@
     });
 }
 
-// Requests fail while one of two servers is replaced. The agent refuses what still comes, and the
-// entry takes the refusal for the request's end instead of trying the other server.
+/// Guards against requests that fail while one of two servers is replaced. The agent refuses new requests, and
+/// the entry must try the other server instead of failing them.
 #[test]
 fn agent_leaves() {
     smol::block_on(async {
-        let mut fleet = slow_fleet(2, Span::default()).await;
-        let asked: Vec<_> = (0..6)
+        let mut fleet = start_slow_fleet(2, Span::default()).await;
+        let requests: Vec<_> = (0..6)
             .map(|_| spawn(answer(completion(&fleet, true))))
             .collect();
         wait_running(&fleet, 6).await;
@@ -160,7 +162,7 @@
         let more: Vec<_> = (0..6)
             .map(|_| spawn(answer(completion(&fleet, true))))
             .collect();
-        for task in asked.into_iter().chain(more) {
+        for task in requests.into_iter().chain(more) {
             let answer = task.await;
             assert!(is_whole(&answer, true), "{answer:?}");
         }
@@ -168,7 +170,7 @@
     });
 }
 
-// A request that never ends keeps a host from its restart for good.
+/// Guards against a request without end that prevents the shutdown of its host for good.
 #[test]
 fn bound_ends() {
     smol::block_on(async {
@@ -177,10 +179,10 @@
         settings.limits.shutdown = Span::from_millis(50);
         let fleet = Fleet::start_with(settings).await;
         let shared = Arc::clone(fleet.entry.shared());
-        // A caller that sends half a request and nothing more.
-        let mut half = TcpStream::connect(fleet.entry.callers()).expect("it listens");
+        // The caller sends only a part of its request.
+        let mut half = TcpStream::connect(fleet.entry.callers()).expect("the entry listens");
         half.write_all(b"POST /v1/completions HTTP/1.1\r\ncontent-length: 9\r\n\r\n")
-            .expect("it reads");
+            .expect("the entry reads");
         smol::Timer::after(Duration::from_millis(20)).await;
         fleet.entry.stop().await;
         let records = shared.journal.ring().since(Stamp::default());
--- a/tests/tests/timeline.rs
+++ b/tests/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The time line: events of all processes, asked for at one.
+//! Tests of the time line, which collects the events of all processes at one of them.
 
 use serde_json::json;
 
@@ -7,7 +7,7 @@
 use snipemast_operators::timeline::{Timeline, TimelineQuery};
 use snipemast_tests::{answer, Fleet};
 
-async fn fleet() -> Fleet {
+async fn start_fleet() -> Fleet {
     let mut fleet = Fleet::start().await;
     fleet.patch(json!({
         "models": { "lector-1": { "version": "1" } },
@@ -17,8 +17,8 @@
     fleet
 }
 
-/// The id of a request that was just answered.
-async fn ask(fleet: &Fleet) -> String {
+/// Sends a request and returns its id.
+async fn send_request(fleet: &Fleet) -> String {
     let body = json!({ "model": "lector", "prompt": "p" });
     let request = fleet.request("POST", "/v1/completions");
     let mut conn = request
@@ -31,6 +31,7 @@
     id.expect("answers name their request").to_string()
 }
 
+/// Returns the hosts of a time line's events, without repetitions in a row.
 fn hosts(timeline: &Timeline) -> Vec<&str> {
     let mut hosts: Vec<&str> = timeline
         .records
@@ -41,17 +42,18 @@
     hosts
 }
 
+/// Guards against a time line of one request that contains other requests or lacks a host on its path.
 #[test]
 fn request_followed() {
     smol::block_on(async {
-        let fleet = fleet().await;
-        ask(&fleet).await;
-        let id = ask(&fleet).await;
-        let asked = TimelineQuery {
+        let fleet = start_fleet().await;
+        send_request(&fleet).await;
+        let id = send_request(&fleet).await;
+        let query = TimelineQuery {
             request: Some(id.clone()),
             since: None,
         };
-        let timeline = collect(fleet.entry.shared(), &asked).await;
+        let timeline = collect(fleet.entry.shared(), &query).await;
         assert!(timeline.records.iter().all(|r| r.names(&id)));
         assert_eq!(hosts(&timeline), ["entry-0", "engine-0", "entry-0"]);
         let events: Vec<Event> = timeline.records.iter().map(|r| r.event).collect();
@@ -60,11 +62,11 @@
     });
 }
 
-// An operator reads that nothing happened on a server, where in truth nobody could ask it.
+/// Guards against a time line that shows no events of a server which could not be reached, without saying so.
 #[test]
 fn silence_named() {
     smol::block_on(async {
-        let fleet = fleet().await;
+        let fleet = start_fleet().await;
         let gone = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = gone.local_addr().expect("bound");
         drop(gone);
@@ -87,11 +89,11 @@
     });
 }
 
-// A customer reads the requests of all others.
+/// Guards against callers who read the requests of others with a key that is not an operator's.
 #[test]
 fn keys_checked() {
     smol::block_on(async {
-        let fleet = fleet().await;
+        let fleet = start_fleet().await;
         let address = fleet.entry.operators().expect("an operators' address");
         let url = format!("http://{address}/timeline");
         let conn = snipemast_wire::connect::client().get(url.as_str());
--- a/tests/tests/whole_path.rs
+++ b/tests/tests/whole_path.rs
@@ -1,9 +1,10 @@
-//! A request's whole path over loopback: entry, agent, backend server and back.
+//! Tests of the whole path of a request over loopback: entry, agent, backend server and back.
 
 use serde_json::json;
 
 use snipemast_tests::{answer, Fleet};
 
+/// Guards against a completion that is changed on its path, or that is not reported as run.
 #[test]
 fn model_answers() {
     smol::block_on(async {
@@ -20,6 +21,7 @@
     });
 }
 
+/// Guards against a stream that loses events or its end.
 #[test]
 fn stream_ends_whole() {
     smol::block_on(async {
@@ -35,6 +37,7 @@
     });
 }
 
+/// Guards against requests that still reach the old model after a patch sends a service to another one.
 #[test]
 fn patch_moves_requests() {
     smol::block_on(async {
@@ -57,6 +60,7 @@
     });
 }
 
+/// Guards against a request to a plain service that reaches its server with a wrong path.
 #[test]
 fn service_answers() {
     smol::block_on(async {
@@ -68,6 +72,7 @@
     });
 }
 
+/// Guards against a request with an unknown key that runs.
 #[test]
 fn unknown_key() {
     smol::block_on(async {
@@ -82,6 +87,7 @@
     });
 }
 
+/// Guards against a request to an unknown service that is not refused as not run.
 #[test]
 fn unknown_service() {
     smol::block_on(async {
