--- a/crates/entry/src/spread.rs
+++ b/crates/entry/src/spread.rs
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns the clock that ages are measured with.
+    /// Returns the clock that ages refer to.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
