--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -6,7 +6,7 @@
 
 use crate::gate::Gate;
 
-/// Reports once per [`INTERVAL`] for as long as the future is polled.
+/// Reports once per [`REPORT_INTERVAL`] for as long as the future is polled.
 pub async fn report_forever(gate: Arc<Gate>, mut metrics: Metrics) {
     loop {
         smol::Timer::after(REPORT_INTERVAL.as_duration()).await;
